--- a/src/aggregator/connections.rs
+++ b/src/aggregator/connections.rs
@@ -2,7 +2,7 @@
 
 use super::reduce::Reduction;
 use super::state::{Conn, PartName, Phase, Probe, Stage, Timer};
-use super::{AttemptId, ConnectionId, Effect};
+use super::{AttemptId, ConnectionId, Effect, LogEvent};
 use crate::balancer::{Millis, Outcome, ReplicaId};
 use std::collections::{BTreeSet, VecDeque};
 
@@ -89,7 +89,8 @@
         if c.phase != Phase::Closing {
             self.state.counters.connections_broken += 1;
             if !why.is_empty() {
-                self.effects.push(Effect::Log(format!("connection to node {} ended: {why}", c.node.0)));
+                let reason = why.to_owned();
+                self.effects.push(Effect::Log(LogEvent::LeafConnectionEnded { replica: c.node, reason }));
             }
         }
         self.state.counters.connections_spoilt += u64::from(spoilt);
--- a/src/aggregator/lifecycle.rs
+++ b/src/aggregator/lifecycle.rs
@@ -3,7 +3,7 @@
 
 use super::reduce::Reduction;
 use super::state::{Client, Timer};
-use super::{AdminCallId, AdminCommand, AdminOutcome, Effect, Limits};
+use super::{AdminCallId, AdminCommand, AdminOutcome, Effect, Limits, LogEvent};
 use crate::clock::Millis;
 use crate::config::SiteSettings;
 use crate::endpoints::Input;
@@ -141,7 +141,7 @@
             _ => self.now,
         };
         let successor = self.state.siblings.any_ready;
-        self.effects.push(Effect::Log("asked to end: answering what is held".to_owned()));
+        self.effects.push(Effect::Log(LogEvent::ShutdownRequested));
         self.enter_life(if successor {
             Lifecycle::HotRestarting { since }
         } else {
--- a/src/aggregator/mod.rs
+++ b/src/aggregator/mod.rs
@@ -17,7 +17,7 @@
 pub use reduce::reduce;
 pub use state::{Limits, State};
 
-use crate::balancer::{LoadReport, Millis};
+use crate::balancer::{self, LoadReport, Millis, ReplicaId};
 use crate::config::SiteSettings;
 use crate::endpoints::{AuditEvent, EndpointList, Input};
 use crate::hot_restart::Overrides;
@@ -251,6 +251,22 @@
     pub idempotency_key: Option<Arc<str>>,
 }
 
+/// A change of the aggregator's state that operators want to see.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum LogEvent {
+    /// The balancer's judgement of a replica or of the load has changed.
+    Balancer(balancer::LogEvent),
+    /// A graceful shutdown has begun.
+    ShutdownRequested,
+    /// A connection to a leaf server has ended other than by the aggregator.
+    LeafConnectionEnded {
+        /// The balancer's number of the leaf server.
+        replica: ReplicaId,
+        /// Why, as the connection's task has told it.
+        reason: String,
+    },
+}
+
 /// What the caller is to do, in order.
 #[derive(Clone, Debug)]
 pub enum Effect {
@@ -296,8 +312,8 @@
     },
     /// All is done.
     Exit,
-    /// A line for the operators.
-    Log(String),
+    /// Log a change of state.
+    Log(LogEvent),
     /// A change in who is a node, for the operators.
     EndpointAudit(AuditEvent),
     /// Use by a tenant, for the ledger. It comes before the reply to the client, if that is still there; its time is the
--- a/src/aggregator/reduce.rs
+++ b/src/aggregator/reduce.rs
@@ -1,7 +1,7 @@
 //! The reducer: every state change of the mixer, and the effects that follow from it.
 
 use super::state::{Part, Phase, State, Timer};
-use super::{Effect, Event, Lifecycle, Reply};
+use super::{Effect, Event, Lifecycle, LogEvent, Reply};
 use crate::balancer::{self, Action, Millis, Outcome};
 use crate::endpoints::Input;
 use crate::ledger::{LedgerEvent, Share};
@@ -149,7 +149,7 @@
             // The list is always watched here: what the module wants is under way.
             Action::WatchEndpoints => {}
             Action::SetTimer { at } => self.state.arm(at, Timer::Module),
-            Action::Log { text } => self.effects.push(Effect::Log(text)),
+            Action::Log(event) => self.effects.push(Effect::Log(LogEvent::Balancer(event))),
         }
     }
 
--- a/src/balancer/action.rs
+++ b/src/balancer/action.rs
@@ -54,9 +54,27 @@
         /// When.
         at: Millis,
     },
-    /// A line for the operators.
-    Log {
-        /// The text.
-        text: String,
+    /// Log a change of state.
+    Log(LogEvent),
+}
+
+/// A change of the balancer's state that operators want to see.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum LogEvent {
+    /// Every replica that a part may go to is an outlier.
+    AllHoldersOutliers {
+        /// The shard of the part.
+        shard: u32,
+    },
+    /// The first query has been shed.
+    LoadSheddingStarted {
+        /// The index of the query's class.
+        class: usize,
     },
+    /// No query has been shed for a while.
+    LoadSheddingStopped,
+    /// A replica has been ejected as an outlier.
+    ReplicaEjected(ReplicaId),
+    /// An ejected replica is an ordinary one again.
+    ReplicaRestored(ReplicaId),
 }
--- a/src/balancer/logic.rs
+++ b/src/balancer/logic.rs
@@ -354,7 +354,7 @@
         let sound: Vec<ReplicaId> =
             pool.iter().copied().filter(|id| !self.suspect(&self.replicas[id])).collect();
         if sound.is_empty() && pool.len() > 1 {
-            self.log(actions, "all holders suspect", p.shard);
+            actions.push(Action::Log(LogEvent::AllHoldersOutliers { shard: p.shard }));
         }
         if sound.len() >= 2 {
             pool = sound.clone();
@@ -808,7 +808,7 @@
         if shed {
             self.shed_at = self.now;
             if !std::mem::replace(&mut self.shedding, true) {
-                self.log(actions, "shedding, first of class", class as u32);
+                actions.push(Action::Log(LogEvent::LoadSheddingStarted { class }));
             }
         }
         if shed || late_value == 0.0 || specs.is_empty() {
@@ -1015,7 +1015,7 @@
         }
         if self.shedding && self.now - self.shed_at > self.longest_aim {
             self.shedding = false;
-            self.log(actions, "shedding over, refused", 0);
+            actions.push(Action::Log(LogEvent::LoadSheddingStopped));
         }
         let budget = self.set.retry_budget.map_or(0.0, |b| b.window);
         let horizon = self.now - budget.max(self.longest_aim) - 4.0 * self.set.timer_granularity;
@@ -1037,7 +1037,9 @@
             let r = &self.replicas[&id];
             let suspect = self.suspect(r);
             if suspect != r.suspect {
-                self.log(actions, if suspect { "replica suspected" } else { "replica back" }, id.0);
+                let event =
+                    if suspect { LogEvent::ReplicaEjected(id) } else { LogEvent::ReplicaRestored(id) };
+                actions.push(Action::Log(event));
             }
             if let Some(r) = self.replicas.get_mut(&id) {
                 r.suspect = suspect;
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -9,7 +9,7 @@
 mod settings;
 mod state;
 
-pub use action::Action;
+pub use action::{Action, LogEvent};
 pub use event::{Event, LoadReport, Outcome, PartSpec, ReplicaEntry, ReplicaState};
 pub use id::{Millis, PartId, QueryId, ReplicaId};
 pub use settings::{Class, Idempotency, LoadReportMode, RetryBudget, Settings, SettingsError, Tenant};
--- a/src/balancer/simulator_protocol.rs
+++ b/src/balancer/simulator_protocol.rs
@@ -214,7 +214,9 @@
                 Action::SetTimer { at } => {
                     put(out, "setTimer", &[("who", who), ("timeMs", at), ("cookie", &"sweep")])
                 }
-                Action::Log { text } => put(out, "journalLine", &[("who", who), ("what", text)]),
+                Action::Log(event) => {
+                    put(out, "journalLine", &[("who", who), ("what", &journal_line(*event))])
+                }
             }?;
         }
         Ok(())
@@ -289,6 +291,17 @@
     }
 }
 
+/// The text of a log event in the simulator's journal.
+fn journal_line(event: LogEvent) -> String {
+    match event {
+        LogEvent::AllHoldersOutliers { shard } => format!("all holders suspect: {shard}"),
+        LogEvent::LoadSheddingStarted { class } => format!("shedding, first of class: {class}"),
+        LogEvent::LoadSheddingStopped => "shedding over, refused: 0".to_owned(),
+        LogEvent::ReplicaEjected(replica) => format!("replica suspected: {}", replica.0),
+        LogEvent::ReplicaRestored(replica) => format!("replica back: {}", replica.0),
+    }
+}
+
 /// A field of an action.
 type Named<'a> = (&'a str, &'a dyn Serialize);
 
--- a/src/balancer/state.rs
+++ b/src/balancer/state.rs
@@ -188,11 +188,6 @@
         let cell = |j: u32| ((u64::from(shard) + u64::from(j)) % n) as usize;
         (0..self.set.width).flat_map(|j| self.cells.get(cell(j)).into_iter().flatten().copied()).collect()
     }
-
-    /// A line for the operators.
-    pub(crate) fn log(&self, actions: &mut Vec<Action>, what: &str, id: u32) {
-        actions.push(Action::Log { text: format!("{what}: {id}") });
-    }
 }
 
 #[derive(Default)]
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -44,6 +44,8 @@
 //! # Ok::<(), SettingsError>(())
 //! ```
 
+pub mod aggregator;
+pub mod balancer;
 pub mod cli;
 pub mod clock;
 pub mod config;
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,5 +1,7 @@
 //! The log: structured events on standard error, as text or as a JSON object a line.
 
+use crate::aggregator::LogEvent;
+use crate::balancer;
 use crate::config::operator::{LogFormat, LogLevel, LogRecord};
 use crate::endpoints::{AuditEvent, SourceId};
 use std::io;
@@ -92,3 +94,25 @@
         }
     }
 }
+
+/// Writes a change of the aggregator's state.
+pub fn aggregator_event(event: &LogEvent) {
+    match event {
+        LogEvent::Balancer(event) => balancer_event(*event),
+        LogEvent::ShutdownRequested => info!("graceful shutdown: answering the queries in flight"),
+        LogEvent::LeafConnectionEnded { replica, reason } => {
+            info!(replica = replica.0, reason, "leaf connection ended");
+        }
+    }
+}
+
+fn balancer_event(event: balancer::LogEvent) {
+    use balancer::LogEvent;
+    match event {
+        LogEvent::AllHoldersOutliers { shard } => info!(shard, "every holder of a shard is an outlier"),
+        LogEvent::LoadSheddingStarted { class } => info!(class, "load shedding started"),
+        LogEvent::LoadSheddingStopped => info!("load shedding stopped"),
+        LogEvent::ReplicaEjected(replica) => info!(replica = replica.0, "replica ejected as an outlier"),
+        LogEvent::ReplicaRestored(replica) => info!(replica = replica.0, "replica restored"),
+    }
+}
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -380,7 +380,7 @@
                     }
                 }
                 Effect::Exit => return true,
-                Effect::Log(text) => info!("{text}"),
+                Effect::Log(event) => logging::aggregator_event(&event),
                 Effect::EndpointAudit(notice) => logging::notice(&notice, &self.inventories),
             }
         }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -185,8 +185,7 @@
 
     /// Has any replica been suspected, by the log?
     pub fn suspected(&self) -> bool {
-        let suspected =
-            |a: &Action| matches!(a, Action::Log { text } if text.starts_with("replica suspected"));
+        let suspected = |a: &Action| matches!(a, Action::Log(LogEvent::ReplicaEjected(_)));
         self.actions.iter().any(suspected)
     }
 }
--- a/tests/mixer.rs
+++ b/tests/mixer.rs
@@ -372,7 +372,7 @@
     let mut link = node.accept();
     let first = link.part();
     mixer.signal("-TERM");
-    mixer.told("asked to end");
+    mixer.told("graceful shutdown");
     assert_eq!(idle.ask("GET /healthz HTTP/1.1\r\n\r\n").status, 503, "served as ever for a while");
     let mut late = Client::connect(mixer.address);
     late.send(query("q2", "9000m", &[0]));
