--- /dev/null
+++ b/src/balancer/admission.rs
@@ -0,0 +1,253 @@
+//! Admission control: whether a query is likely enough to be answered in time to be worth its work.
+//!
+//! The chance of a query comes from how long recent parts took against what was expected of them, from how parts of its
+//! shards did against those of others, and from how far the chances of admitted queries have come true.
+
+use super::latency::{ENOUGH_SAMPLES, SAMPLES};
+use super::query_progress::WEIGHT_ROUNDING;
+use super::statistics::{DecayingRatio, RecentSamples};
+use super::{Class, Millis};
+use std::collections::BTreeMap;
+
+/// A query whose parts find queues is admitted from this chance on.
+const MIN_CHANCE: f64 = 0.4;
+/// A query whose mean part takes less than this share of the latency objective finds no queues: what may spoil it is
+/// cured by no rejection.
+const QUEUED_SHARE: f64 = 0.25;
+/// Below this chance a query is rejected in any case.
+const HOPELESS_CHANCE: f64 = 0.02;
+/// Below this calibration predictions of queues count for nothing, and every query needs the chance beside it.
+const MIN_CALIBRATION: f64 = 0.7;
+const UNCALIBRATED_MIN_CHANCE: f64 = 0.6;
+/// So many admitted queries are taken to have come true beside those that were observed.
+const CALIBRATION_PRIOR: f64 = 3.0;
+/// The calibration halves within this many of the longest latency objectives.
+const CALIBRATION_OBJECTIVES: f64 = 2.0;
+/// All parts together count as this many parts of a shard.
+const SHARD_PRIOR: f64 = 4.0;
+/// All samples of latency ratios are dropped within this many of the longest latency objectives.
+const RATIO_LIFETIME_OBJECTIVES: f64 = 4.0;
+/// Samples of latency ratios.
+const RATIO_SAMPLES: usize = 2 * SAMPLES;
+/// Parts of a query share their fate to a degree: n of them count as n to the power of one less this.
+const SHARED_FATE: f64 = 0.25;
+/// A part that is given up is taken to need this many times what it has taken so far.
+const GIVEN_UP_RATIO: f64 = 2.0;
+/// Parts that take no more than this share of the latency objective find hardly a queue.
+const SPARE_CAPACITY_SHARE: f64 = 0.125;
+/// The share of the places for queries and parts that is open to queries of no priority.
+const OPEN_TO_ALL_SHARE: f64 = 0.8;
+
+/// What is expected of one part of a query.
+#[derive(Clone, Copy)]
+pub(super) struct PartForecast {
+    pub shard: u32,
+    pub weight: f64,
+    /// Infinite without a holder of the shard.
+    pub expected_latency: Millis,
+}
+
+/// What is expected of a query.
+pub(super) struct Forecast {
+    /// The mean latency of the quickest parts that make a complete answer.
+    pub mean_latency: Millis,
+    /// The share of its value that the query is likely to bring in time.
+    pub chance: f64,
+}
+
+/// What is in flight, and how much of that there may be.
+#[derive(Clone, Copy)]
+pub(super) struct Occupancy {
+    pub in_flight: usize,
+    pub max_in_flight: u32,
+}
+
+impl Occupancy {
+    /// Whether no place is left for a query of a priority.
+    fn is_full_for(self, priority: f64) -> bool {
+        let open_share = OPEN_TO_ALL_SHARE + (1.0 - OPEN_TO_ALL_SHARE) * priority;
+        self.in_flight as f64 > f64::from(self.max_in_flight) * open_share
+    }
+}
+
+/// Whether a part that takes `mean_latency` would find hardly a queue.
+pub(super) fn has_spare_capacity(total_latency: Millis, objective: Millis, part_count: usize) -> bool {
+    total_latency <= SPARE_CAPACITY_SHARE * objective * part_count as f64
+}
+
+/// What became of recent parts and queries.
+pub(super) struct Admission {
+    /// Latencies of recent parts, all attempts included, over what was expected.
+    latency_ratios: RecentSamples,
+    /// Parts answered within the latency objective.
+    in_time_by_shard: BTreeMap<u32, DecayingRatio>,
+    in_time: DecayingRatio,
+    /// The chances of admitted queries, and what of them came true.
+    calibration: DecayingRatio,
+    is_shedding: bool,
+    last_shed_at: Millis,
+}
+
+impl Admission {
+    pub fn new() -> Self {
+        Admission {
+            latency_ratios: RecentSamples::new(RATIO_SAMPLES),
+            in_time_by_shard: BTreeMap::new(),
+            in_time: DecayingRatio::default(),
+            calibration: DecayingRatio::default(),
+            is_shedding: false,
+            last_shed_at: f64::NEG_INFINITY,
+        }
+    }
+
+    /// Whether queries have been shed lately.
+    pub fn is_shedding(&self) -> bool {
+        self.is_shedding
+    }
+
+    /// A query is shed; true if it is the first one.
+    pub fn record_shed(&mut self, now: Millis) -> bool {
+        self.last_shed_at = now;
+        !std::mem::replace(&mut self.is_shedding, true)
+    }
+
+    /// Ends the load shedding after a time without any; true if it has ended now.
+    pub fn end_shedding(&mut self, now: Millis, quiet_time: Millis) -> bool {
+        let ends = self.is_shedding && now - self.last_shed_at > quiet_time;
+        self.is_shedding &= !ends;
+        ends
+    }
+
+    /// Whether a query is to be shed. `objective` is its latency objective.
+    pub fn sheds(
+        &self,
+        now: Millis,
+        forecast: &Forecast,
+        priority: f64,
+        objective: Millis,
+        occupancy: Occupancy,
+        longest_objective: Millis,
+    ) -> bool {
+        let calibration = self.calibration(now, longest_objective);
+        let min_chance = if calibration < MIN_CALIBRATION {
+            UNCALIBRATED_MIN_CHANCE
+        } else if forecast.mean_latency > QUEUED_SHARE * objective {
+            MIN_CHANCE
+        } else {
+            HOPELESS_CHANCE
+        };
+        occupancy.is_full_for(priority) || calibration * forecast.chance * priority.cbrt() < min_chance
+    }
+
+    /// How far the chances of admitted queries have come true lately, at most 1. Queries tell of all replicas at once,
+    /// which an aggregator with little traffic hears seldom of one by one.
+    fn calibration(&self, now: Millis, longest_objective: Millis) -> f64 {
+        let half_life = CALIBRATION_OBJECTIVES * longest_objective;
+        self.calibration.ratio(now, half_life, 1.0, CALIBRATION_PRIOR).min(1.0)
+    }
+
+    /// Takes the end of an admitted query: its chance, and the share of its value that came in time.
+    pub fn record_query(&mut self, now: Millis, chance: f64, value: f64, longest_objective: Millis) {
+        self.calibration.add(now, CALIBRATION_OBJECTIVES * longest_objective, chance, value);
+    }
+
+    /// What is expected of a query of these parts within a time. The parts are put in the order of their latencies.
+    pub fn forecast(
+        &self,
+        now: Millis,
+        class: &Class,
+        parts: &mut [PartForecast],
+        time: Millis,
+        longest_objective: Millis,
+    ) -> Forecast {
+        parts.sort_by(|a, b| a.expected_latency.total_cmp(&b.expected_latency));
+        let complete = class.complete_coverage;
+        let mut covered = 0.0;
+        let mut weighted_latency = 0.0;
+        let mut expected_share = 0.0;
+        let mut chance_of_all = 1.0;
+        let mut count = 0.0f64;
+        for part in parts {
+            if covered >= complete - WEIGHT_ROUNDING {
+                break;
+            }
+            covered += part.weight;
+            weighted_latency += part.weight * part.expected_latency;
+            count += 1.0;
+            let chance = if part.expected_latency.is_finite() {
+                self.part_chance(now, part.shard, time / part.expected_latency, longest_objective)
+            } else {
+                0.0
+            };
+            expected_share += part.weight * chance / complete;
+            chance_of_all *= chance;
+        }
+        let complete_chance = chance_of_all.powf(count.max(1.0).powf(-SHARED_FATE));
+        let allows_partial = class.minimum_coverage < complete;
+        let partial_chance = if allows_partial && expected_share * complete >= class.minimum_coverage {
+            class.partial_value_factor * expected_share
+        } else {
+            0.0
+        };
+        Forecast { mean_latency: weighted_latency / complete, chance: complete_chance.max(partial_chance) }
+    }
+
+    /// The chance of a part to be answered within `ratio` times what is expected.
+    fn part_chance(&self, now: Millis, shard: u32, ratio: f64, longest_objective: Millis) -> f64 {
+        (self.share_within(ratio) * self.shard_ratio(now, shard, longest_objective)).min(1.0)
+    }
+
+    /// Whether a part that is about to be sent can still be answered within `ratio` times what is expected.
+    pub fn is_hopeless(&self, ratio: f64) -> bool {
+        self.share_within(ratio) < HOPELESS_CHANCE
+    }
+
+    /// Whether parts of a shard do so badly that a partial answer is better made without them.
+    pub fn is_shard_failing(&self, now: Millis, shard: u32, longest_objective: Millis) -> bool {
+        self.shard_ratio(now, shard, longest_objective) < MIN_CHANCE
+    }
+
+    /// The share of recent parts within `ratio` times what was expected; all while too few are known.
+    fn share_within(&self, ratio: f64) -> f64 {
+        if self.latency_ratios.len() < ENOUGH_SAMPLES {
+            return 1.0;
+        }
+        self.latency_ratios.share_below(ratio)
+    }
+
+    /// How many times as often parts of a shard were in time as parts of all shards: one shard's trouble is not held
+    /// against queries for others.
+    fn shard_ratio(&self, now: Millis, shard: u32, longest_objective: Millis) -> f64 {
+        let of_all = self.in_time.ratio(now, longest_objective, 1.0, SHARD_PRIOR);
+        let Some(of_shard) = self.in_time_by_shard.get(&shard) else { return 1.0 };
+        of_shard.ratio(now, longest_objective, of_all, SHARD_PRIOR) / of_all
+    }
+
+    /// A part of a shard has been answered or given up.
+    pub fn record_part(&mut self, now: Millis, shard: u32, is_in_time: bool, longest_objective: Millis) {
+        let success = f64::from(u8::from(is_in_time));
+        let of_shard = self.in_time_by_shard.entry(shard).or_default();
+        of_shard.add(now, longest_objective, 1.0, success);
+        self.in_time.add(now, longest_objective, 1.0, success);
+    }
+
+    /// Takes the latency of an answered part, since its first attempt.
+    pub fn record_latency(&mut self, latency: Millis, expected: Millis) {
+        self.latency_ratios.push(latency / expected);
+    }
+
+    /// Takes the time since the first attempt of a part that is given up.
+    pub fn record_given_up(&mut self, waited: Millis, expected: Millis) {
+        self.latency_ratios.push(GIVEN_UP_RATIO * waited / expected);
+    }
+
+    /// The chance that a sweep drops a sample of the latency ratios: an aggregator that sheds everything learns nothing
+    /// new, so old evidence has to go.
+    pub fn drop_chance(elapsed: Millis, longest_objective: Millis) -> f64 {
+        elapsed * RATIO_SAMPLES as f64 / (RATIO_LIFETIME_OBJECTIVES * longest_objective)
+    }
+
+    pub fn drop_oldest_ratio(&mut self) {
+        self.latency_ratios.drop_oldest();
+    }
+}
--- /dev/null
+++ b/src/balancer/attempts.rs
@@ -0,0 +1,244 @@
+//! Attempts: the first one of a part, retries and hedged requests; when each may be sent, and what its end tells.
+
+use super::action::Action;
+use super::event::{LoadReport, Outcome};
+use super::outlier_detection::MAX_EVIDENCE;
+use super::part::{Attempt, Part};
+use super::query_progress::Query;
+use super::replica::CallNumber;
+use super::retry_budget::{BudgetUse, LatencyPressure};
+use super::state::Balancer;
+use super::statistics::finite_or;
+use super::{Idempotency, Millis, PartId, ReplicaId};
+
+/// A hedged request is due when the time left is this many tail latencies: enough for one more attempt, with a margin.
+pub(super) const HEDGE_TAILS: f64 = 2.0;
+/// Where no hedged request may be sent, a silent attempt is given up after so many tail latencies at the soonest: work
+/// that is called off half done has to be done anew.
+const PATIENCE_TAILS: f64 = 6.0;
+
+/// An attempt that has ended.
+struct EndedAttempt {
+    replica: ReplicaId,
+    outcome: Outcome,
+    elapsed: Millis,
+    busyness: f64,
+    reported_queue: f64,
+    /// It was sent after the last stall of this aggregator.
+    is_reliable: bool,
+}
+
+impl Balancer {
+    /// Sends an attempt of a part to a replica.
+    pub(super) fn send_attempt(&mut self, part: PartId, replica: ReplicaId, actions: &mut Vec<Action>) {
+        let timeout = self.attempt_timeout(part);
+        let scoring = self.scoring();
+        let target = scoring.endpoints.get(replica);
+        let busyness = target.map_or(0.0, |replica| scoring.busyness(replica));
+        let reported_queue = target.map_or(0.0, |replica| scoring.reported_queue(replica));
+        let Some(record) = self.parts.get_mut(&part) else { return };
+        let Some(query) = self.queries.get(&record.query) else { return };
+        let Some(target) = self.endpoints.get_mut(replica) else { return };
+        let call = target.calls.add_part(self.now, self.settings.parts_per_call.max(1));
+        self.retry_budgets.record_attempt(self.now, record.attempts.is_empty());
+        let send_by = record.send_retries_by(query.class.idempotency, self.settings.timer_granularity);
+        record.attempts.push(Attempt {
+            replica,
+            sent_at: self.now,
+            call,
+            busyness,
+            reported_queue,
+            outcome: None,
+            may_have_cost_work: true,
+        });
+        actions.push(Action::Send { part, replica, timeout, send_by });
+    }
+
+    /// How long a part's next attempt is waited for. With hedging until the deadline; without it only a time-out leaves
+    /// a silent replica, so the time is divided among the attempts that are left.
+    fn attempt_timeout(&self, part: PartId) -> Millis {
+        let Some(record) = self.parts.get(&part) else { return 0.0 };
+        let Some(query) = self.queries.get(&record.query) else { return 0.0 };
+        let time_left = (query.deadline_at - self.now).max(self.settings.timer_granularity);
+        let attempts_left = query.max_attempts.saturating_sub(record.attempts.len() as u32 + 1);
+        let may_retry = query.class.idempotency != Idempotency::NotIdempotent && attempts_left > 0;
+        if query.hedging_allowed || !may_retry {
+            return time_left;
+        }
+        // Without established latencies there is nothing to be patient by.
+        let patience = if self.latency.is_established() { self.latency.tail() * PATIENCE_TAILS } else { 0.0 };
+        time_left.min((time_left / f64::from(attempts_left + 1)).max(patience))
+    }
+
+    /// Whether the limits and the class's idempotency allow another attempt of a part.
+    pub(super) fn may_attempt(&self, part: &Part) -> bool {
+        let Some(query) = self.queries.get(&part.query) else { return false };
+        if part.is_over || part.is_answered || part.attempts.len() >= query.max_attempts.max(1) as usize {
+            return false;
+        }
+        let in_flight = part.in_flight().count();
+        if in_flight > 1 || in_flight == 1 && !query.hedging_allowed {
+            return false;
+        }
+        let idempotency = query.class.idempotency;
+        if idempotency == Idempotency::NotIdempotent && part.maybe_executed_at().is_some() {
+            return false;
+        }
+        let send_by = part.send_retries_by(idempotency, self.settings.timer_granularity);
+        send_by.is_none_or(|send_by| self.now < send_by)
+    }
+
+    /// Whether the budgets allow another attempt of a part. One that has cost no work so far is no more than a first
+    /// one: only the stated budget binds it.
+    pub(super) fn within_budget(&self, has_cost_work: bool, usage: BudgetUse) -> bool {
+        let granularity = self.settings.timer_granularity;
+        let pressure = LatencyPressure {
+            median_latency: self.latency.median(),
+            shortest_objective: self.objectives.shortest,
+            longest_objective: self.objectives.longest,
+        };
+        let stated = self.settings.retry_budget;
+        (!has_cost_work || self.retry_budgets.own_allows(self.now, granularity, pressure))
+            && self.retry_budgets.stated_allows(self.now, granularity, stated, usage)
+    }
+
+    /// Whether a hedged request for a part in flight is due: its last attempt has taken the tail latency, and the time
+    /// left gets short for another one. A query with spare parts does not wait for that.
+    pub(super) fn is_hedge_due(&self, part: &Part, query: &Query, has_spare_parts: bool) -> bool {
+        let Some(last) = part.in_flight().last() else { return false };
+        let age = self.now - last.sent_at.max(self.resumed_at);
+        let until = if self.now < query.objective_at { query.objective_at } else { query.deadline_at };
+        let is_short = until - self.now <= HEDGE_TAILS * self.latency.tail();
+        age >= self.latency.tail() && (has_spare_parts || is_short)
+    }
+
+    /// Whether a holder is left for a part that was not tried and is sound. Where all holders of a shard are full, as
+    /// under a hot key, hedged requests would only keep their queues long.
+    pub(super) fn has_sound_alternative(&self, part: &Part) -> bool {
+        let scoring = self.scoring();
+        self.endpoints
+            .holders(part.shard)
+            .filter(|id| !part.has_tried(*id))
+            .any(|id| self.endpoints.get(id).is_some_and(|replica| scoring.is_sound(replica)))
+    }
+
+    /// An attempt has ended.
+    pub(super) fn end_attempt(
+        &mut self,
+        id: PartId,
+        number: usize,
+        outcome: Outcome,
+        elapsed: Millis,
+        report: Option<LoadReport>,
+        actions: &mut Vec<Action>,
+    ) {
+        let immediate = self.latency.immediate();
+        let Some(part) = self.parts.get_mut(&id) else { return };
+        let (query, shard) = (part.query, part.shard);
+        let Some(attempt) = part.attempts.get_mut(number).filter(|attempt| attempt.outcome.is_none()) else {
+            return;
+        };
+        let elapsed = finite_or(elapsed, self.now - attempt.sent_at).max(0.0);
+        attempt.outcome = Some(outcome);
+        let is_immediate_error = outcome == Outcome::Error && elapsed < immediate;
+        attempt.may_have_cost_work = !outcome.is_never_executed() && !is_immediate_error;
+        let ended = EndedAttempt {
+            replica: attempt.replica,
+            outcome,
+            elapsed,
+            busyness: attempt.busyness,
+            reported_queue: attempt.reported_queue,
+            is_reliable: attempt.sent_at >= self.resumed_at,
+        };
+        let call = attempt.call;
+        let is_first_answer = outcome == Outcome::Ok && !part.is_over && !part.is_answered;
+        if is_first_answer {
+            part.is_answered = true;
+            let first_sent_at = part.attempts[0].sent_at;
+            if first_sent_at >= self.resumed_at {
+                self.admission.record_latency(self.now - first_sent_at, part.expected_latency);
+            }
+        }
+        let is_answered = part.is_answered;
+        let is_done = part.is_over && !part.is_in_flight();
+
+        let own_calls = self.remove_from_call(ended.replica, call);
+        self.observe(&ended);
+        if is_first_answer {
+            let is_in_time = self.queries.get(&query).is_some_and(|query| self.now <= query.objective_at);
+            self.admission.record_part(self.now, shard, is_in_time, self.objectives.longest);
+        }
+        self.record_report(ended.replica, report, own_calls, 0.0);
+        if is_done {
+            self.parts.remove(&id);
+        }
+        if is_answered {
+            self.cancel_attempts(id, actions);
+        }
+        self.advance(query, actions);
+    }
+
+    /// Takes a part off its call; how many calls to the replica are left in flight.
+    fn remove_from_call(&mut self, replica: ReplicaId, call: CallNumber) -> f64 {
+        let Some(replica) = self.endpoints.get_mut(replica) else { return 0.0 };
+        replica.calls.remove_part(call);
+        replica.calls.len() as f64
+    }
+
+    /// Passes on what the end of an attempt tells of its replica, of latencies and of load reports.
+    fn observe(&mut self, ended: &EndedAttempt) {
+        self.observe_replica(ended);
+        let is_reliable_answer = ended.is_reliable && ended.outcome == Outcome::Ok;
+        if is_reliable_answer && ended.reported_queue != 0.0 {
+            let latency_in_parts = ended.elapsed / self.latency.queued_part_time();
+            self.load_reports.record_answer(ended.reported_queue, latency_in_parts, ended.busyness);
+        }
+    }
+
+    fn observe_replica(&mut self, ended: &EndedAttempt) {
+        let criteria = self.outlier_criteria();
+        let immediate = self.latency.immediate();
+        let Some(replica) = self.endpoints.get_mut(ended.replica) else { return };
+        let is_warm = self.slow_start.is_warm(self.now, &replica.warm_up);
+        let ratio = (ended.elapsed / criteria.median_latency).min(MAX_EVIDENCE);
+        self.failing_share.record(ended.outcome, ratio);
+        replica.evidence.refresh(&criteria);
+        match ended.outcome {
+            Outcome::Ok => {
+                replica.evidence.record_answer(self.now, ratio, ended.is_reliable);
+                if ended.is_reliable {
+                    self.latency.record(ended.elapsed, ended.busyness);
+                }
+                if is_warm {
+                    self.slow_start.record_answer_of_warm();
+                }
+            }
+            Outcome::Cancelled | Outcome::Timeout => {
+                if ended.is_reliable {
+                    replica.evidence.record_silence(&criteria, ratio);
+                }
+            }
+            Outcome::NotSent => {}
+            Outcome::Error if ended.elapsed < immediate => replica.evidence.record_immediate_error(),
+            Outcome::Error | Outcome::Rejected => replica.evidence.record_failure(ended.outcome),
+            Outcome::ConnectFailed | Outcome::Reset => {
+                // Twice over, the process is gone and comes back cold, seconds before any list tells.
+                if replica.evidence.has_failed_before() {
+                    replica.warm_up.observed_loss = Some(self.now);
+                }
+                replica.evidence.record_failure(ended.outcome);
+            }
+        }
+    }
+
+    /// Cancels the attempts of a part that are in flight, where that is allowed.
+    pub(super) fn cancel_attempts(&self, id: PartId, actions: &mut Vec<Action>) {
+        if !self.settings.cancellation_allowed {
+            return;
+        }
+        let Some(part) = self.parts.get(&id) else { return };
+        let numbered = part.attempts.iter().zip(0u32..);
+        let in_flight = numbered.filter(|(attempt, _)| attempt.outcome.is_none());
+        actions.extend(in_flight.map(|(_, number)| Action::Cancel { part: id, attempt: number }));
+    }
+}
--- /dev/null
+++ b/src/balancer/endpoint_set.rs
@@ -0,0 +1,141 @@
+//! The replicas there are, by cell, and who holds a shard.
+
+use super::replica::Replica;
+use super::slow_start::SlowStart;
+use super::statistics::RunningMean;
+use super::{Millis, ReplicaEntry, ReplicaId, ReplicaState, Settings};
+use std::collections::BTreeMap;
+use std::collections::btree_map;
+
+/// All replicas that are up, draining, or were so a short while ago.
+pub(super) struct EndpointSet {
+    replicas: BTreeMap<ReplicaId, Replica>,
+    /// Replicas that are up, by cell.
+    cells: Vec<Vec<ReplicaId>>,
+    cell_count: u32,
+    /// Consecutive cells that hold a shard.
+    width: u32,
+    /// Over the replicas that are up.
+    mean_weight: f64,
+}
+
+impl EndpointSet {
+    pub fn new(settings: &Settings) -> Self {
+        EndpointSet {
+            replicas: BTreeMap::new(),
+            cells: Vec::new(),
+            cell_count: settings.cells,
+            width: settings.width,
+            mean_weight: 1.0,
+        }
+    }
+
+    pub fn reconfigure(&mut self, settings: &Settings) {
+        self.cell_count = settings.cells;
+        self.width = settings.width;
+        self.reindex();
+    }
+
+    /// Applies an endpoint list, or the changes to one.
+    pub fn apply(&mut self, now: Millis, is_complete: bool, entries: &[ReplicaEntry]) {
+        let is_first = self.replicas.is_empty();
+        if is_complete {
+            for replica in self.replicas.values_mut() {
+                replica.is_up = false;
+            }
+        }
+        for entry in entries {
+            let replica = self.replicas.entry(entry.replica).or_default();
+            apply_entry(replica, entry, now, !is_complete && !is_first);
+        }
+        self.reindex();
+    }
+
+    fn reindex(&mut self) {
+        self.cells = vec![Vec::new(); self.cell_count as usize];
+        let mut weights = RunningMean::default();
+        for (id, replica) in self.replicas.iter().filter(|(_, replica)| replica.is_up) {
+            weights.replace(None, replica.weight);
+            if let Some(cell) = self.cells.get_mut(replica.cell as usize) {
+                cell.push(*id);
+            }
+        }
+        self.mean_weight = weights.excluding(None).max(f64::MIN_POSITIVE);
+    }
+
+    /// The replicas that are up in the cells that hold a shard, in the order of the cells.
+    pub fn holders(&self, shard: u32) -> impl Iterator<Item = ReplicaId> + '_ {
+        let cell_count = u64::from(self.cell_count);
+        let first = u64::from(shard);
+        (0..self.width)
+            .filter_map(move |offset| self.cells.get(((first + u64::from(offset)) % cell_count) as usize))
+            .flatten()
+            .copied()
+    }
+
+    pub fn get(&self, id: ReplicaId) -> Option<&Replica> {
+        self.replicas.get(&id)
+    }
+
+    pub fn get_mut(&mut self, id: ReplicaId) -> Option<&mut Replica> {
+        self.replicas.get_mut(&id)
+    }
+
+    pub fn is_up(&self, id: ReplicaId) -> bool {
+        self.get(id).is_some_and(|replica| replica.is_up)
+    }
+
+    pub fn len(&self) -> usize {
+        self.replicas.len()
+    }
+
+    /// The replicas that are up.
+    pub fn up(&self) -> impl Iterator<Item = &Replica> {
+        self.replicas.values().filter(|replica| replica.is_up)
+    }
+
+    pub fn iter_mut(&mut self) -> btree_map::IterMut<'_, ReplicaId, Replica> {
+        self.replicas.iter_mut()
+    }
+
+    pub fn warm_count(&self, now: Millis, slow_start: &SlowStart) -> usize {
+        self.up().filter(|replica| slow_start.is_warm(now, &replica.warm_up)).count()
+    }
+
+    pub fn mean_weight(&self) -> f64 {
+        self.mean_weight
+    }
+
+    /// Forgets replicas that have been down for longer than any takes to warm up.
+    pub fn forget_gone(&mut self, now: Millis, after: Millis) {
+        self.replicas.retain(|_, replica| {
+            replica.down_since = if replica.is_up { None } else { replica.down_since.or(Some(now)) };
+            replica.down_since.is_none_or(|since| now - since < after) || !replica.calls.is_empty()
+        });
+    }
+}
+
+/// Applies one line of the list. `is_later_change`: the line is a change to a list that is known already.
+fn apply_entry(replica: &mut Replica, entry: &ReplicaEntry, now: Millis, is_later_change: bool) {
+    let was_up = replica.is_up;
+    replica.is_up = entry.state == ReplicaState::Up;
+    replica.cell = entry.cell;
+    replica.zone = entry.zone;
+    let is_valid_weight = entry.weight.is_finite() && entry.weight > 0.0;
+    replica.weight = if is_valid_weight { entry.weight } else { 1.0 };
+
+    let listed_start = entry.started_at.filter(|at| at.is_finite() && *at > 0.0).map(|at| at.min(now));
+    // A replica that a change names for the first time, without a start, is taken as started now: the list may not
+    // know when it was.
+    let is_unknown_start = is_later_change
+        && !was_up
+        && replica.is_up
+        && listed_start.is_none()
+        && replica.warm_up.listed_start.is_none();
+    let has_restarted = listed_start.is_some() && listed_start != replica.warm_up.listed_start;
+    if has_restarted || is_unknown_start {
+        replica.evidence.reset();
+        replica.reported_queue = None;
+        replica.warm_up.listed_start = if is_unknown_start { Some(now) } else { listed_start };
+    }
+}
--- a/src/balancer/event.rs
+++ b/src/balancer/event.rs
@@ -64,6 +64,13 @@
     NotSent,
 }
 
+impl Outcome {
+    /// Whether the replica has certainly not executed the attempt.
+    pub fn is_never_executed(self) -> bool {
+        matches!(self, Self::Rejected | Self::ConnectFailed | Self::NotSent)
+    }
+}
+
 /// A load report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
--- /dev/null
+++ b/src/balancer/health_checks.rs
@@ -0,0 +1,94 @@
+//! Health checks for load: when one is worth its cost, and how long its answer is waited for.
+
+use super::Millis;
+use super::latency::{ENOUGH_SAMPLES, LatencyEstimates, SAMPLES};
+use super::outlier_detection::{FailingShare, MAX_EVIDENCE};
+use super::statistics::{RecentSamples, finite_or};
+
+/// A check is waited for this many times as long as three in four take.
+const PATIENCE_RATIO: f64 = 2.0;
+const PATIENCE_QUANTILE: f64 = 0.75;
+/// But no longer than this share of the median latency: the delay must be small next to what a better choice saves.
+const MAX_PATIENCE_SHARE: f64 = 0.25;
+/// The least patience, in units of the timer's granularity.
+const MIN_PATIENCE_TICKS: f64 = 2.0;
+/// A report is fresh for this many median latencies.
+const FRESH_MEDIANS: f64 = 2.0;
+/// Every query uses checks where the tail latency is this share of the shortest latency objective, or where this
+/// share of the attempts fails; at half of that none needs to.
+const FULL_USE_TAIL_SHARE: f64 = 0.6;
+const FULL_USE_FAILING_SHARE: f64 = 0.12;
+/// At least this share of the queries uses checks, so that their durations stay known.
+const MIN_SAMPLED_SHARE: f64 = 0.1;
+/// A check that costs more of the whole result than this never pays.
+const MAX_WORTHWHILE_COST: f64 = 0.02;
+
+/// The health checks of one replica.
+pub(super) struct HealthCheckState {
+    pub started_at: Millis,
+    pub in_flight: bool,
+    /// Calls of this aggregator that were in flight at the replica when the check began.
+    pub own_calls: f64,
+}
+
+impl Default for HealthCheckState {
+    fn default() -> Self {
+        HealthCheckState { started_at: f64::NEG_INFINITY, in_flight: false, own_calls: 0.0 }
+    }
+}
+
+/// How long health checks take, over all replicas.
+pub(super) struct HealthChecks {
+    durations: RecentSamples,
+    usual_duration: Millis,
+}
+
+impl HealthChecks {
+    pub fn new() -> Self {
+        HealthChecks { durations: RecentSamples::new(SAMPLES), usual_duration: f64::INFINITY }
+    }
+
+    pub fn record_duration(&mut self, duration: Millis) {
+        self.durations.push(finite_or(duration, 0.0));
+    }
+
+    /// Computes the usual duration anew.
+    pub fn refresh(&mut self) {
+        if self.durations.len() >= ENOUGH_SAMPLES {
+            self.usual_duration = self.durations.quantile(PATIENCE_QUANTILE);
+        }
+    }
+
+    /// How long the answer to a check is waited for before a replica is chosen without it.
+    pub fn patience(&self, median_latency: Millis, granularity: Millis) -> Millis {
+        let least = MIN_PATIENCE_TICKS * granularity;
+        let most = (MAX_PATIENCE_SHARE * median_latency).max(least);
+        (PATIENCE_RATIO * self.usual_duration).clamp(least, most)
+    }
+
+    /// The queue that the duration of a check implies, in parts: a check waits as a part does. It bounds the reports
+    /// of replicas that say less than they have.
+    pub fn implied_queue(&self, duration: Millis, queued_part_time: Millis) -> f64 {
+        ((duration - self.usual_duration / PATIENCE_RATIO) / queued_part_time).clamp(0.0, MAX_EVIDENCE)
+    }
+}
+
+/// The time at or before which a report or a check is too old to be used again.
+pub(super) fn stale_before(now: Millis, median_latency: Millis) -> Millis {
+    now - FRESH_MEDIANS * median_latency
+}
+
+/// The share of the queries whose candidates are checked before one is chosen; none where a check costs too much.
+pub(super) fn sampled_share(
+    check_cost: f64,
+    latency: &LatencyEstimates,
+    shortest_objective: Millis,
+    failing: &FailingShare,
+) -> Option<f64> {
+    if check_cost > MAX_WORTHWHILE_COST {
+        return None;
+    }
+    let by_tail = latency.tail() / (FULL_USE_TAIL_SHARE * shortest_objective);
+    let urgency = by_tail.max(failing.value() / FULL_USE_FAILING_SHARE);
+    Some((2.0 * urgency - 1.0).max(MIN_SAMPLED_SHARE))
+}
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -1,13 +1,49 @@
 //! The load-balancing policy: events in, actions out, no IO.
 //!
 //! It alone decides which replica gets a part, whether a part is retried or hedged, and which queries are rejected.
+//! Where to look:
+//!
+//! | question | module |
+//! | --- | --- |
+//! | which replica gets a part (power of two choices) | `selection` |
+//! | who holds a shard | `endpoint_set` |
+//! | when a part is retried or hedged, and what an attempt's end tells | `attempts`, `retry_budget` |
+//! | when a replica is ejected as an outlier | `outlier_detection` |
+//! | how a warming replica is spared | `slow_start` |
+//! | what a load report is worth, when a health check is sent | `load_reports`, `health_checks` |
+//! | which queries are shed | `query_arrival`, `admission`, `priority`, `client_retries` |
+//! | what of a query is sent next, when it is answered | `query_sending`, `query_progress`, `query_end` |
+//!
+//! [`Balancer`] holds a value of each concern; only there do they meet. The random draws have a fixed order, so that
+//! the same events and seed give the same actions.
 
 mod action;
+mod admission;
+mod attempts;
+mod client_retries;
+mod endpoint_set;
+mod endpoint_watch;
 mod event;
+mod health_checks;
 mod id;
-mod logic;
+mod latency;
+mod load_reports;
+mod outlier_detection;
+mod part;
+mod priority;
+mod query_arrival;
+mod query_end;
+mod query_progress;
+mod query_sending;
+mod random;
+mod replica;
+mod retry_budget;
+mod selection;
 mod settings;
+mod slow_start;
 mod state;
+mod statistics;
+mod sweep;
 
 pub use action::{Action, LogEvent};
 pub use event::{Event, LoadReport, Outcome, PartSpec, ReplicaEntry, ReplicaState};
--- /dev/null
+++ b/src/balancer/query_sending.rs
@@ -0,0 +1,202 @@
+//! What a query needs next: whether it is decided, and which of its parts are sent, retried or hedged.
+
+use super::action::Action;
+use super::attempts::HEDGE_TAILS;
+use super::event::Outcome;
+use super::part::Part;
+use super::query_progress::{Coverage, PartStatus, Progress, Query, WEIGHT_ROUNDING};
+use super::retry_budget::BudgetUse;
+use super::state::Balancer;
+use super::{Class, Millis, PartId, QueryId};
+
+/// The second step is left at most this share of the latency objective.
+const MAX_SECOND_STEP_SHARE: f64 = 0.5;
+/// A query of at least so many parts for each replica sends a canary, for at most this share of its latency objective.
+const CANARY_PARTS_PER_REPLICA: f64 = 0.5;
+const MAX_CANARY_SHARE: f64 = 0.3;
+/// Parts with a reset attempt beyond which a query that sends a canary is given up.
+const MAX_RESET_PARTS: usize = 1;
+/// A partial answer is given so many units of the timer's granularity before it is due.
+const PARTIAL_MARGIN_TICKS: f64 = 2.0;
+
+/// What came of sending a part.
+enum SendResult {
+    /// The part is on its way, or waits for health checks.
+    Committed,
+    /// No replica may get it now.
+    NotSent,
+    /// The query was ended, as no answer could come in time.
+    QueryEnded,
+}
+
+impl Balancer {
+    /// Looks after one query: answers it, ends it, or sends what it needs.
+    pub(super) fn advance(&mut self, id: QueryId, actions: &mut Vec<Action>) {
+        let Some(query) = self.queries.get(&id) else { return };
+        if query.awaits_second_step() {
+            if self.now >= query.deadline_at {
+                self.finish(id, actions);
+            }
+            return;
+        }
+        let coverage = Coverage::needed(&query.class, query.in_second_step);
+        let progress = self.progress(query, &coverage);
+        if self.is_decided(query, &coverage, &progress) {
+            return self.finish(id, actions);
+        }
+        let needs_canary = self.needs_canary(query, &progress);
+        let crashes_replicas = needs_canary && self.crashes_replicas(query, &progress);
+        let unsent = self.in_sending_order(&progress.unsent);
+        if crashes_replicas {
+            return self.finish(id, actions);
+        }
+        let mut covered = progress.answered + progress.committed;
+        for part in unsent {
+            if covered >= coverage.complete || needs_canary && covered > 0.0 {
+                break;
+            }
+            match self.send_part(part, actions) {
+                SendResult::Committed => covered += self.parts[&part].weight,
+                SendResult::NotSent => {}
+                SendResult::QueryEnded => return,
+            }
+        }
+        self.send_further_attempts(id, &coverage, &progress, covered, actions);
+    }
+
+    /// Sends retries and hedged requests until the parts on their way suffice. `covered` is their weight.
+    fn send_further_attempts(
+        &mut self,
+        id: QueryId,
+        coverage: &Coverage,
+        progress: &Progress,
+        mut covered: f64,
+        actions: &mut Vec<Action>,
+    ) {
+        for part in progress.retryable.iter().chain(&progress.hedgeable) {
+            if covered >= coverage.complete {
+                return;
+            }
+            let record = &self.parts[part];
+            let weight = record.weight;
+            let is_retry = !record.is_in_flight();
+            let is_required = is_retry && !coverage.allows_partial();
+            let usage = if is_required { BudgetUse::Required } else { BudgetUse::Optional };
+            if self.may_attempt(record) && self.within_budget(record.may_have_cost_work(), usage) {
+                match self.send_part(*part, actions) {
+                    SendResult::Committed => covered += weight,
+                    SendResult::NotSent => {}
+                    SendResult::QueryEnded => return,
+                }
+                continue;
+            }
+            let is_indispensable = is_retry && progress.reachable - weight < coverage.minimum;
+            if is_indispensable && !self.within_budget(false, BudgetUse::Required) {
+                // The client, told now, may still be in time elsewhere.
+                return self.finish(id, actions);
+            }
+        }
+    }
+
+    fn progress(&self, query: &Query, coverage: &Coverage) -> Progress {
+        let mut progress = Progress::default();
+        for id in &query.parts {
+            if let Some(part) = self.parts.get(id) {
+                progress.add(*id, part.weight, &self.part_status(part, query, coverage));
+            }
+        }
+        progress
+    }
+
+    fn part_status(&self, part: &Part, query: &Query, coverage: &Coverage) -> PartStatus {
+        if part.is_answered {
+            return PartStatus::Answered;
+        }
+        let in_flight = part.in_flight().count();
+        if in_flight > 0 {
+            let hedge_is_due = in_flight < 2
+                && self.is_hedge_due(part, query, coverage.has_spare_parts())
+                && self.has_sound_alternative(part);
+            return PartStatus::InFlight { hedge_is_due };
+        }
+        if part.attempts.is_empty() {
+            PartStatus::Unsent
+        } else if self.may_attempt(part) {
+            PartStatus::Retryable
+        } else {
+            PartStatus::Lost
+        }
+    }
+
+    /// Whether a query is to end now, with an answer or without.
+    fn is_decided(&self, query: &Query, coverage: &Coverage, progress: &Progress) -> bool {
+        let margin = PARTIAL_MARGIN_TICKS * self.settings.timer_granularity;
+        let partial_is_due = self.now + margin + self.second_step_time(&query.class, query.in_second_step)
+            >= query.objective_at
+            && progress.is_partial_worth_more_than_late(coverage, &query.class);
+        progress.is_settled(coverage)
+            || partial_is_due
+            || progress.is_lost(coverage)
+            || self.now >= query.deadline_at
+    }
+
+    /// Whether a query sends one part first and the others once that is answered: one that asks most replicas, so that
+    /// a query that crashes whoever executes it does not take down all of them at once.
+    fn needs_canary(&self, query: &Query, progress: &Progress) -> bool {
+        let is_wide = query.parts.len() as f64 >= CANARY_PARTS_PER_REPLICA * self.endpoints.len() as f64;
+        let time_left = query.objective_at - self.now;
+        let has_time = time_left > (1.0 - MAX_CANARY_SHARE) * query.class.latency_objective;
+        is_wide && !query.in_second_step && progress.answered == 0.0 && has_time
+    }
+
+    /// Whether so many parts of a query were reset that executing it seems to crash replicas.
+    fn crashes_replicas(&self, query: &Query, progress: &Progress) -> bool {
+        let was_reset = |part: &&PartId| {
+            self.parts[*part].attempts.iter().any(|attempt| attempt.outcome == Some(Outcome::Reset))
+        };
+        progress.retryable.len() > 1 && query.parts.iter().filter(was_reset).count() > MAX_RESET_PARTS
+    }
+
+    /// Unsent parts, those at the least loaded shards first, with about one part's time of randomness.
+    fn in_sending_order(&mut self, unsent: &[PartId]) -> Vec<PartId> {
+        let queued_part_time = self.latency.queued_part_time();
+        let mut keyed: Vec<(f64, PartId)> = Vec::with_capacity(unsent.len());
+        for id in unsent {
+            let queued_parts = self.expected_latency(self.parts[id].shard) / queued_part_time;
+            keyed.push((queued_parts + self.random.unit_interval(), *id));
+        }
+        keyed.sort_by(|a, b| a.0.total_cmp(&b.0));
+        keyed.into_iter().map(|(_, id)| id).collect()
+    }
+
+    /// Sends a part to the replica that is selected for it, now or once health checks have been answered.
+    fn send_part(&mut self, part: PartId, actions: &mut Vec<Action>) -> SendResult {
+        let Some(replica) = self.select(part, actions) else {
+            let awaits_checks = self.parts[&part].candidates.is_some();
+            return if awaits_checks { SendResult::Committed } else { SendResult::NotSent };
+        };
+        let Part { query: query_id, shard, .. } = self.parts[&part];
+        let query = &self.queries[&query_id];
+        if query.class.minimum_coverage < query.class.complete_coverage - WEIGHT_ROUNDING {
+            if self.admission.is_shard_failing(self.now, shard, self.objectives.longest) {
+                return SendResult::NotSent;
+            }
+        } else {
+            // With a part that no holder can serve in time the rest is work for nothing.
+            let time_left = query.deadline_at - self.now;
+            if self.admission.is_hopeless(time_left / self.expected_latency(shard)) {
+                self.finish(query_id, actions);
+                return SendResult::QueryEnded;
+            }
+        }
+        self.send_attempt(part, replica, actions);
+        SendResult::Committed
+    }
+
+    /// The time to leave for the second step of a class: after a first answer that is too late it brings nothing.
+    pub(super) fn second_step_time(&self, class: &Class, has_begun: bool) -> Millis {
+        let has_second_step = class.second_step_parts > 0 && !has_begun;
+        let needed = if has_second_step { HEDGE_TAILS * self.latency.tail() } else { 0.0 };
+        needed.min(MAX_SECOND_STEP_SHARE * class.latency_objective)
+    }
+}
--- /dev/null
+++ b/src/balancer/selection.rs
@@ -0,0 +1,256 @@
+//! Selection of a replica: power of two choices, the less loaded of two random holders of the shard.
+//!
+//! All that is known of a replica acts through its cost, or on whether it may be drawn at all.
+
+use super::action::{Action, LogEvent};
+use super::endpoint_set::EndpointSet;
+use super::health_checks::stale_before;
+use super::load_reports::LoadReports;
+use super::outlier_detection::OutlierCriteria;
+use super::part::Candidates;
+use super::replica::Replica;
+use super::state::Balancer;
+use super::{LoadReportMode, Millis, PartId, ReplicaId};
+
+/// A replica less than this many times slower than the median costs no more: that is noise of the parts.
+const TOLERATED_SLOWNESS: f64 = 1.5;
+/// Costs that differ by less than this many parts count as a tie where crossing zones has a cost.
+const ZONE_TIE: f64 = 1.2;
+
+/// The cost of sending a part to a replica, by what is known at one moment.
+pub(super) struct Scoring<'a> {
+    pub endpoints: &'a EndpointSet,
+    pub load_reports: &'a LoadReports,
+    pub criteria: OutlierCriteria,
+}
+
+impl Scoring<'_> {
+    /// The parts at a replica: own calls in flight, recent failures, and the queue by its reports as far as those are
+    /// believed.
+    pub fn busyness(&self, replica: &Replica) -> f64 {
+        let reported = self.reported_queue(replica);
+        replica.calls.len() as f64
+            + self.criteria.decayed(&replica.evidence).failures
+            + self.load_reports.trust() * reported
+    }
+
+    pub fn reported_queue(&self, replica: &Replica) -> f64 {
+        self.load_reports.queue_at(replica, self.criteria.now, self.criteria.median_latency)
+    }
+
+    /// The expected work before a part is answered, in parts of a replica of mean weight; infinite for an unknown one.
+    pub fn cost(&self, id: ReplicaId) -> f64 {
+        let Some(replica) = self.endpoints.get(id) else { return f64::INFINITY };
+        let slowness = (self.criteria.slowness(replica) / TOLERATED_SLOWNESS).max(1.0);
+        (self.busyness(replica) + 1.0) * slowness * self.endpoints.mean_weight() / replica.weight
+    }
+
+    /// The cost at the least loaded holder of a shard; infinite without a holder.
+    pub fn least_cost(&self, shard: u32) -> f64 {
+        self.endpoints.holders(shard).map(|id| self.cost(id)).fold(f64::INFINITY, f64::min)
+    }
+
+    pub fn is_outlier(&self, replica: &Replica) -> bool {
+        self.criteria.is_outlier(replica)
+    }
+
+    /// Whether a replica is neither an outlier nor slow.
+    pub fn is_sound(&self, replica: &Replica) -> bool {
+        !self.is_outlier(replica) && self.criteria.slowness(replica) <= TOLERATED_SLOWNESS
+    }
+}
+
+impl Balancer {
+    /// What the costs of replicas are judged by now.
+    pub(super) fn scoring(&self) -> Scoring<'_> {
+        Scoring {
+            endpoints: &self.endpoints,
+            load_reports: &self.load_reports,
+            criteria: self.outlier_criteria(),
+        }
+    }
+
+    /// Expected latency of a part at the least loaded holder of its shard; infinite without a holder.
+    pub(super) fn expected_latency(&self, shard: u32) -> Millis {
+        self.latency.queued_part_time() * self.scoring().least_cost(shard)
+    }
+
+    /// Chooses the replica for a part's next attempt. None if there is none, or if the answers to health checks of the
+    /// candidates are waited for; the candidates are kept then.
+    pub(super) fn select(&mut self, part: PartId, actions: &mut Vec<Action>) -> Option<ReplicaId> {
+        let candidates = self.candidates(part, actions)?;
+        if self.awaits_health_check(candidates.first) || self.awaits_health_check(candidates.second) {
+            let query = self.parts.get(&part)?.query;
+            if !self.queries_awaiting_checks.contains(&query) {
+                self.queries_awaiting_checks.push(query);
+            }
+            return None;
+        }
+        self.parts.get_mut(&part)?.candidates = None;
+        Some(self.less_loaded(candidates))
+    }
+
+    /// The candidates that were drawn before, while both are up, or two new ones, with health checks on their way.
+    fn candidates(&mut self, part: PartId, actions: &mut Vec<Action>) -> Option<Candidates> {
+        let record = self.parts.get(&part)?;
+        let query = record.query;
+        let both_up =
+            |drawn: &Candidates| self.endpoints.is_up(drawn.first) && self.endpoints.is_up(drawn.second);
+        if let Some(drawn) = record.candidates.filter(both_up) {
+            return Some(drawn);
+        }
+        let drawn = self.draw_two(part, actions)?;
+        if self.queries.get(&query).is_some_and(|query| query.uses_health_checks) {
+            self.check_health(drawn.first, actions);
+            self.check_health(drawn.second, actions);
+        }
+        self.parts.get_mut(&part)?.candidates = Some(drawn);
+        Some(drawn)
+    }
+
+    /// Draws two distinct replicas that may get a part. An outlier is drawn only where fewer than two others are left;
+    /// one that is not, if there is any, is always among the two.
+    fn draw_two(&mut self, part: PartId, actions: &mut Vec<Action>) -> Option<Candidates> {
+        let mut pool = self.eligible(part)?;
+        let scoring = self.scoring();
+        let is_sound =
+            |id: &ReplicaId| scoring.endpoints.get(*id).is_some_and(|replica| !scoring.is_outlier(replica));
+        let sound: Vec<ReplicaId> = pool.iter().copied().filter(is_sound).collect();
+        if sound.is_empty() && pool.len() > 1 {
+            let shard = self.parts.get(&part)?.shard;
+            actions.push(Action::Log(LogEvent::AllHoldersOutliers { shard }));
+        }
+        let only_sound = if let [only] = sound.as_slice() { Some(*only) } else { None };
+        if sound.len() >= 2 {
+            pool = sound;
+        }
+        let first = match only_sound {
+            Some(only) => pool.iter().position(|id| *id == only)?,
+            None if pool.is_empty() => return None,
+            None => self.random.below(pool.len()),
+        };
+        let second = self.random.other_than(first, pool.len());
+        Some(Candidates { first: pool[first], second: pool[second] })
+    }
+
+    /// The holders that may get a part now: those never tried for it, or all once the last attempt is a while ago.
+    fn eligible(&mut self, part: PartId) -> Option<Vec<ReplicaId>> {
+        let record = self.parts.get(&part)?;
+        let has_attempt_at = |id: ReplicaId| record.in_flight().any(|attempt| attempt.replica == id);
+        let holders: Vec<ReplicaId> =
+            self.endpoints.holders(record.shard).filter(|id| !has_attempt_at(*id)).collect();
+        let mut open: Vec<ReplicaId> = Vec::with_capacity(holders.len());
+        for id in &holders {
+            if self.admits_by_slow_start(*id) {
+                open.push(*id);
+            }
+        }
+        if open.is_empty() {
+            open = holders.into_iter().filter(|id| self.is_idle_despite_loss(*id)).collect();
+        }
+        let record = self.parts.get(&part)?;
+        let untried: Vec<ReplicaId> = open.iter().copied().filter(|id| !record.has_tried(*id)).collect();
+        if !untried.is_empty() {
+            return Some(untried);
+        }
+        // At once, a full holder beside warming ones would use up all attempts.
+        let is_recent =
+            record.attempts.last().is_some_and(|last| self.now < last.sent_at + self.latency.median());
+        if is_recent { None } else { Some(open) }
+    }
+
+    /// Whether a replica may be drawn by its slow start; a warming one by chance.
+    fn admits_by_slow_start(&mut self, id: ReplicaId) -> bool {
+        let Some(replica) = self.endpoints.get(id) else { return false };
+        if self.slow_start.is_warm(self.now, &replica.warm_up) {
+            return true;
+        }
+        let relative_weight = replica.weight / self.endpoints.mean_weight();
+        let chance = self.slow_start.admission_chance(
+            self.now,
+            &replica.warm_up,
+            relative_weight,
+            self.objectives.longest,
+        );
+        if let Some(replica) = self.endpoints.get_mut(id) {
+            replica.warm_up.last_considered_at = self.now;
+        }
+        self.random.unit_interval() < chance
+    }
+
+    /// Whether a replica is warming up by observation alone, not by the list, and has nothing in flight: a supposed
+    /// restart must not be the reason that nobody is left.
+    fn is_idle_despite_loss(&self, id: ReplicaId) -> bool {
+        self.endpoints.get(id).is_some_and(|replica| {
+            let is_listed_warm =
+                self.slow_start.capacity_share(self.now, replica.warm_up.listed_start) >= 1.0;
+            is_listed_warm && replica.calls.is_empty()
+        })
+    }
+
+    /// The less loaded of two candidates. An outlier loses by its cost alone: a lone sound holder that won every draw
+    /// would get the parts of its whole set and be slow next.
+    fn less_loaded(&mut self, candidates: Candidates) -> ReplicaId {
+        let Candidates { first, second } = candidates;
+        let scoring = self.scoring();
+        let first_cost = scoring.cost(first);
+        let second_cost = scoring.cost(second);
+        if self.settings.cross_zone_cost > 0.0 && (first_cost - second_cost).abs() < ZONE_TIE {
+            let is_first_local = self.is_in_own_zone(first);
+            if is_first_local != self.is_in_own_zone(second) {
+                return if is_first_local { first } else { second };
+            }
+        }
+        // A health check that is overdue decides ties alone: one lost answer must not move a set's whole load.
+        let first_overdue = self.has_overdue_health_check(first);
+        let second_overdue = self.has_overdue_health_check(second);
+        let coin = self.random.below(2) == 0;
+        let first_wins_tie = if first_overdue == second_overdue { coin } else { second_overdue };
+        if first_cost < second_cost || first_cost == second_cost && first_wins_tie { first } else { second }
+    }
+
+    fn is_in_own_zone(&self, id: ReplicaId) -> bool {
+        self.endpoints.get(id).is_some_and(|replica| replica.zone == self.settings.zone)
+    }
+
+    // ---- Health checks --------------------------------------------------------------------------------
+
+    /// Checks a replica whose report is not fresh.
+    fn check_health(&mut self, id: ReplicaId, actions: &mut Vec<Action>) {
+        let reports_load = self.settings.load_report_mode != LoadReportMode::Off;
+        if !self.settings.health_checks_allowed || !reports_load {
+            return;
+        }
+        let stale = stale_before(self.now, self.latency.median());
+        let Some(replica) = self.endpoints.get_mut(id) else { return };
+        let is_report_stale = replica.reported_queue.is_none_or(|report| report.received_at <= stale);
+        let check = &mut replica.health_check;
+        if check.in_flight || check.started_at > stale || !is_report_stale {
+            return;
+        }
+        check.in_flight = true;
+        check.started_at = self.now;
+        check.own_calls = replica.calls.len() as f64;
+        actions.push(Action::HealthCheck { replica: id });
+    }
+
+    fn health_check_patience(&self) -> Millis {
+        self.health_checks.patience(self.latency.median(), self.settings.timer_granularity)
+    }
+
+    /// Whether the answer to a health check may yet come in time.
+    fn awaits_health_check(&self, id: ReplicaId) -> bool {
+        self.endpoints.get(id).is_some_and(|replica| {
+            let check = &replica.health_check;
+            check.in_flight && self.now - check.started_at < self.health_check_patience()
+        })
+    }
+
+    fn has_overdue_health_check(&self, id: ReplicaId) -> bool {
+        self.endpoints.get(id).is_some_and(|replica| {
+            let check = &replica.health_check;
+            let waited = self.now - check.started_at.max(self.resumed_at);
+            check.in_flight && waited >= self.health_check_patience()
+        })
+    }
+}
