--- /dev/null
+++ b/src/aggregator/admin.rs
@@ -0,0 +1,117 @@
+//! Operators' commands on the admin address, and the overrides that they give. Overrides are shared by all processes of
+//! an aggregator and survive its restarts.
+
+use super::reduce::Reduction;
+use super::{AdminCallId, Effect};
+use crate::balancer::Outcome;
+use crate::clock::Millis;
+use crate::endpoints::Input;
+use crate::hot_restart::{OverrideSubject, Overrides};
+use std::sync::Arc;
+
+/// A cancelled override is remembered for at least so long, until every process of the aggregator has heard of it.
+const MIN_OVERRIDE_RETENTION: Millis = 60_000.0;
+
+/// An operator's command.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum AdminCommand {
+    /// Ask whether this process can serve.
+    CheckReady,
+    /// Send nothing more to the leaf server of that name.
+    Disable(Arc<str>),
+    /// The leaf server of that name may be given parts again.
+    Enable(Arc<str>),
+    /// Drain the aggregator: send its clients away.
+    Drain,
+    /// Take clients again after [`AdminCommand::Drain`].
+    Resume,
+}
+
+/// The outcome of an [`AdminCommand`].
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum AdminOutcome {
+    /// Yes, or done.
+    Accepted,
+    /// No, or there are too many overrides.
+    Refused,
+    /// No endpoint has that name.
+    UnknownEndpoint,
+}
+
+impl Reduction<'_> {
+    pub(super) fn run_admin_command(&mut self, call: AdminCallId, command: AdminCommand) {
+        self.state.counters.admin_commands += 1;
+        match command {
+            AdminCommand::CheckReady => self.answer_ready_check(call),
+            AdminCommand::Disable(name) => self.override_endpoint(call, name, true),
+            AdminCommand::Enable(name) => self.override_endpoint(call, name, false),
+            AdminCommand::Drain => self.set_override(call, OverrideSubject::Aggregator, true),
+            AdminCommand::Resume => self.set_override(call, OverrideSubject::Aggregator, false),
+        }
+    }
+
+    fn answer_ready_check(&mut self, call: AdminCallId) {
+        let can_serve = self.state.lifecycle.can_serve();
+        let outcome = if can_serve { AdminOutcome::Accepted } else { AdminOutcome::Refused };
+        self.effects.push(Effect::AnswerAdmin(call, outcome));
+    }
+
+    fn override_endpoint(&mut self, call: AdminCallId, name: Arc<str>, active: bool) {
+        let is_listed = self.state.endpoints.endpoint(&name).is_some();
+        let subject = OverrideSubject::LeafServer(name);
+        if is_listed || self.state.overrides.is_active(&subject) {
+            self.set_override(call, subject, active);
+        } else {
+            self.reject_admin_command(call, AdminOutcome::UnknownEndpoint);
+        }
+    }
+
+    fn set_override(&mut self, call: AdminCallId, subject: OverrideSubject, active: bool) {
+        let wall_clock = self.now + self.state.wall_clock_ahead;
+        match self.state.overrides.give(subject, active, wall_clock) {
+            Ok(changed) => {
+                if changed {
+                    self.apply_overrides();
+                }
+                // Stored even if nothing changed: the override may be in force here but not be stored yet.
+                self.effects.push(Effect::StoreOverrides(call, self.state.overrides.clone()));
+            }
+            Err(_) => self.reject_admin_command(call, AdminOutcome::Refused),
+        }
+    }
+
+    fn reject_admin_command(&mut self, call: AdminCallId, outcome: AdminOutcome) {
+        self.state.counters.admin_commands_rejected += 1;
+        self.effects.push(Effect::AnswerAdmin(call, outcome));
+    }
+
+    /// Takes over overrides that another process of this aggregator was given, or that were stored before the start.
+    pub(super) fn overrides_loaded(&mut self, overrides: &Overrides, digest: u32) {
+        if self.state.overrides.merge(overrides) {
+            self.apply_overrides();
+        }
+        self.effects.push(Effect::OverridesApplied(digest));
+    }
+
+    fn apply_overrides(&mut self) {
+        self.forget_old_overrides();
+        let overrides = self.state.overrides.leaf_servers();
+        let active = overrides.iter().filter(|(_, record)| record.active);
+        let disabled: Vec<Arc<str>> = active.map(|(name, _)| name.clone()).collect();
+        self.update_endpoints(Input::Overrides(overrides));
+        for name in disabled {
+            if let Some(replica) = self.state.replica_ids.get(&name).copied() {
+                // The balancer must not take this for a failure of the leaf server.
+                self.withdraw_unsent_attempts(replica, Outcome::NotSent);
+                self.drain_connections(replica);
+            }
+        }
+        self.follow_drain_override();
+    }
+
+    fn forget_old_overrides(&mut self) {
+        let retention = MIN_OVERRIDE_RETENTION.max(self.state.settings.balancer.slow_start_window);
+        let wall_clock = self.now + self.state.wall_clock_ahead;
+        self.state.overrides.forget_before(wall_clock - retention);
+    }
+}
--- /dev/null
+++ b/src/aggregator/cancellations.rs
@@ -0,0 +1,79 @@
+//! Cancellation of attempts that were passed to a connection's writer. A part's next attempt waits until the cancellation
+//! is written or the connection has ended: a leaf server could not tell the two attempts apart.
+
+use super::leaf_connection::ConnectionPhase;
+use super::records::AttemptStage;
+use super::reduce::Reduction;
+use super::timer::Timer;
+use super::{AttemptId, ConnectionId, Effect};
+use crate::balancer::Outcome;
+
+impl Reduction<'_> {
+    /// Removes an attempt that was passed to a writer, after cancelling it if the leaf server may still work on it.
+    pub(super) fn end_submitted_attempt(
+        &mut self,
+        id: AttemptId,
+        connection: ConnectionId,
+        outcome: Outcome,
+    ) {
+        let Some(record) = self.state.connections.get_mut(&connection) else {
+            self.remove_attempt(id);
+            return;
+        };
+        if record.phase == ConnectionPhase::Closing {
+            self.mark_cancelled(id, connection, None);
+        } else if matches!(outcome, Outcome::Timeout | Outcome::Cancelled) {
+            let message = record.submit_message(self.now);
+            self.mark_cancelled(id, connection, Some(message));
+            self.effects.push(Effect::SendCancellation(connection, id));
+            let write_timeout_at = self.now + self.state.settings.connect_timeout;
+            self.state.set_timer(write_timeout_at, Timer::WriteTimeout(connection));
+        } else {
+            self.remove_attempt(id);
+        }
+    }
+
+    fn mark_cancelled(&mut self, id: AttemptId, connection: ConnectionId, message: Option<u64>) {
+        let Some(attempt) = self.state.attempts.get_mut(&id) else { return };
+        attempt.stage = AttemptStage::Cancelled { connection, message };
+        if let Some(part) = self.state.parts.get_mut(&attempt.part) {
+            part.unconfirmed_cancellations += 1;
+        }
+    }
+
+    /// The leaf server has been told of a cancellation. It may work on regardless, so the attempt counts as a call in
+    /// flight until it is answered, and a connection that is full of these takes nothing new.
+    pub(super) fn cancellation_written(&mut self, id: AttemptId, connection: ConnectionId) {
+        let max_calls = (self.state.settings.calls_per_connection as usize).saturating_sub(1);
+        if let Some(record) = self.state.connections.get_mut(&connection)
+            && let Some(attempt) = self.state.attempts.get(&id)
+        {
+            record.cancelled.insert(id, attempt.part_key.clone());
+            record.draining |= record.cancelled.len() >= max_calls;
+        }
+        self.confirm_cancellation(id);
+    }
+
+    /// The leaf server cannot take a cancelled attempt for one in flight any more: the part's next attempt may go out.
+    pub(super) fn confirm_cancellation(&mut self, id: AttemptId) {
+        let Some(part) = self.state.attempts.get(&id).map(|attempt| attempt.part) else { return };
+        self.remove_attempt(id);
+        let Some(record) = self.state.parts.get_mut(&part) else { return };
+        record.unconfirmed_cancellations = record.unconfirmed_cancellations.saturating_sub(1);
+        if record.unconfirmed_cancellations == 0
+            && let Some(next_attempt) = record.waiting_attempt.take()
+        {
+            self.queue_attempt(next_attempt);
+        }
+    }
+
+    /// A leaf server has answered an attempt that is not in flight any more.
+    pub(super) fn late_answer(&mut self, connection: ConnectionId, id: AttemptId) {
+        self.state.counters.late_answers_ignored += 1;
+        if self.state.attempts.contains_key(&id) {
+            self.confirm_cancellation(id);
+        } else if let Some(record) = self.state.connections.get_mut(&connection) {
+            record.cancelled.remove(&id);
+        }
+    }
+}
--- a/src/aggregator/clients.rs
+++ b/src/aggregator/clients.rs
@@ -1,74 +1,114 @@
-//! Clients' connections: how many may stay, who goes first, and what a client is told.
+//! Client connections: which idle ones are closed to free capacity, and how a request is answered.
 
+use super::records::Client;
 use super::reduce::Reduction;
-use super::state::Client;
 use super::{ClientId, Effect, Reply};
-use crate::balancer::{self, Millis};
+use crate::balancer;
+use crate::clock::Millis;
 use crate::ledger;
 
-/// A client that has asked nothing for so long after it came may be closed, and goes first where there are too many.
-const SILENT: Millis = 2000.0;
+/// A client that has sent no request for so long after it connected is not expected to send one.
+const SILENT_CLIENT_AFTER: Millis = 2000.0;
+
+/// Which idle clients are closed first when there are too many.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+enum CloseOrder {
+    /// It never sent a request, and has had the time to.
+    Silent,
+    /// It has been answered: a close costs it a connection and no request.
+    Answered,
+    /// Its first request may be on its way, and would be lost.
+    FirstRequestDue,
+}
+
+impl Client {
+    fn close_order(&self, now: Millis) -> CloseOrder {
+        if self.answered {
+            CloseOrder::Answered
+        } else if self.idle_since + SILENT_CLIENT_AFTER <= now {
+            CloseOrder::Silent
+        } else {
+            CloseOrder::FirstRequestDue
+        }
+    }
+
+    fn is_idle(&self) -> bool {
+        self.query.is_none() && !self.closing
+    }
+}
 
 impl Reduction<'_> {
     pub(super) fn client_opened(&mut self, client: ClientId) {
         self.state.counters.clients_opened += 1;
-        let fresh = Client { query: None, idle_since: self.now, asked: false, closing: false };
-        self.state.clients.insert(client, fresh);
-        // Clients keep connections for as long as we do: without this they use up the descriptors. Who had an answer
-        // loses nothing by a close but a connection; the first request of one that came ahead would be lost.
-        let staying = self.state.clients.values().filter(|c| !c.closing).count();
-        if staying > self.state.limits.client_connections {
-            let rank = |c: &Client| match c.asked {
-                true => 1,
-                false if c.idle_since + SILENT <= self.now => 0,
-                false => 2,
-            };
-            let idle = self.state.clients.iter().filter(|(_, c)| c.query.is_none() && !c.closing);
-            let first = idle
-                .min_by(|(_, a), (_, b)| rank(a).cmp(&rank(b)).then(a.idle_since.total_cmp(&b.idle_since)));
-            if let Some(id) = first.map(|(id, _)| *id) {
-                self.shed(id);
-            }
+        let record = Client { query: None, idle_since: self.now, answered: false, closing: false };
+        self.state.clients.insert(client, record);
+        self.enforce_client_limit();
+    }
+
+    /// Clients keep their connections open for as long as they may. Without a limit they would use up the descriptors.
+    fn enforce_client_limit(&mut self) {
+        let open = self.state.clients.values().filter(|client| !client.closing).count();
+        if open <= self.state.limits.client_connections {
+            return;
+        }
+        let now = self.now;
+        let idle = self.state.clients.iter().filter(|(_, client)| client.is_idle());
+        let first_to_close = idle.min_by(|(_, a), (_, b)| {
+            a.close_order(now).cmp(&b.close_order(now)).then(a.idle_since.total_cmp(&b.idle_since))
+        });
+        if let Some(client) = first_to_close.map(|(id, _)| *id) {
+            self.close_idle_client(client);
         }
     }
 
-    pub(super) fn shed(&mut self, client: ClientId) {
-        if let Some(c) = self.state.clients.get_mut(&client) {
-            c.closing = true;
-            self.state.counters.clients_shed += 1;
-            self.effects.push(Effect::CloseClient(client));
+    /// Clients that ask once and then keep their connection would take the capacity of those that come next, so the
+    /// number of idle ones is limited too.
+    fn enforce_idle_client_limit(&mut self) {
+        let is_idle = |client: &Client| client.answered && client.is_idle();
+        let idle_count = self.state.clients.values().filter(|client| is_idle(client)).count();
+        if idle_count <= self.state.limits.idle_client_connections {
+            return;
+        }
+        let idle = self.state.clients.iter().filter(|(_, client)| is_idle(client));
+        let longest_idle = idle.min_by(|(_, a), (_, b)| a.idle_since.total_cmp(&b.idle_since));
+        if let Some(client) = longest_idle.map(|(id, _)| *id) {
+            self.close_idle_client(client);
         }
     }
 
-    /// Clients that ask once and keep their connection for good take the places of those who come next: of the idle
-    /// ones beyond a number the longest idle goes.
-    pub(super) fn bound_idle(&mut self) {
-        let idle = |c: &Client| c.asked && c.query.is_none() && !c.closing;
-        let idle: Vec<_> = self.state.clients.iter().filter(|(_, c)| idle(c)).collect();
-        if idle.len() > self.state.limits.idle_client_connections {
-            let oldest = idle.into_iter().min_by(|a, b| a.1.idle_since.total_cmp(&b.1.idle_since));
-            if let Some(id) = oldest.map(|(id, _)| *id) {
-                self.shed(id);
-            }
+    fn close_idle_client(&mut self, client: ClientId) {
+        if let Some(record) = self.state.clients.get_mut(&client) {
+            record.closing = true;
+            self.state.counters.idle_clients_closed += 1;
+            self.effects.push(Effect::CloseClient(client));
         }
     }
 
     pub(super) fn client_closed(&mut self, client: ClientId) {
-        let Some(c) = self.state.clients.remove(&client) else { return };
+        let Some(client) = self.state.clients.remove(&client) else { return };
         self.state.counters.clients_closed += 1;
-        if let Some(query) = c.query {
-            self.state.counters.clients_gone += 1;
-            self.enter(query, ledger::Outcome::Gone);
+        if let Some(query) = client.query {
+            self.count_outcome(ledger::Outcome::Gone);
+            self.record_in_ledger(query, ledger::Outcome::Gone);
             self.forget_query(query);
-            self.news.push_back(balancer::Event::ClientDisconnected { query });
+            self.balancer_events.push_back(balancer::Event::ClientDisconnected { query });
+        }
+    }
+
+    pub(super) fn request_malformed(&mut self, client: Option<ClientId>) {
+        self.state.counters.queries_malformed += 1;
+        if let Some(client) = client.and_then(|client| self.state.clients.get_mut(&client)) {
+            client.idle_since = self.now;
         }
     }
 
     pub(super) fn reply(&mut self, client: ClientId, reply: Reply) {
-        let Some(c) = self.state.clients.get_mut(&client) else { return };
-        (c.query, c.idle_since, c.asked) = (None, self.now, true);
-        let close = self.lets_go();
+        let Some(record) = self.state.clients.get_mut(&client) else { return };
+        record.query = None;
+        record.idle_since = self.now;
+        record.answered = true;
+        let close = self.closes_after_reply();
         self.effects.push(Effect::Reply { client, reply, close });
-        self.bound_idle();
+        self.enforce_idle_client_limit();
     }
 }
--- a/src/aggregator/connections.rs
+++ b/src/aggregator/connections.rs
@@ -1,172 +1,266 @@
-//! Connections to nodes: opened, shared, retired, closed, and what their end means for what was on them.
+//! Connections to leaf servers: opened, shared, drained and closed, and what their end means for what was on them.
 
+use super::leaf_connection::{ConnectionPhase, LeafConnection, PendingHealthCheck};
+use super::records::{AttemptStage, PartKey};
 use super::reduce::Reduction;
-use super::state::{Conn, PartName, Phase, Probe, Stage, Timer};
+use super::timer::Timer;
 use super::{AttemptId, ConnectionId, Effect, LogEvent};
-use crate::balancer::{Millis, Outcome, ReplicaId};
+use crate::balancer::{Outcome, ReplicaId};
+use crate::clock::Millis;
 use std::collections::{BTreeSet, VecDeque};
 
-/// Unwritten messages on a connection beyond which nothing new is put on it: bounds a stalled node's queue.
-const UNWRITTEN_MOST: usize = 64;
-/// Share of the nodes' keep-alive after which an idle connection is closed, and the least margin to it: our
-/// close must come before theirs, or a part crosses it and is reset.
-const IDLE_SHARE: f64 = 0.8;
-const IDLE_MARGIN: Millis = 500.0;
+/// Unwritten messages on a connection beyond which it takes nothing new: bounds the queue of a stalled leaf server.
+const MAX_UNWRITTEN_MESSAGES: usize = 64;
+/// Share of the leaf servers' keep-alive after which an idle connection is closed. The aggregator has to close it first,
+/// or an attempt may cross the leaf server's close and be reset.
+const IDLE_TIMEOUT_SHARE: f64 = 0.8;
+/// The least time between the aggregator's close of an idle connection and the leaf server's.
+const MIN_IDLE_MARGIN: Millis = 500.0;
+
+/// How the work on a connection is to be ended.
+struct ConnectionLoss {
+    replica: ReplicaId,
+    was_connecting: bool,
+    /// Messages that may have been written completely.
+    messages_written: u64,
+    /// The outcome of attempts in those messages.
+    written_outcome: Outcome,
+}
 
 impl Reduction<'_> {
-    /// A connection to a node for a part, or for a probe. Not one on which an answer may yet come to what was given up
-    /// under the part's name: it could not be told from the answer to this attempt.
-    pub(super) fn connection_to(&mut self, node: ReplicaId, part: Option<&PartName>) -> Option<ConnectionId> {
-        // Every part is taken for a call of its own, the most it can be. One place stays free, and what was given
-        // up may be in the node's hands still: on a full connection the node reads no give-up, and the part's
-        // next attempt would be a second copy.
-        let most = (self.state.settings.calls_per_connection as usize).saturating_sub(1).max(1);
-        let room = |c: &Conn| {
-            c.node == node
-                && !c.retired
-                && c.phase != Phase::Closing
-                && c.attempts.len() + c.abandoned.len() < most
-                && c.unwritten.len() < UNWRITTEN_MOST
-        };
-        let carries = |c: &Conn, part: &PartName| {
-            let out = || c.attempts.iter().filter_map(|id| self.state.attempts.get(id));
-            c.abandoned.values().any(|name| name == part) || out().any(|a| a.name == *part)
+    /// A connection to a leaf server for an attempt of a part, or for a health check. Never one on which a cancelled
+    /// attempt of the same part may yet be answered: that answer could not be told from the new attempt's.
+    pub(super) fn connection_for(
+        &mut self,
+        replica: ReplicaId,
+        part: Option<&PartKey>,
+    ) -> Option<ConnectionId> {
+        let usable = self.state.connections.iter().filter(|(_, connection)| {
+            self.can_take_call(connection, replica)
+                && part.is_none_or(|part| !self.carries_part(connection, part))
+        });
+        let preference = |id: ConnectionId, connection: &LeafConnection| {
+            let is_pending = connection.phase != ConnectionPhase::Established;
+            (is_pending, id)
         };
-        let free = |c: &Conn| part.is_none_or(|part| !carries(c, part));
-        let with_room = self.state.connections.iter().filter(|(_, c)| room(c) && free(c));
-        let best = with_room.min_by_key(|(id, c)| (c.phase != Phase::Up, **id)).map(|(id, _)| *id);
-        if best.is_some() {
-            return best;
+        let best = usable.min_by_key(|(id, connection)| preference(**id, connection));
+        if let Some((id, _)) = best {
+            return Some(*id);
         }
+        self.open_connection(replica)
+    }
+
+    fn can_take_call(&self, connection: &LeafConnection, replica: ReplicaId) -> bool {
+        // Every attempt counts as a call of its own, the most it can be. One call stays free: on a connection at its
+        // limit the leaf server reads no cancellations, and a retry of the part would run beside the first attempt.
+        let max_calls = (self.state.settings.calls_per_connection as usize).saturating_sub(1).max(1);
+        connection.replica == replica
+            && !connection.draining
+            && connection.phase != ConnectionPhase::Closing
+            && connection.calls_in_flight() < max_calls
+            && connection.unwritten_since.len() < MAX_UNWRITTEN_MESSAGES
+    }
+
+    fn carries_part(&self, connection: &LeafConnection, part: &PartKey) -> bool {
+        let is_attempt_of_part =
+            |id: &AttemptId| self.state.attempts.get(id).is_some_and(|attempt| attempt.part_key == *part);
+        connection.cancelled.values().any(|cancelled| cancelled == part)
+            || connection.attempts.iter().any(is_attempt_of_part)
+    }
+
+    fn open_connection(&mut self, replica: ReplicaId) -> Option<ConnectionId> {
         if self.state.connections.len() >= self.state.limits.leaf_connections {
-            return None; // descriptors are bounded: against running out of them under a storm of dials
+            return None;
         }
-        let address = self.state.leaf_servers.get(&node)?.address.clone();
+        let address = self.state.leaf_servers.get(&replica)?.address.clone();
         let id = ConnectionId(self.state.fresh_id());
-        self.state.connections.insert(id, Conn::new(node, self.now));
-        self.state.counters.connections_dialled += 1;
-        self.state.arm(self.now + self.state.settings.connect_timeout, Timer::Dial(id));
+        self.state.connections.insert(id, LeafConnection::new(replica, self.now));
+        self.state.counters.connections_started += 1;
+        let timeout_at = self.now + self.state.settings.connect_timeout;
+        self.state.set_timer(timeout_at, Timer::ConnectTimeout(id));
         self.effects.push(Effect::Connect(id, address));
         Some(id)
     }
 
-    pub(super) fn connected(&mut self, conn: ConnectionId) {
-        let Some(c) = self.state.connections.get_mut(&conn).filter(|c| c.phase == Phase::Dialling) else {
+    pub(super) fn connection_established(&mut self, id: ConnectionId) {
+        let Some(connection) = self.state.connections.get_mut(&id) else { return };
+        if connection.phase != ConnectionPhase::Connecting {
             return;
-        };
-        (c.phase, c.heard) = (Phase::Up, self.now);
-        let probes = std::mem::take(&mut c.probes_placed);
-        self.state.counters.connections_up += 1;
-        for _ in 0..probes {
-            self.hand_probe(conn);
         }
-        self.arm_idle(conn);
+        connection.phase = ConnectionPhase::Established;
+        connection.last_heard_at = self.now;
+        let health_checks = std::mem::take(&mut connection.queued_health_checks);
+        self.state.counters.connections_established += 1;
+        for _ in 0..health_checks {
+            self.submit_health_check(id);
+        }
+        self.check_idle_timeout(id);
+    }
+
+    pub(super) fn connect_timed_out(&mut self, id: ConnectionId) {
+        let Some(connection) = self.state.connections.get(&id) else { return };
+        if connection.phase == ConnectionPhase::Connecting {
+            self.state.counters.connections_failed += 1;
+            self.close_connection(id);
+        }
     }
 
-    pub(super) fn written(&mut self, conn: ConnectionId, upto: u64) {
-        let Some(c) = self.state.connections.get_mut(&conn) else { return };
-        let before = c.written;
-        c.unwritten.drain(..(upto.saturating_sub(before) as usize).min(c.unwritten.len()));
-        c.written = upto;
-        let mut settled = Vec::new();
-        for id in &c.attempts {
-            match self.state.attempts.get(id).map(|a| a.stage) {
-                Some(Stage::Handed(_, message)) if before < message && message <= upto => {
+    pub(super) fn messages_written(&mut self, id: ConnectionId, up_to: u64) {
+        let Some(connection) = self.state.connections.get_mut(&id) else { return };
+        let written_before = connection.messages_written;
+        connection.mark_written(up_to);
+        let mut cancelled = Vec::new();
+        for attempt in &connection.attempts {
+            match self.state.attempts.get(attempt).map(|attempt| attempt.stage) {
+                Some(AttemptStage::Submitted { message, .. })
+                    if written_before < message && message <= up_to =>
+                {
                     self.state.counters.attempts_sent += 1;
                 }
-                Some(Stage::GivenUp(_, Some(message))) if message <= upto => settled.push(*id),
+                Some(AttemptStage::Cancelled { message: Some(message), .. }) if message <= up_to => {
+                    cancelled.push(*attempt);
+                }
                 _ => {}
             }
         }
-        for id in settled {
-            self.abandon(id, conn);
+        for attempt in cancelled {
+            self.cancellation_written(attempt, id);
+        }
+    }
+
+    /// Closes a connection whose oldest message has waited for too long. A leaf server that reads nothing must neither
+    /// make messages pile up, nor get them long after it began to drain, nor hold up the retries of cancelled attempts.
+    pub(super) fn check_write_timeout(&mut self, id: ConnectionId) {
+        let Some(connection) = self.state.connections.get(&id) else { return };
+        if connection.phase != ConnectionPhase::Established {
+            return;
+        }
+        let Some(oldest) = connection.unwritten_since.front() else { return };
+        let timeout_at = oldest + self.state.settings.connect_timeout;
+        if timeout_at <= self.now {
+            self.close_connection(id);
+        } else {
+            self.state.set_timer(timeout_at, Timer::WriteTimeout(id));
         }
     }
 
-    pub(super) fn broken(&mut self, conn: ConnectionId, why: &str, spoilt: bool) {
-        let Some(c) = self.state.connections.remove(&conn) else { return };
-        self.state.counters.connections_failed += u64::from(c.phase == Phase::Dialling);
-        if c.phase != Phase::Closing {
-            self.state.counters.connections_broken += 1;
-            if !why.is_empty() {
-                let reason = why.to_owned();
-                self.effects.push(Effect::Log(LogEvent::LeafConnectionEnded { replica: c.node, reason }));
+    pub(super) fn connection_ended(&mut self, id: ConnectionId, reason: String, protocol_error: bool) {
+        let Some(connection) = self.state.connections.remove(&id) else { return };
+        let counters = &mut self.state.counters;
+        let was_connecting = connection.phase == ConnectionPhase::Connecting;
+        counters.connections_failed += u64::from(was_connecting);
+        counters.connections_protocol_errors += u64::from(protocol_error);
+        if connection.phase != ConnectionPhase::Closing {
+            counters.connections_broken += 1;
+            if !reason.is_empty() {
+                let event = LogEvent::LeafConnectionEnded { replica: connection.replica, reason };
+                self.effects.push(Effect::Log(event));
             }
         }
-        self.state.counters.connections_spoilt += u64::from(spoilt);
-        self.lose(&c.attempts, &c.probes, &c, if spoilt { Outcome::Error } else { Outcome::Reset });
-        for id in c.attempts {
-            self.settle(id);
+        let loss = ConnectionLoss {
+            replica: connection.replica,
+            was_connecting,
+            messages_written: connection.messages_written,
+            written_outcome: if protocol_error { Outcome::Error } else { Outcome::Reset },
+        };
+        self.end_lost_work(&connection.attempts, &connection.health_checks, &loss);
+        for attempt in connection.attempts {
+            self.confirm_cancellation(attempt);
         }
     }
 
-    /// Ends a connection from this side. Whole frames on it stay unsettled until the end is confirmed.
-    pub(super) fn close(&mut self, conn: ConnectionId) {
-        let Some(c) = self.state.connections.get_mut(&conn).filter(|c| c.phase != Phase::Closing) else {
+    /// Ends a connection from this side. Attempts whose messages were submitted stay unconfirmed until the end of the
+    /// connection is.
+    pub(super) fn close_connection(&mut self, id: ConnectionId) {
+        let Some(connection) = self.state.connections.get_mut(&id) else { return };
+        if connection.phase == ConnectionPhase::Closing {
             return;
+        }
+        let loss = ConnectionLoss {
+            replica: connection.replica,
+            was_connecting: connection.phase == ConnectionPhase::Connecting,
+            // The writer may write a message completely before it sees the request to close.
+            messages_written: connection.messages_submitted(),
+            written_outcome: Outcome::Reset,
         };
+        connection.phase = ConnectionPhase::Closing;
+        let attempts = connection.attempts.clone();
+        let health_checks = std::mem::take(&mut connection.health_checks);
         self.state.counters.connections_closed += 1;
-        self.effects.push(Effect::CloseConnection(conn));
-        let was = std::mem::replace(&mut c.phase, Phase::Closing);
-        let lost = Conn { phase: was, probes: std::mem::take(&mut c.probes), ..Conn::new(c.node, self.now) };
-        // The writer may get a frame out before it sees the order to close: each may have run.
-        let (attempts, lost) = (c.attempts.clone(), Conn { written: c.handed(), ..lost });
-        self.lose(&attempts, &lost.probes, &lost, Outcome::Reset);
+        self.effects.push(Effect::CloseConnection(id));
+        self.end_lost_work(&attempts, &health_checks, &loss);
     }
 
-    /// Ends all attempts and probes of a connection that is no more, by what was written of them; `whole` is the
-    /// outcome of those that may have run.
-    pub(super) fn lose(
+    /// Ends the attempts and health checks of a connection that is lost. An attempt whose message was written completely
+    /// may have run; any other never did.
+    fn end_lost_work(
         &mut self,
         attempts: &BTreeSet<AttemptId>,
-        probes: &VecDeque<Probe>,
-        c: &Conn,
-        whole: Outcome,
+        health_checks: &VecDeque<PendingHealthCheck>,
+        loss: &ConnectionLoss,
     ) {
-        for id in attempts {
-            match self.state.attempts.get(id).map(|a| a.stage) {
-                // Part of a frame proves that it never ran; a whole one may have.
-                Some(Stage::Handed(_, message)) if message <= c.written => self.end(*id, whole, None),
-                Some(Stage::Placed(_) | Stage::Handed(..)) => self.end(*id, Outcome::ConnectFailed, None),
+        for attempt in attempts {
+            match self.state.attempts.get(attempt).map(|attempt| attempt.stage) {
+                Some(AttemptStage::Submitted { message, .. }) if message <= loss.messages_written => {
+                    self.end_attempt(*attempt, loss.written_outcome, None);
+                }
+                Some(AttemptStage::Queued { .. } | AttemptStage::Submitted { .. }) => {
+                    self.end_attempt(*attempt, Outcome::ConnectFailed, None);
+                }
                 _ => {}
             }
         }
-        let outcome = if c.phase == Phase::Dialling { Outcome::ConnectFailed } else { Outcome::Reset };
-        for probe in probes.iter().filter(|p| !p.over) {
-            self.tell_probed(c.node, outcome, self.now - probe.sent, None);
+        let outcome = if loss.was_connecting { Outcome::ConnectFailed } else { Outcome::Reset };
+        for check in health_checks.iter().filter(|check| !check.reported) {
+            self.report_health_check(loss.replica, outcome, self.now - check.sent_at, None);
         }
     }
 
-    /// Closes a connection that takes nothing new once nothing is out on it.
-    pub(super) fn close_if_done(&mut self, conn: ConnectionId) {
-        if self.state.connections.get(&conn).is_some_and(|c| c.retired && c.is_unused()) {
-            self.close(conn);
+    /// Closes a draining connection once nothing is in flight on it.
+    pub(super) fn close_if_drained(&mut self, id: ConnectionId) {
+        let Some(connection) = self.state.connections.get(&id) else { return };
+        if connection.draining && connection.is_unused() {
+            self.close_connection(id);
         }
     }
 
-    pub(super) fn arm_idle(&mut self, conn: ConnectionId) {
-        let keepalive = self.state.settings.idle_timeout;
-        let after = (IDLE_SHARE * keepalive).min((keepalive - IDLE_MARGIN).max(0.0)).max(1.0);
-        let Some(c) = self.state.connections.get(&conn) else { return };
-        let due = if c.is_unused() { c.used } else { self.now } + after;
-        if due <= self.now { self.close(conn) } else { self.state.arm(due, Timer::Idle(conn)) }
+    /// Closes a connection that has been idle for too long, or sets the timer for the next check.
+    pub(super) fn check_idle_timeout(&mut self, id: ConnectionId) {
+        let Some(connection) = self.state.connections.get(&id) else { return };
+        let keep_alive = self.state.settings.idle_timeout;
+        let by_share = IDLE_TIMEOUT_SHARE * keep_alive;
+        let by_margin = (keep_alive - MIN_IDLE_MARGIN).max(0.0);
+        let idle_timeout = by_share.min(by_margin).max(1.0);
+        let idle_since = if connection.is_unused() { connection.last_used_at } else { self.now };
+        let timeout_at = idle_since + idle_timeout;
+        if timeout_at <= self.now {
+            self.close_connection(id);
+        } else {
+            self.state.set_timer(timeout_at, Timer::IdleTimeout(id));
+        }
     }
 
-    /// A connection on which nothing came since a time: its machine may be gone without a word, and even back
-    /// without knowing it. New work finds out by a dial.
-    pub(super) fn retire_if_silent(&mut self, conn: ConnectionId, since: Millis) {
-        if let Some(c) = self.state.connections.get_mut(&conn).filter(|c| c.heard < since) {
-            c.retired = true;
-            self.close_if_done(conn);
+    /// Drains a connection on which nothing was received since a time. Its leaf server may have vanished, or restarted
+    /// without knowing the connection; new work finds that out on a new one.
+    pub(super) fn drain_if_silent(&mut self, id: ConnectionId, since: Millis) {
+        let Some(connection) = self.state.connections.get_mut(&id) else { return };
+        if connection.last_heard_at < since {
+            connection.draining = true;
+            self.close_if_drained(id);
         }
     }
 
-    /// Connections to a node that left or moved take nothing new.
-    pub(super) fn retire(&mut self, node: ReplicaId) {
-        let of_node = self.state.connections.iter_mut().filter(|(_, c)| c.node == node);
-        let ids: Vec<ConnectionId> = of_node.map(|(id, c)| (c.retired = true, *id).1).collect();
-        for conn in ids {
-            self.close_if_done(conn);
+    /// Drains all connections to a leaf server.
+    pub(super) fn drain_connections(&mut self, replica: ReplicaId) {
+        let mut drained = Vec::new();
+        for (id, connection) in self.state.connections.iter_mut() {
+            if connection.replica == replica {
+                connection.draining = true;
+                drained.push(*id);
+            }
+        }
+        for id in drained {
+            self.close_if_drained(id);
         }
     }
 }
--- a/src/aggregator/counters.rs
+++ b/src/aggregator/counters.rs
@@ -1,22 +1,23 @@
-//! What is taken in, sent and answered.
+//! Counters of what the aggregator has received, sent and answered.
 
+/// Declares [`Counters`]: each field with the name that it has on `/metrics` and its help text.
 macro_rules! counters {
-    ($($name:ident: $help:literal,)*) => {
-        /// Counts since the start.
+    ($($field:ident as $metric:literal: $help:literal,)*) => {
+        /// Counts since the start of the process. On `/metrics` some have older names.
         #[derive(Clone, Debug, Default, PartialEq, Eq)]
         pub struct Counters {
-            $(#[doc = $help] pub $name: u64,)*
+            $(#[doc = $help] pub $field: u64,)*
         }
 
         impl Counters {
-            /// One line each, in the text form that metric collectors read.
+            /// All counters in the text form that metric collectors read.
             pub fn text(&self) -> String {
                 let mut text = String::new();
                 $(text += &format!(
-                    concat!("# HELP sailmux_", stringify!($name), " ", $help, "\n",
-                            "# TYPE sailmux_", stringify!($name), " counter\n",
-                            "sailmux_", stringify!($name), " {}\n"),
-                    self.$name
+                    concat!("# HELP sailmux_", $metric, " ", $help, "\n",
+                            "# TYPE sailmux_", $metric, " counter\n",
+                            "sailmux_", $metric, " {}\n"),
+                    self.$field
                 );)*
                 text
             }
@@ -25,55 +26,55 @@
 }
 
 counters! {
-    clients_opened: "Client connections opened.",
-    clients_closed: "Client connections ended.",
-    clients_shed: "Idle client connections closed to make room for others.",
-    queries_taken: "Queries taken in.",
-    parts_taken: "Parts of those queries.",
-    queries_malformed: "Requests that no query could be read from.",
-    answers_whole: "Queries answered whole.",
-    answers_partial: "Queries answered from some of their parts.",
-    queries_refused: "Queries turned away.",
-    queries_failed: "Queries given up.",
-    queries_expired: "Queries whose time ran out.",
-    clients_gone: "Queries whose client left.",
-    attempts_sent: "Attempts written whole to a node.",
-    attempts_cold: "Attempts given to nodes that are not warm yet.",
-    attempts_good: "Attempts served.",
-    attempts_bad: "Attempts that ended in an error.",
-    attempts_rejected: "Attempts that a node turned away.",
-    attempts_timed_out: "Attempts without an answer in time.",
-    attempts_not_connected: "Attempts that found no connection.",
-    attempts_reset: "Attempts whose connection broke.",
-    attempts_cancelled: "Attempts called off.",
-    attempts_not_sent: "Attempts that were over before they left.",
-    answers_ignored: "Answers of nodes that nobody waited for any more.",
-    list_calls: "Calls to discovery for its list.",
-    probes_sent: "Probes sent.",
-    probes_answered: "Probes answered.",
-    probes_failed: "Probes without a good answer.",
-    reports_read: "Load reports of nodes taken in.",
-    reports_missing: "Good answers to probes without a load report that can be read.",
-    connections_dialled: "Connections to nodes begun.",
-    connections_failed: "Connections to nodes that were refused, or never came up in time.",
-    connections_up: "Connections to nodes that came up.",
-    connections_broken: "Connections to nodes that failed or were ended by the node.",
-    connections_spoilt: "Connections to nodes ended over what could not be read.",
-    connections_closed: "Connections to nodes that this mixer closed.",
-    lists_taken: "Lists of nodes and changes taken in.",
-    lists_held: "Lists of inventory files held back.",
-    lists_refused: "Inventory files that could not be taken.",
-    lists_confirmed: "Lists taken after they were held back.",
-    nodes_forgotten: "Nodes forgotten a while after they left the list.",
-    lists_unreadable: "Answers of discovery that could not be read; the last good list stands.",
-    watches_lost: "Watches of the list that ended or fell silent.",
-    ledger_entries: "Queries entered in the ledger.",
-    ledger_lost: "Entries that the ledger could not keep; a gap is recorded.",
-    ledger_failures: "Times that the ledger's disk began to fail.",
-    ledger_periods_closed: "Billing periods closed.",
-    ledger_exports: "Exports of the ledger done.",
-    operations: "Calls of operators on the second address.",
-    operations_refused: "Those that were told no: nobody has the name, or no room.",
-    reloads: "Times that the configuration was read anew.",
-    reloads_rejected: "Times that the old settings stood, for the file made no sense.",
+    clients_opened as "clients_opened": "Client connections opened.",
+    clients_closed as "clients_closed": "Client connections ended.",
+    idle_clients_closed as "clients_shed": "Idle client connections closed to free capacity for others.",
+    queries_received as "queries_taken": "Valid queries received.",
+    parts_received as "parts_taken": "Parts of those queries.",
+    queries_malformed as "queries_malformed": "Requests that no query could be read from.",
+    answers_complete as "answers_whole": "Queries with a complete answer.",
+    answers_partial as "answers_partial": "Queries with a partial answer.",
+    queries_rejected as "queries_refused": "Queries rejected.",
+    queries_failed as "queries_failed": "Queries failed.",
+    queries_expired as "queries_expired": "Queries whose deadline passed.",
+    clients_disconnected as "clients_gone": "Queries whose client disconnected before the answer.",
+    attempts_sent as "attempts_sent": "Attempts written completely to a leaf server.",
+    attempts_to_warming_servers as "attempts_cold": "Attempts for leaf servers that were warming up.",
+    attempts_served as "attempts_good": "Attempts served.",
+    attempts_failed as "attempts_bad": "Attempts that ended in an error.",
+    attempts_rejected as "attempts_rejected": "Attempts that a leaf server rejected.",
+    attempts_timed_out as "attempts_timed_out": "Attempts without an answer in time.",
+    attempts_connect_failed as "attempts_not_connected": "Attempts that found no connection.",
+    attempts_reset as "attempts_reset": "Attempts whose connection broke.",
+    attempts_cancelled as "attempts_cancelled": "Attempts cancelled.",
+    attempts_not_sent as "attempts_not_sent": "Attempts that were over before they were sent.",
+    late_answers_ignored as "answers_ignored": "Answers of leaf servers to attempts no longer in flight.",
+    discovery_polls as "list_calls": "Polls of discovery for the endpoint list.",
+    health_checks_sent as "probes_sent": "Health checks sent.",
+    health_checks_passed as "probes_answered": "Health checks passed.",
+    health_checks_failed as "probes_failed": "Health checks failed or without an answer.",
+    load_reports_received as "reports_read": "Load reports received from leaf servers.",
+    load_reports_missing as "reports_missing": "Health checks passed without a readable load report.",
+    connections_started as "connections_dialled": "Connections to leaf servers begun.",
+    connections_failed as "connections_failed": "Connections to leaf servers refused or not established in time.",
+    connections_established as "connections_up": "Connections to leaf servers established.",
+    connections_broken as "connections_broken": "Connections to leaf servers that failed or that the leaf server ended.",
+    connections_protocol_errors as "connections_spoilt": "Connections to leaf servers ended over unreadable bytes.",
+    connections_closed as "connections_closed": "Connections to leaf servers closed by this aggregator.",
+    endpoint_lists_applied as "lists_taken": "Endpoint lists and changes applied.",
+    endpoint_lists_held_back as "lists_held": "Lists of inventory files held back.",
+    endpoint_lists_rejected as "lists_refused": "Inventory files rejected.",
+    endpoint_lists_confirmed as "lists_confirmed": "Lists applied after they were held back.",
+    leaf_servers_forgotten as "nodes_forgotten": "Leaf servers forgotten some time after their removal from the list.",
+    discovery_answers_malformed as "lists_unreadable": "Answers of discovery that could not be read; the last good list stays in force.",
+    discovery_watches_lost as "watches_lost": "Watches of the endpoint list that ended or timed out.",
+    ledger_entries as "ledger_entries": "Queries recorded in the ledger.",
+    ledger_entries_lost as "ledger_lost": "Entries that the ledger could not store; a gap is recorded.",
+    ledger_write_failures as "ledger_failures": "Times that writing the ledger began to fail.",
+    ledger_periods_closed as "ledger_periods_closed": "Billing periods closed.",
+    ledger_exports as "ledger_exports": "Exports of the ledger finished.",
+    admin_commands as "operations": "Operators' commands on the admin address.",
+    admin_commands_rejected as "operations_refused": "Operators' commands rejected: unknown name or too many overrides.",
+    reloads as "reloads": "Reloads of the configuration.",
+    reloads_rejected as "reloads_rejected": "Reloads rejected because the configuration was invalid.",
 }
--- a/src/aggregator/endpoint_updates.rs
+++ b/src/aggregator/endpoint_updates.rs
@@ -1,125 +1,157 @@
-//! The list of nodes as membership gives it, and nodes that are forgotten.
+//! Changes of the endpoint list: what they mean for attempts, connections and the balancer, and when a leaf server that
+//! was removed is forgotten.
 
 use super::Effect;
+use super::records::LeafServer;
 use super::reduce::Reduction;
-use super::state::{Node, State, Timer};
-use crate::balancer::{self, Millis, ReplicaEntry, ReplicaId, ReplicaState};
-use crate::endpoints::{AuditEvent, EndpointList, EndpointState, Input, Output};
+use super::state::State;
+use super::timer::Timer;
+use crate::balancer::{self, Outcome, ReplicaEntry, ReplicaId, ReplicaState};
+use crate::config;
+use crate::endpoints::{AuditEvent, Endpoint, EndpointList, EndpointState, Input, Output};
 use std::collections::HashSet;
 
-fn replica_state(state: EndpointState) -> ReplicaState {
-    match state {
-        EndpointState::Ready => ReplicaState::Up,
-        EndpointState::Draining => ReplicaState::Draining,
-        EndpointState::Gone => ReplicaState::Removed,
-    }
+/// Leaf servers that a new endpoint list changes.
+#[derive(Default)]
+struct ChangedServers {
+    /// Off the list, or at another address: their connections are drained.
+    connections_outdated: Vec<ReplicaId>,
+    /// In another cell.
+    moved: Vec<ReplicaId>,
+    /// Not ready any more.
+    not_ready: Vec<ReplicaId>,
 }
 
 impl Reduction<'_> {
-    pub(super) fn membership(&mut self, input: Input, wall_ahead: Option<Millis>) {
-        self.state.wall_ahead = wall_ahead.unwrap_or(self.state.wall_ahead);
+    /// Gives an input to the endpoint registry and applies what comes of it.
+    pub(super) fn update_endpoints(&mut self, input: Input) {
         let mut outputs = Vec::new();
         self.state.endpoints.handle(self.now, input, &mut outputs);
         for output in outputs {
             match output {
-                Output::List(list) => self.nodes(list, self.state.wall_ahead),
-                Output::SetTimer(at) => self.state.arm(at, Timer::Endpoints),
-                Output::Audit(notice) => {
-                    let counters = &mut self.state.counters;
-                    match &notice {
-                        AuditEvent::ListHeldBack { .. } => counters.lists_held += 1,
-                        AuditEvent::ListRejected { .. } => counters.lists_refused += 1,
-                        AuditEvent::ListApplied { confirmed: true, .. } => counters.lists_confirmed += 1,
-                        _ => {}
-                    }
-                    self.effects.push(Effect::EndpointAudit(notice));
+                Output::List(list) => self.apply_endpoint_list(list),
+                Output::SetTimer(at) => self.state.set_timer(at, Timer::EndpointRegistry),
+                Output::Audit(event) => {
+                    self.count_audit_event(&event);
+                    self.effects.push(Effect::EndpointAudit(event));
                 }
             }
         }
     }
 
-    pub(super) fn nodes(&mut self, list: EndpointList, wall_ahead: Millis) {
-        self.state.counters.lists_taken += 1;
-        let mut entries = Vec::new();
-        let (mut leaving, mut moved, mut ending) = (Vec::new(), Vec::new(), Vec::new());
+    fn count_audit_event(&mut self, event: &AuditEvent) {
+        let counters = &mut self.state.counters;
+        match event {
+            AuditEvent::ListHeldBack { .. } => counters.endpoint_lists_held_back += 1,
+            AuditEvent::ListRejected { .. } => counters.endpoint_lists_rejected += 1,
+            AuditEvent::ListApplied { confirmed: true, .. } => counters.endpoint_lists_confirmed += 1,
+            _ => {}
+        }
+    }
+
+    fn apply_endpoint_list(&mut self, list: EndpointList) {
+        self.state.counters.endpoint_lists_applied += 1;
+        let mut changed = ChangedServers::default();
         if list.complete {
-            let ids = list.entries.iter().filter_map(|e| self.state.replica_ids.get(&e.name));
-            let listed: HashSet<ReplicaId> = ids.copied().collect();
-            leaving.extend(self.state.leaf_servers.keys().copied().filter(|id| !listed.contains(id)));
-            ending.extend(&leaving);
-            for id in &leaving {
-                if let Some(node) = self.state.leaf_servers.get_mut(id) {
-                    node.gone.get_or_insert(self.now);
-                }
-            }
+            self.mark_absent_servers(&list.entries, &mut changed);
         }
-        for e in list.entries {
-            let state = &mut *self.state;
-            let replica = *state.replica_ids.entry(e.name).or_insert_with(|| {
-                state.next_replica += 1;
-                ReplicaId(state.next_replica - 1)
-            });
-            let node = state.leaf_servers.entry(replica).or_insert_with(|| Node {
-                address: e.address.clone(),
-                cell: e.cell,
-                started_unix: 0.0,
-                started: None,
-                gone: None,
-            });
-            node.gone = (e.state == EndpointState::Gone).then_some(self.now);
-            if node.started_unix != e.started_at_unix {
-                node.started_unix = e.started_at_unix;
-                // A start that the wall clock puts in the future has been by now.
-                let started = (e.started_at_unix - wall_ahead).min(self.now);
-                node.started = (e.started_at_unix > 0.0).then_some(started);
-            }
-            if e.state != EndpointState::Ready {
-                ending.push(replica);
-            }
-            if node.address != e.address || e.state == EndpointState::Gone {
-                node.address = e.address;
-                leaving.push(replica);
-            }
-            if node.cell != e.cell {
-                node.cell = e.cell;
-                moved.push(replica);
+        let mut entries = Vec::new();
+        for endpoint in list.entries {
+            entries.push(self.apply_endpoint(endpoint, &mut changed));
+        }
+        for replica in changed.connections_outdated {
+            self.drain_connections(replica);
+        }
+        for replica in changed.moved {
+            // It may hold the shards of these attempts no more.
+            self.withdraw_unsent_attempts(replica, Outcome::ConnectFailed);
+        }
+        for replica in changed.not_ready {
+            self.shorten_send_deadlines(replica);
+        }
+        self.forget_removed_servers();
+        self.balancer_events.push_back(balancer::Event::EndpointList { complete: list.complete, entries });
+    }
+
+    /// Marks the leaf servers that are not on a complete list as removed.
+    fn mark_absent_servers(&mut self, endpoints: &[Endpoint], changed: &mut ChangedServers) {
+        let replica_ids = &self.state.replica_ids;
+        let listed = endpoints.iter().filter_map(|endpoint| replica_ids.get(&endpoint.name));
+        let listed: HashSet<ReplicaId> = listed.copied().collect();
+        for (replica, server) in &mut self.state.leaf_servers {
+            if !listed.contains(replica) {
+                server.removed_at.get_or_insert(self.now);
+                changed.connections_outdated.push(*replica);
+                changed.not_ready.push(*replica);
             }
-            let zone = crate::config::index_of(&state.settings.zones, &e.zone);
-            let (cell, weight, state) = (e.cell, e.weight, replica_state(e.state));
-            entries.push(ReplicaEntry { replica, cell, weight, state, started_at: node.started, zone });
         }
-        for node in leaving {
-            self.retire(node);
+    }
+
+    /// Takes over one entry of a list; returns it in the balancer's form.
+    fn apply_endpoint(&mut self, endpoint: Endpoint, changed: &mut ChangedServers) -> ReplicaEntry {
+        let state = &mut *self.state;
+        let replica = *state.replica_ids.entry(endpoint.name).or_insert_with(|| {
+            state.next_replica += 1;
+            ReplicaId(state.next_replica - 1)
+        });
+        let server = state.leaf_servers.entry(replica).or_insert_with(|| LeafServer {
+            address: endpoint.address.clone(),
+            cell: endpoint.cell,
+            started_at_unix: 0.0,
+            started_at: None,
+            removed_at: None,
+        });
+        let is_gone = endpoint.state == EndpointState::Gone;
+        server.removed_at = is_gone.then_some(self.now);
+        if server.started_at_unix != endpoint.started_at_unix {
+            server.started_at_unix = endpoint.started_at_unix;
+            // By a wrong wall clock the start may lie in the future.
+            let started_at = (endpoint.started_at_unix - state.wall_clock_ahead).min(self.now);
+            server.started_at = (endpoint.started_at_unix > 0.0).then_some(started_at);
+        }
+        if endpoint.state != EndpointState::Ready {
+            changed.not_ready.push(replica);
+        }
+        if is_gone || server.address != endpoint.address {
+            server.address = endpoint.address;
+            changed.connections_outdated.push(replica);
         }
-        for node in moved {
-            self.recall(node);
+        if server.cell != endpoint.cell {
+            server.cell = endpoint.cell;
+            changed.moved.push(replica);
         }
-        for node in ending {
-            self.hurry(node);
+        ReplicaEntry {
+            replica,
+            cell: endpoint.cell,
+            weight: endpoint.weight,
+            state: replica_state(endpoint.state),
+            started_at: server.started_at,
+            zone: config::index_of(&state.settings.zones, &endpoint.zone),
         }
-        self.forget_nodes();
-        self.news.push_back(balancer::Event::EndpointList { complete: list.complete, entries });
     }
 
-    /// Nodes gone for longer than any takes to get warm are new ones should they come back: where each release
-    /// brings new names, those of the old must not pile up.
-    pub(super) fn forget_nodes(&mut self) {
-        let State {
-            leaf_servers: nodes,
-            replica_ids: node_ids,
-            connections: conns,
-            settings: site,
-            counters,
-            ..
-        } = &mut *self.state;
-        let stays =
-            |gone: Option<Millis>| gone.is_none_or(|t| self.now - t < site.balancer.slow_start_window);
-        let before = nodes.len();
-        nodes.retain(|id, n| stays(n.gone) || conns.values().any(|c| c.node == *id));
-        let forgotten = before - nodes.len();
+    /// Forgets leaf servers that were removed so long ago that they would be warming up anew if they came back. Where
+    /// each release brings new names, the old ones must not pile up.
+    fn forget_removed_servers(&mut self) {
+        let State { leaf_servers, replica_ids, connections, settings, counters, .. } = &mut *self.state;
+        let retention = settings.balancer.slow_start_window;
+        let count_before = leaf_servers.len();
+        leaf_servers.retain(|replica, server| {
+            let is_recent = server.removed_at.is_none_or(|removed_at| self.now - removed_at < retention);
+            is_recent || connections.values().any(|connection| connection.replica == *replica)
+        });
+        let forgotten = count_before - leaf_servers.len();
         if forgotten > 0 {
-            counters.nodes_forgotten += forgotten as u64;
-            node_ids.retain(|_, id| nodes.contains_key(id));
+            counters.leaf_servers_forgotten += forgotten as u64;
+            replica_ids.retain(|_, replica| leaf_servers.contains_key(replica));
         }
     }
 }
+
+fn replica_state(state: EndpointState) -> ReplicaState {
+    match state {
+        EndpointState::Ready => ReplicaState::Up,
+        EndpointState::Draining => ReplicaState::Draining,
+        EndpointState::Gone => ReplicaState::Removed,
+    }
+}
--- a/src/aggregator/health_checks.rs
+++ b/src/aggregator/health_checks.rs
@@ -1,76 +1,92 @@
-//! Probes for load.
+//! Health checks of leaf servers; the balancer decides when one is worth its cost.
 
+use super::leaf_connection::{ConnectionPhase, PendingHealthCheck};
 use super::reduce::Reduction;
-use super::state::{Phase, Probe, Timer};
+use super::timer::Timer;
 use super::{ConnectionId, Effect};
-use crate::balancer::{self, LoadReport, Millis, Outcome, ReplicaId};
+use crate::balancer::{self, LoadReport, Outcome, ReplicaId};
+use crate::clock::Millis;
 
-/// A probe without an answer for so long has failed.
-const PROBE_TIMEOUT: Millis = 1000.0;
+/// A health check without an answer for so long has failed.
+const HEALTH_CHECK_TIMEOUT: Millis = 1000.0;
 
 impl Reduction<'_> {
-    pub(super) fn probe(&mut self, node: ReplicaId) {
-        let Some(conn) = self.connection_to(node, None) else {
-            return self.tell_probed(node, Outcome::ConnectFailed, 0.0, None);
+    pub(super) fn start_health_check(&mut self, replica: ReplicaId) {
+        let Some(id) = self.connection_for(replica, None) else {
+            self.report_health_check(replica, Outcome::ConnectFailed, 0.0, None);
+            return;
         };
-        self.state.counters.probes_sent += 1;
-        let Some(c) = self.state.connections.get_mut(&conn) else { return };
-        c.probes.push_back(Probe { sent: self.now, over: false });
-        let up = c.phase == Phase::Up;
-        c.probes_placed += u32::from(!up);
-        if up {
-            self.hand_probe(conn);
+        self.state.counters.health_checks_sent += 1;
+        let Some(connection) = self.state.connections.get_mut(&id) else { return };
+        connection.health_checks.push_back(PendingHealthCheck { sent_at: self.now, reported: false });
+        if connection.phase == ConnectionPhase::Established {
+            self.submit_health_check(id);
+        } else {
+            connection.queued_health_checks += 1;
         }
-        self.state.arm(self.now + PROBE_TIMEOUT, Timer::Probe(conn));
+        self.state.set_timer(self.now + HEALTH_CHECK_TIMEOUT, Timer::HealthCheckTimeout(id));
     }
 
-    pub(super) fn hand_probe(&mut self, conn: ConnectionId) {
-        let Some(c) = self.state.connections.get_mut(&conn) else { return };
-        c.hand(self.now);
-        self.effects.push(Effect::SendHealthCheck(conn));
-        self.state.arm(self.now + self.state.settings.connect_timeout, Timer::Stall(conn));
+    /// Passes a health check to the writer of an established connection.
+    pub(super) fn submit_health_check(&mut self, id: ConnectionId) {
+        let Some(connection) = self.state.connections.get_mut(&id) else { return };
+        connection.submit_message(self.now);
+        self.effects.push(Effect::SendHealthCheck(id));
+        let write_timeout_at = self.now + self.state.settings.connect_timeout;
+        self.state.set_timer(write_timeout_at, Timer::WriteTimeout(id));
     }
 
-    pub(super) fn probe_ended(&mut self, conn: ConnectionId, good: bool, report: Option<LoadReport>) {
-        let Some(c) = self.state.connections.get_mut(&conn) else { return };
-        c.heard = self.now;
-        let node = c.node;
-        if let Some(probe) = c.probes.pop_front().filter(|p| !p.over) {
-            let outcome = if good { Outcome::Ok } else { Outcome::Error };
-            self.tell_probed(node, outcome, self.now - probe.sent, report);
+    pub(super) fn health_check_answered(
+        &mut self,
+        id: ConnectionId,
+        healthy: bool,
+        report: Option<LoadReport>,
+    ) {
+        let Some(connection) = self.state.connections.get_mut(&id) else { return };
+        connection.last_heard_at = self.now;
+        let replica = connection.replica;
+        let answered = connection.health_checks.pop_front();
+        if let Some(check) = answered.filter(|check| !check.reported) {
+            let outcome = if healthy { Outcome::Ok } else { Outcome::Error };
+            self.report_health_check(replica, outcome, self.now - check.sent_at, report);
         }
-        self.close_if_done(conn);
+        self.close_if_drained(id);
     }
 
-    pub(super) fn tell_probed(
+    /// Counts a health check's outcome and gives it to the balancer.
+    pub(super) fn report_health_check(
         &mut self,
         replica: ReplicaId,
         outcome: Outcome,
-        took: Millis,
+        elapsed: Millis,
         report: Option<LoadReport>,
     ) {
         let counters = &mut self.state.counters;
-        counters.reports_read += u64::from(report.is_some());
-        counters.reports_missing += u64::from(outcome == Outcome::Ok && report.is_none());
-        match outcome {
-            Outcome::Ok => self.state.counters.probes_answered += 1,
-            _ => self.state.counters.probes_failed += 1,
+        counters.load_reports_received += u64::from(report.is_some());
+        if outcome == Outcome::Ok {
+            counters.health_checks_passed += 1;
+            counters.load_reports_missing += u64::from(report.is_none());
+        } else {
+            counters.health_checks_failed += 1;
         }
-        self.news.push_back(balancer::Event::HealthCheckEnded { replica, outcome, elapsed: took, report });
+        let event = balancer::Event::HealthCheckEnded { replica, outcome, elapsed, report };
+        self.balancer_events.push_back(event);
     }
 
-    pub(super) fn probe_timed_out(&mut self, conn: ConnectionId) {
-        let Some(c) = self.state.connections.get_mut(&conn) else { return };
-        let (node, due) = (c.node, self.now - PROBE_TIMEOUT);
-        let late: Vec<Millis> = c
-            .probes
-            .iter_mut()
-            .filter(|p| !p.over && p.sent <= due)
-            .map(|p| (p.over = true, p.sent).1)
-            .collect();
-        for sent in late {
-            self.tell_probed(node, Outcome::Timeout, self.now - sent, None);
-            self.retire_if_silent(conn, sent);
+    pub(super) fn health_check_timed_out(&mut self, id: ConnectionId) {
+        let Some(connection) = self.state.connections.get_mut(&id) else { return };
+        let replica = connection.replica;
+        let overdue_since = self.now - HEALTH_CHECK_TIMEOUT;
+        let mut overdue = Vec::new();
+        for check in &mut connection.health_checks {
+            if !check.reported && check.sent_at <= overdue_since {
+                check.reported = true;
+                overdue.push(check.sent_at);
+            }
+        }
+        for sent_at in overdue {
+            self.report_health_check(replica, Outcome::Timeout, self.now - sent_at, None);
+            self.drain_if_silent(id, sent_at);
         }
     }
 }
--- /dev/null
+++ b/src/aggregator/id.rs
@@ -0,0 +1,17 @@
+//! Identifiers that tie events and effects to clients, connections, attempts and admin calls.
+
+/// A client's HTTP connection or Flight call, numbered by the listeners. It has at most one query at a time.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct ClientId(pub u64);
+
+/// A connection to a leaf server, numbered by the aggregator.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct ConnectionId(pub u64);
+
+/// An attempt of a part, numbered by the aggregator.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct AttemptId(pub u64);
+
+/// An operator's call on the admin address, numbered by the caller.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct AdminCallId(pub u64);
--- /dev/null
+++ b/src/aggregator/ledger_entries.rs
@@ -0,0 +1,57 @@
+//! What the ledger records of each query with a final answer, and the counters by tenant.
+
+use super::Effect;
+use super::records::Part;
+use super::reduce::Reduction;
+use super::state::State;
+use crate::balancer::QueryId;
+use crate::ledger::{self, PriceList, TenantMetrics};
+
+/// What a ledger needs of the aggregator.
+pub(super) struct Billing {
+    prices: PriceList,
+    metrics: TenantMetrics,
+}
+
+impl Billing {
+    pub fn new(prices: PriceList) -> Self {
+        Billing { prices, metrics: TenantMetrics::default() }
+    }
+
+    /// The counters by tenant in the text form that metric collectors read.
+    pub fn metrics_text(&self) -> String {
+        self.metrics.text()
+    }
+
+    fn billed_work(&self, class: &str, served: u32, outcome: ledger::Outcome) -> u64 {
+        if outcome.is_billed() { self.prices.work(class, served) } else { 0 }
+    }
+}
+
+impl Reduction<'_> {
+    /// Records the end of a query, if a ledger is kept. The query's parts must not be forgotten yet.
+    pub(super) fn record_in_ledger(&mut self, query: QueryId, outcome: ledger::Outcome) {
+        let State { billing, queries, parts, counters, .. } = &mut *self.state;
+        let Some(billing) = billing else { return };
+        let Some(query) = queries.get(&query) else { return };
+        let parts_of_query = || query.parts.iter().filter_map(|part| parts.get(part));
+        let is_served = |part: &&Part| part.value.is_some();
+        let served = parts_of_query().filter(is_served).count() as u32;
+        let entry = ledger::Entry {
+            at: self.now as i64,
+            tenant: query.tenant.clone().unwrap_or_default(),
+            known: query.tenant_is_known,
+            class: query.class.to_string(),
+            query: query.name.to_string(),
+            asked: query.parts.len() as u32,
+            served,
+            attempts: parts_of_query().map(|part| part.attempts_started).sum(),
+            work: billing.billed_work(&query.class, served, outcome),
+            outcome,
+            share: query.share,
+        };
+        counters.ledger_entries += 1;
+        billing.metrics.count(&entry);
+        self.effects.push(Effect::LedgerEntry(query.client, entry));
+    }
+}
--- a/src/aggregator/lifecycle.rs
+++ b/src/aggregator/lifecycle.rs
@@ -1,54 +1,58 @@
-//! The mixer's own life: starting, ready, draining, handing over, leaving; the operators' orders; new settings.
-//! `docs/design/operations.md` draws it.
+//! The lifecycle of the process: startup, readiness, draining, hot restart and graceful shutdown.
+//! `docs/design/operations.md` draws its states.
 
+use super::records::Client;
 use super::reduce::Reduction;
-use super::state::{Client, Timer};
-use super::{AdminCallId, AdminCommand, AdminOutcome, Effect, Limits, LogEvent};
+use super::timer::Timer;
+use super::{Effect, LogEvent};
 use crate::clock::Millis;
-use crate::config::SiteSettings;
-use crate::endpoints::Input;
-use crate::hot_restart::{OverrideSubject, Overrides};
-use std::sync::Arc;
+use crate::hot_restart::OverrideSubject;
 
-/// Clients that are let go are served as ever for so long: the front notices only after a while, and clients whose
-/// connections go at once may find no other mixer yet. What comes later may not be answered in time.
-const SERVES: Millis = 650.0;
-/// A client that has shown no request for so long is idle while clients are let go.
-const IDLE: Millis = 100.0;
-/// A mixer that has a list is ready without a word from discovery after so long: it may be down.
-const HEARS: Millis = 1000.0;
-/// What was out and is back is remembered for so long at the least: every process of the mixer has heard of it then.
-const REMEMBERED: Millis = 60_000.0;
+/// Clients of a process that drains are served as before for so long: load balancers notice only after a while, and
+/// clients whose connections are closed at once may find no other aggregator yet.
+const CLIENT_GRACE_PERIOD: Millis = 650.0;
+/// A client without a request for so long is idle, and closed, once the grace period is over.
+const IDLE_CLIENT_AFTER: Millis = 100.0;
+/// A process that has an endpoint list is ready after so long even without an answer of discovery, which may be down.
+const MAX_DISCOVERY_WAIT: Millis = 1000.0;
 
-/// Where a mixer stands in its life.
+/// The state of the lifecycle. Times are by the aggregator's clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Lifecycle {
-    /// It has no list yet, or has not heard discovery.
+    /// There is no endpoint list yet, or discovery has not answered.
     Starting {
-        /// Since when.
+        /// When the process began to start.
         since: Millis,
     },
-    /// It serves.
+    /// Serving.
     Ready,
-    /// It serves on, and sends its clients away: an operator's order, until the next.
+    /// Serving, and sending its clients away until an operator cancels the drain.
     Draining {
-        /// Since when.
+        /// When the drain began.
         since: Millis,
     },
-    /// It ends, and another process of this mixer goes on.
+    /// Shutting down while another process of this aggregator takes over.
     HotRestarting {
-        /// Since when.
+        /// When clients were first sent away.
         since: Millis,
     },
-    /// It ends.
+    /// Shutting down without a successor.
     ShuttingDown {
-        /// Since when.
+        /// When clients were first sent away.
         since: Millis,
     },
 }
 
+/// How a process that drains gets rid of its clients.
+struct ClientDrain {
+    /// From when on a reply closes its connection.
+    close_after_reply_from: Millis,
+    /// From when on idle clients are closed.
+    close_idle_from: Millis,
+}
+
 impl Lifecycle {
-    /// Its name, for the log and the counters.
+    /// The state's name in the log.
     pub fn name(self) -> &'static str {
         match self {
             Self::Starting { .. } => "starting",
@@ -59,240 +63,180 @@
         }
     }
 
-    /// The process is to end.
+    /// Whether the process is to end.
     pub fn is_shutting_down(self) -> bool {
         matches!(self, Self::HotRestarting { .. } | Self::ShuttingDown { .. })
     }
 
-    /// Could this process serve, by `/-/ready`?
+    /// Whether this process can serve, as `/-/ready` reports it.
     pub fn can_serve(self) -> bool {
         matches!(self, Self::Ready | Self::Draining { .. })
     }
 
-    /// Is the mixer to be given clients, by `/healthz`? Where another process goes on the mixer is.
+    /// Whether load balancers should send clients to this aggregator, as `/healthz` reports it. During a hot restart
+    /// they should: another process takes them.
     fn wants_clients(self) -> bool {
         matches!(self, Self::Starting { .. } | Self::Ready | Self::HotRestarting { .. })
     }
 
-    /// From when on an answer ends its connection, and from when on idle clients are closed.
-    fn lets_go(self) -> Option<(Millis, Millis)> {
+    fn client_drain(self) -> Option<ClientDrain> {
         match self {
             Self::Starting { .. } | Self::Ready => None,
-            Self::HotRestarting { since } => Some((since, since + SERVES)),
-            Self::Draining { since } | Self::ShuttingDown { since } => Some((since + SERVES, since + SERVES)),
+            Self::HotRestarting { since } => Some(ClientDrain {
+                close_after_reply_from: since,
+                close_idle_from: since + CLIENT_GRACE_PERIOD,
+            }),
+            Self::Draining { since } | Self::ShuttingDown { since } => Some(ClientDrain {
+                close_after_reply_from: since + CLIENT_GRACE_PERIOD,
+                close_idle_from: since + CLIENT_GRACE_PERIOD,
+            }),
         }
     }
 
     /// From when on no client is accepted.
-    fn shuts(self) -> Option<Millis> {
+    fn stops_accepting_at(self) -> Option<Millis> {
         match self {
             Self::HotRestarting { since } => Some(since),
-            Self::ShuttingDown { since } => Some(since + SERVES),
-            _ => None,
+            Self::ShuttingDown { since } => Some(since + CLIENT_GRACE_PERIOD),
+            Self::Starting { .. } | Self::Ready | Self::Draining { .. } => None,
         }
     }
 }
 
-/// Other processes of this mixer.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Siblings {
-    /// Those that live.
-    pub others: usize,
-    /// One of them has said that it is ready.
-    pub any_ready: bool,
-}
-
 impl Reduction<'_> {
-    fn enter_life(&mut self, life: Lifecycle) {
-        if self.state.lifecycle.name() != life.name() {
-            let (from, to) = (self.state.lifecycle.name(), life.name());
-            self.effects.push(Effect::LifecycleChanged { from, to, ready: life.can_serve() });
+    fn enter_lifecycle(&mut self, lifecycle: Lifecycle) {
+        let from = self.state.lifecycle.name();
+        let to = lifecycle.name();
+        if from != to {
+            self.effects.push(Effect::LifecycleChanged { from, to, ready: lifecycle.can_serve() });
         }
-        self.state.lifecycle = life;
-        self.let_go();
+        self.state.lifecycle = lifecycle;
+        self.drain_clients();
     }
 
-    /// A start ends once there is a list and discovery has been heard, or has been silent for long enough.
-    pub(super) fn look_ready(&mut self, heard: bool) {
-        let Lifecycle::Starting { since } = self.state.lifecycle else { return };
-        if self.state.leaf_servers.is_empty() {
-            return;
+    // ---- Startup ---------------------------------------------------------------------------------------
+
+    /// Startup begins when the endpoint sources are first known.
+    pub(super) fn restart_startup(&mut self) {
+        self.state.lifecycle = Lifecycle::Starting { since: self.now };
+    }
+
+    /// Ends the startup if there is an endpoint list; discovery has answered or is not used.
+    pub(super) fn finish_startup(&mut self) {
+        if self.startup_with_endpoints().is_some() {
+            self.start_serving();
         }
-        if heard || self.now >= since + HEARS {
-            self.serve();
+    }
+
+    /// Ends the startup if there is an endpoint list and discovery has been silent for too long.
+    pub(super) fn await_discovery(&mut self) {
+        let Some(since) = self.startup_with_endpoints() else { return };
+        let wait_ends_at = since + MAX_DISCOVERY_WAIT;
+        if self.now >= wait_ends_at {
+            self.start_serving();
         } else {
-            self.state.arm(since + HEARS, Timer::Ready);
+            self.state.set_timer(wait_ends_at, Timer::DiscoveryWait);
         }
     }
 
-    /// Ready, or drained where an order says so.
-    fn serve(&mut self) {
-        let drained = self.state.overrides.is_active(&OverrideSubject::Aggregator);
-        self.enter_life(if drained { Lifecycle::Draining { since: self.now } } else { Lifecycle::Ready });
+    /// When the startup began, if the process is starting and has an endpoint list.
+    fn startup_with_endpoints(&self) -> Option<Millis> {
+        match self.state.lifecycle {
+            Lifecycle::Starting { since } if !self.state.leaf_servers.is_empty() => Some(since),
+            _ => None,
+        }
     }
 
-    pub(super) fn terminate(&mut self) {
+    fn start_serving(&mut self) {
+        let lifecycle = if self.has_drain_override() {
+            Lifecycle::Draining { since: self.now }
+        } else {
+            Lifecycle::Ready
+        };
+        self.enter_lifecycle(lifecycle);
+    }
+
+    // ---- Draining and shutdown -------------------------------------------------------------------------
+
+    /// Begins or ends a drain as the operators' overrides say.
+    pub(super) fn follow_drain_override(&mut self) {
+        let must_drain = self.has_drain_override();
+        match self.state.lifecycle {
+            Lifecycle::Ready if must_drain => {
+                self.enter_lifecycle(Lifecycle::Draining { since: self.now });
+            }
+            Lifecycle::Draining { .. } if !must_drain => self.enter_lifecycle(Lifecycle::Ready),
+            _ => {}
+        }
+    }
+
+    fn has_drain_override(&self) -> bool {
+        self.state.overrides.is_active(&OverrideSubject::Aggregator)
+    }
+
+    /// Begins the graceful shutdown that SIGTERM asks for.
+    pub(super) fn begin_shutdown(&mut self) {
         if self.state.lifecycle.is_shutting_down() {
             return;
         }
-        // Clients that a drain has let go already need no more time.
+        // Clients that a drain has sent away already need no second grace period.
         let since = match self.state.lifecycle {
             Lifecycle::Draining { since } => since,
             _ => self.now,
         };
-        let successor = self.state.siblings.any_ready;
+        let has_successor = self.state.siblings.any_ready;
         self.effects.push(Effect::Log(LogEvent::ShutdownRequested));
-        self.enter_life(if successor {
+        self.enter_lifecycle(if has_successor {
             Lifecycle::HotRestarting { since }
         } else {
             Lifecycle::ShuttingDown { since }
         });
     }
 
-    /// Is a client's connection to end with its answer?
-    pub(super) fn lets_go(&self) -> bool {
-        self.state.lifecycle.lets_go().is_some_and(|(answered, _)| self.now >= answered)
+    /// Whether a client's connection is to be closed after its reply.
+    pub(super) fn closes_after_reply(&self) -> bool {
+        let drain = self.state.lifecycle.client_drain();
+        drain.is_some_and(|drain| self.now >= drain.close_after_reply_from)
     }
 
-    /// Does this mixer take clients, by `/healthz`?
+    /// Whether this aggregator takes clients, as `/healthz` reports it.
     pub(super) fn is_healthy(&self) -> bool {
         self.state.lifecycle.wants_clients()
             && !self.state.leaf_servers.is_empty()
-            && !self.state.overrides.is_active(&OverrideSubject::Aggregator)
+            && !self.has_drain_override()
     }
 
-    /// While clients are let go: all are served for a while, then idle ones are closed; none are accepted by a process
-    /// that ends.
-    pub(super) fn let_go(&mut self) {
-        let life = self.state.lifecycle;
-        let Some((_, idle_from)) = life.lets_go() else { return };
-        let shuts = life.shuts().filter(|_| self.state.accepting_clients);
-        if shuts.is_some_and(|at| self.now >= at) {
+    /// The next step of a drain: stops accepting clients when that is due, and closes idle ones after the grace period.
+    pub(super) fn drain_clients(&mut self) {
+        let Some(drain) = self.state.lifecycle.client_drain() else { return };
+        self.stop_accepting_if_due();
+        if self.now < drain.close_idle_from {
+            self.state.set_timer(drain.close_idle_from, Timer::DrainClients);
+            return;
+        }
+        let is_idle =
+            |client: &Client| client.query.is_none() && client.idle_since + IDLE_CLIENT_AFTER <= self.now;
+        let idle = self.state.clients.iter().filter(|(_, client)| is_idle(client));
+        self.effects.extend(idle.map(|(id, _)| Effect::CloseClient(*id)));
+        self.state.set_timer(self.now + IDLE_CLIENT_AFTER, Timer::DrainClients);
+    }
+
+    fn stop_accepting_if_due(&mut self) {
+        let Some(stops_at) = self.state.lifecycle.stops_accepting_at() else { return };
+        if self.state.accepting_clients && self.now >= stops_at {
             self.state.accepting_clients = false;
             self.effects.push(Effect::StopAccepting);
         }
-        if self.now < idle_from {
-            return self.state.arm(idle_from, Timer::LetGo);
-        }
-        let idle = |c: &Client| c.query.is_none() && c.idle_since + IDLE <= self.now;
-        let idle = self.state.clients.iter().filter(|(_, c)| idle(c));
-        self.effects.extend(idle.map(|(id, _)| Effect::CloseClient(*id)));
-        self.state.arm(self.now + IDLE, Timer::LetGo);
     }
 
+    /// Ends the process once its shutdown is complete: no client is left, and none can come.
     pub(super) fn check_exit(&mut self) {
         let state = &mut *self.state;
-        if state.lifecycle.is_shutting_down()
-            && state.listener_closed
-            && state.clients.is_empty()
-            && !state.exited
-        {
+        let is_complete =
+            state.lifecycle.is_shutting_down() && state.listener_closed && state.clients.is_empty();
+        if is_complete && !state.exited {
             state.exited = true;
             self.effects.push(Effect::Exit);
         }
     }
-
-    // ---- Orders ---------------------------------------------------------------------------------------
-
-    pub(super) fn operate(&mut self, call: AdminCallId, operation: AdminCommand) {
-        self.state.counters.operations += 1;
-        let (subject, out) = match operation {
-            AdminCommand::CheckReady => {
-                let verdict = if self.state.lifecycle.can_serve() {
-                    AdminOutcome::Accepted
-                } else {
-                    AdminOutcome::Refused
-                };
-                return self.effects.push(Effect::AnswerAdmin(call, verdict));
-            }
-            AdminCommand::Disable(name) => (OverrideSubject::LeafServer(name), true),
-            AdminCommand::Enable(name) => (OverrideSubject::LeafServer(name), false),
-            AdminCommand::Drain => (OverrideSubject::Aggregator, true),
-            AdminCommand::Resume => (OverrideSubject::Aggregator, false),
-        };
-        if let OverrideSubject::LeafServer(name) = &subject
-            && self.state.endpoints.endpoint(name).is_none()
-            && !self.state.overrides.is_active(&subject)
-        {
-            self.state.counters.operations_refused += 1;
-            return self.effects.push(Effect::AnswerAdmin(call, AdminOutcome::UnknownEndpoint));
-        }
-        let now = self.now + self.state.wall_ahead;
-        match self.state.overrides.give(subject, out, now) {
-            Ok(changed) => {
-                if changed {
-                    self.obey();
-                }
-                // Kept in any case: a call that changed nothing here may find that it is not kept yet.
-                self.effects.push(Effect::StoreOverrides(call, self.state.overrides.clone()));
-            }
-            Err(_) => {
-                self.state.counters.operations_refused += 1;
-                self.effects.push(Effect::AnswerAdmin(call, AdminOutcome::Refused));
-            }
-        }
-    }
-
-    /// Orders that another process of this mixer was given, or that were kept from before.
-    pub(super) fn orders_found(&mut self, orders: &Overrides, digest: u32) {
-        if self.state.overrides.merge(orders) {
-            self.obey();
-        }
-        self.effects.push(Effect::OverridesApplied(digest));
-    }
-
-    /// Does what the orders say now.
-    fn obey(&mut self) {
-        let long_ago =
-            self.now + self.state.wall_ahead - REMEMBERED.max(self.state.settings.balancer.slow_start_window);
-        self.state.overrides.forget_before(long_ago);
-        let nodes = self.state.overrides.leaf_servers();
-        let out: Vec<Arc<str>> =
-            nodes.iter().filter(|(_, o)| o.active).map(|(name, _)| name.clone()).collect();
-        self.membership(Input::Overrides(nodes), None);
-        for name in out {
-            if let Some(node) = self.state.replica_ids.get(&name).copied() {
-                self.withdraw(node);
-                self.retire(node);
-            }
-        }
-        let drained = self.state.overrides.is_active(&OverrideSubject::Aggregator);
-        match self.state.lifecycle {
-            Lifecycle::Ready if drained => self.enter_life(Lifecycle::Draining { since: self.now }),
-            Lifecycle::Draining { .. } if !drained => self.enter_life(Lifecycle::Ready),
-            _ => {}
-        }
-    }
-
-    /// Other processes of this mixer have come or gone: what a process may hold open is shared among them.
-    pub(super) fn beside(&mut self, beside: Siblings) {
-        self.state.siblings = beside;
-        self.state.limits = self.state.process_limits.divided_among(1 + beside.others);
-        self.effects.push(Effect::SetClientCapacity(self.state.limits.max_client_connections()));
-    }
-
-    // ---- Settings -------------------------------------------------------------------------------------
-
-    /// New figures count for what comes from now on; what is held goes on as it began.
-    pub(super) fn settings(&mut self, site: SiteSettings, limits: Limits) {
-        let old = &self.state.settings;
-        let was = |name: &String| old.classes.iter().position(|c| c == name);
-        let was: Vec<Option<usize>> = site.classes.iter().map(was).collect();
-        let zones_moved = site.zones != old.zones;
-        // They were checked before, and are not turned down now.
-        if self.state.balancer.reconfigure(site.balancer.clone(), &was).is_err() {
-            self.state.counters.reloads_rejected += 1;
-            return;
-        }
-        self.state.counters.reloads += 1;
-        let layout = site.layout();
-        self.state.settings = site;
-        self.state.process_limits = limits;
-        self.beside(self.state.siblings);
-        self.membership(Input::Layout(layout), None);
-        if zones_moved {
-            // The module knows zones by their place in the settings.
-            self.membership(Input::Resend, None);
-        }
-    }
 }
--- a/src/aggregator/queries.rs
+++ b/src/aggregator/queries.rs
@@ -1,174 +1,154 @@
-//! Queries from their arrival to their one final answer, and what of them is entered in the ledger.
+//! Queries from their arrival to their one final answer.
 
+use super::query_validation::{QueryIndices, validate_query};
+use super::records::{AttemptStage, Part, Query};
 use super::reduce::Reduction;
-use super::state::{Part, Query, Stage, State, Timer};
-use super::{ClientId, Effect, NewQuery, Reply};
+use super::timer::Timer;
+use super::{AttemptId, ClientId, NewPart, NewQuery, QueryError, Reply};
 use crate::balancer::{self, Outcome, PartId, PartSpec, QueryId};
 use crate::ledger::{self, Share};
-
-/// Weights add up to one but for their rounding.
-const WEIGHT_ROUNDING: f64 = 0.01;
+use std::collections::BTreeMap;
 
 impl Reduction<'_> {
-    pub(super) fn query(&mut self, client: ClientId, new: NewQuery) {
+    pub(super) fn query_received(&mut self, client: ClientId, new: NewQuery) {
+        if !self.state.clients.contains_key(&client) {
+            return;
+        }
+        match self.validate(client, &new) {
+            Ok(indices) => self.start_query(client, new, indices),
+            Err(error) => {
+                self.state.counters.queries_malformed += 1;
+                self.reply(client, Reply::BadRequest(error));
+            }
+        }
+    }
+
+    fn validate(&self, client: ClientId, new: &NewQuery) -> Result<QueryIndices, QueryError> {
+        let indices = validate_query(new, &self.state.settings)?;
+        let client_is_busy = self.state.clients.get(&client).is_some_and(|client| client.query.is_some());
+        // Leaf servers identify a part by the query's name and the shard.
+        if client_is_busy || self.state.query_names.contains(&new.name) {
+            return Err(QueryError::NameInUse);
+        }
+        Ok(indices)
+    }
+
+    fn start_query(&mut self, client: ClientId, new: NewQuery, indices: QueryIndices) {
         let state = &mut *self.state;
-        let Some(c) = state.clients.get(&client) else { return };
-        let class = state.settings.classes.iter().position(|name| *name == new.class);
-        let tenant =
-            new.tenant.as_ref().and_then(|name| state.settings.tenants.iter().position(|t| t == name));
-        let mut shards: Vec<u32> = new.parts.iter().map(|p| p.shard).collect();
-        shards.sort_unstable();
-        let most = state.settings.shards.unwrap_or(u32::MAX);
-        let bad = |x: f64| !x.is_finite() || x < 0.0;
-        let sum: f64 = new.parts.iter().map(|p| p.weight).sum();
-        let problem = if class.is_none() {
-            Some("unknown class")
-        } else if tenant.is_none() && new.tenant.is_some() && !state.settings.tenants.is_empty() {
-            // Where there are tenants, what is no name of one would be served by nobody's share.
-            Some("unknown tenant")
-        } else if new.parts.is_empty() {
-            Some("no parts")
-        } else if shards.windows(2).any(|two| two[0] == two[1]) {
-            // Nodes know a part by query and shard: a shard named twice would be two parts of one name.
-            Some("a shard is named twice")
-        } else if shards.last().is_some_and(|last| *last >= most) {
-            Some("no such shard")
-        } else if new.parts.iter().any(|p| bad(p.weight) || p.cost_hint.is_some_and(bad))
-            || new.time_left.is_some_and(bad)
-        {
-            Some("a figure makes no sense")
-        } else if new.parts.iter().any(|p| p.weight == 0.0) || (sum - 1.0).abs() > WEIGHT_ROUNDING {
-            // What is whole is judged by weights.
-            Some("the weights are no shares of one")
-        } else if c.query.is_some() || state.query_names.contains(&new.name) {
-            // For the same reason a query's name must not be in use.
-            Some("the id is in use")
-        } else {
-            None
-        };
-        let (Some(class), None) = (class, problem) else {
-            state.counters.queries_malformed += 1;
-            return self.reply(client, Reply::BadRequest(problem.unwrap_or_default()));
-        };
-        state.counters.queries_taken += 1;
-        state.counters.parts_taken += new.parts.len() as u64;
+        state.counters.queries_received += 1;
+        state.counters.parts_received += new.parts.len() as u64;
         let query = QueryId(state.fresh_id());
-        let mut parts = Vec::new();
-        for p in &new.parts {
-            let part = PartId(state.fresh_id());
-            let fresh = Part {
-                query,
-                shard: p.shard,
-                attempts: 0,
-                live: Default::default(),
-                unsettled: 0,
-                held: None,
-                value: None,
-            };
-            state.parts.insert(part, fresh);
-            parts.push(PartSpec { part, shard: p.shard, weight: p.weight, cost_hint: p.cost_hint });
-        }
-        let ids = parts.iter().map(|p| p.part).collect();
+        let class_deadline = state.settings.balancer.classes[indices.class].deadline;
+        // A longer time than the class's deadline would only keep the timer for longer.
+        let time_left = new.time_left.map_or(class_deadline, |time_left| time_left.min(class_deadline));
+        let parts: Vec<PartSpec> = new.parts.iter().map(|part| self.add_part(query, part)).collect();
+
+        let state = &mut *self.state;
         state.query_names.insert(new.name.clone());
-        let held = Query {
+        let record = Query {
             client,
             class: new.class.into(),
-            tenant: (new.tenant, tenant.is_some()),
+            tenant: new.tenant,
+            tenant_is_known: indices.tenant.is_some(),
             share: Share::Within,
             name: new.name,
-            text: new.payload,
-            key: new.idempotency_key,
-            parts: ids,
+            payload: new.payload,
+            idempotency_key: new.idempotency_key,
+            parts: parts.iter().map(|part| part.part).collect(),
         };
-        state.queries.insert(query, held);
-        if let Some(c) = state.clients.get_mut(&client) {
-            c.query = Some(query);
+        state.queries.insert(query, record);
+        if let Some(client) = state.clients.get_mut(&client) {
+            client.query = Some(query);
         }
-        // A deadline beyond the class's own would keep its timer for just as long.
-        let most = state.settings.balancer.classes[class].deadline;
-        let time_left = new.time_left.map_or(most, |told| told.min(most));
-        state.arm(self.now + time_left, Timer::Query(query));
-        let retry = new.is_retry;
-        self.news.push_back(balancer::Event::Query {
+        state.set_timer(self.now + time_left, Timer::QueryDeadline(query));
+        self.balancer_events.push_back(balancer::Event::Query {
             query,
-            class,
-            tenant,
+            class: indices.class,
+            tenant: indices.tenant,
             time_left,
-            is_retry: retry,
+            is_retry: new.is_retry,
             parts,
         });
     }
 
-    /// Lets go of a query; attempts that are out stay until the module calls them off or they end.
-    pub(super) fn forget_query(&mut self, query: QueryId) -> Option<Query> {
-        let q = self.state.queries.remove(&query)?;
-        self.state.query_names.remove(&q.name);
-        for part in &q.parts {
-            let Some(p) = self.state.parts.get(part) else { continue };
-            let (over, live) = (p.live.is_empty(), p.live.clone());
-            for attempt in live.into_values() {
-                let stage = self.state.attempts.get(&attempt).map(|a| a.stage);
-                if matches!(stage, Some(Stage::Held | Stage::Placed(_))) {
-                    self.end(attempt, Outcome::NotSent, None);
-                }
-            }
-            if over {
-                self.state.parts.remove(part);
-            }
-        }
-        Some(q)
+    fn add_part(&mut self, query: QueryId, new: &NewPart) -> PartSpec {
+        let part = PartId(self.state.fresh_id());
+        let record = Part {
+            query,
+            shard: new.shard,
+            attempts_started: 0,
+            open_attempts: BTreeMap::new(),
+            unconfirmed_cancellations: 0,
+            waiting_attempt: None,
+            value: None,
+        };
+        self.state.parts.insert(part, record);
+        PartSpec { part, shard: new.shard, weight: new.weight, cost_hint: new.cost_hint }
     }
 
-    pub(super) fn finish(&mut self, query: QueryId, reply: impl FnOnce(&State, &Query) -> Reply) {
-        let Some(q) = self.state.queries.get(&query) else { return };
-        let (client, reply) = (q.client, reply(self.state, q));
-        let counters = &mut self.state.counters;
-        match reply {
-            Reply::Answer { complete: true, .. } => counters.answers_whole += 1,
-            Reply::Answer { .. } => counters.answers_partial += 1,
-            Reply::Rejected { .. } => counters.queries_refused += 1,
-            Reply::Expired => counters.queries_expired += 1,
-            _ => counters.queries_failed += 1,
-        }
-        self.enter(
-            query,
-            match reply {
-                Reply::Answer { complete: true, .. } => ledger::Outcome::Whole,
-                Reply::Answer { .. } => ledger::Outcome::Partial,
-                Reply::Rejected { .. } => ledger::Outcome::Refused,
-                Reply::Expired => ledger::Outcome::Expired,
-                _ => ledger::Outcome::Failed,
-            },
-        );
+    /// Gives a query its final answer.
+    pub(super) fn finish_query(&mut self, query: QueryId, reply: Reply) {
+        let Some(client) = self.state.queries.get(&query).map(|query| query.client) else { return };
+        let outcome = ledger_outcome(&reply);
+        self.count_outcome(outcome);
+        self.record_in_ledger(query, outcome);
         self.forget_query(query);
         self.reply(client, reply);
     }
 
-    /// Enters a query's end in the ledger, if one is kept: before its parts are let go of.
-    pub(super) fn enter(&mut self, query: QueryId, outcome: ledger::Outcome) {
-        let State { billing: Some((prices, metrics)), queries, parts, counters, .. } = &mut *self.state
-        else {
-            return;
-        };
-        let Some(q) = queries.get(&query) else { return };
-        let of_query = || q.parts.iter().filter_map(|p| parts.get(p));
-        let served = of_query().filter(|p| p.value.is_some()).count() as u32;
-        let class = q.class.to_string();
-        counters.ledger_entries += 1;
-        let entry = ledger::Entry {
-            at: self.now as i64,
-            tenant: q.tenant.0.clone().unwrap_or_default(),
-            known: q.tenant.1,
-            work: if outcome.is_billed() { prices.work(&class, served) } else { 0 },
-            class,
-            query: q.name.to_string(),
-            asked: q.parts.len() as u32,
-            served,
-            attempts: of_query().map(|p| p.attempts).sum(),
-            outcome,
-            share: q.share,
+    /// Counts how a query ended.
+    pub(super) fn count_outcome(&mut self, outcome: ledger::Outcome) {
+        let counters = &mut self.state.counters;
+        let counter = match outcome {
+            ledger::Outcome::Whole => &mut counters.answers_complete,
+            ledger::Outcome::Partial => &mut counters.answers_partial,
+            ledger::Outcome::Refused => &mut counters.queries_rejected,
+            ledger::Outcome::Failed => &mut counters.queries_failed,
+            ledger::Outcome::Expired => &mut counters.queries_expired,
+            ledger::Outcome::Gone => &mut counters.clients_disconnected,
         };
-        metrics.count(&entry);
-        self.effects.push(Effect::LedgerEntry(q.client, entry));
+        *counter += 1;
+    }
+
+    /// The balancer ends every query before its deadline; this is the last resort should it fail to.
+    pub(super) fn query_expired(&mut self, query: QueryId) {
+        if self.state.queries.contains_key(&query) {
+            self.finish_query(query, Reply::Expired);
+            self.balancer_events.push_back(balancer::Event::ClientDisconnected { query });
+        }
+    }
+
+    /// Drops a query, and its attempts that were not passed to a writer. The others stay until the balancer cancels
+    /// them or they end.
+    pub(super) fn forget_query(&mut self, query: QueryId) {
+        let Some(query) = self.state.queries.remove(&query) else { return };
+        self.state.query_names.remove(&query.name);
+        for part in query.parts {
+            let Some(record) = self.state.parts.get(&part) else { continue };
+            let open_attempts: Vec<AttemptId> = record.open_attempts.values().copied().collect();
+            if open_attempts.is_empty() {
+                self.state.parts.remove(&part);
+                continue;
+            }
+            for attempt in open_attempts {
+                let stage = self.state.attempts.get(&attempt).map(|attempt| attempt.stage);
+                if matches!(stage, Some(AttemptStage::Waiting | AttemptStage::Queued { .. })) {
+                    self.end_attempt(attempt, Outcome::NotSent, None);
+                }
+            }
+        }
+    }
+}
+
+/// How a query with this final answer ended.
+fn ledger_outcome(reply: &Reply) -> ledger::Outcome {
+    match reply {
+        Reply::Answer { complete: true, .. } => ledger::Outcome::Whole,
+        Reply::Answer { complete: false, .. } => ledger::Outcome::Partial,
+        Reply::Rejected { .. } => ledger::Outcome::Refused,
+        Reply::Expired => ledger::Outcome::Expired,
+        Reply::Failed | Reply::BadRequest(_) | Reply::Health { .. } | Reply::Metrics(_) => {
+            ledger::Outcome::Failed
+        }
     }
 }
--- /dev/null
+++ b/src/aggregator/query_validation.rs
@@ -0,0 +1,111 @@
+//! Whether a query that was read can be run under the settings in force.
+
+use super::{NewPart, NewQuery};
+use crate::config::SiteSettings;
+use std::error::Error;
+use std::fmt;
+
+/// How far the weights of a query's parts may be from a sum of one, since they are rounded.
+const WEIGHT_TOLERANCE: f64 = 0.01;
+
+/// Why a query is invalid. The texts go to the client.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum QueryError {
+    /// The settings have no class of that name.
+    UnknownClass,
+    /// The settings list tenants, and this one is not among them.
+    UnknownTenant,
+    /// The query has no parts.
+    NoParts,
+    /// Two parts are for the same shard.
+    DuplicateShard,
+    /// A part is for a shard beyond the number of shards.
+    UnknownShard,
+    /// A weight, cost hint or time is negative, infinite or NaN.
+    InvalidNumber,
+    /// A weight is zero, or the weights do not sum to one.
+    InvalidWeights,
+    /// The client has a query in flight, or the query's identifier is in use.
+    NameInUse,
+}
+
+impl fmt::Display for QueryError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            QueryError::UnknownClass => "unknown class",
+            QueryError::UnknownTenant => "unknown tenant",
+            QueryError::NoParts => "no parts",
+            QueryError::DuplicateShard => "a shard is named twice",
+            QueryError::UnknownShard => "no such shard",
+            QueryError::InvalidNumber => "a figure makes no sense",
+            QueryError::InvalidWeights => "the weights are no shares of one",
+            QueryError::NameInUse => "the id is in use",
+        })
+    }
+}
+
+impl Error for QueryError {}
+
+impl From<QueryError> for String {
+    fn from(error: QueryError) -> Self {
+        error.to_string()
+    }
+}
+
+/// What a valid query's names stand for in the balancer's settings.
+pub(super) struct QueryIndices {
+    pub class: usize,
+    /// None without a tenant, or where the settings list no tenants.
+    pub tenant: Option<usize>,
+}
+
+/// Checks all of a query that does not depend on what is in flight.
+pub(super) fn validate_query(query: &NewQuery, settings: &SiteSettings) -> Result<QueryIndices, QueryError> {
+    let class = settings.classes.iter().position(|name| *name == query.class);
+    let class = class.ok_or(QueryError::UnknownClass)?;
+    let tenant = find_tenant(query, settings)?;
+    validate_shards(&query.parts, settings.shards)?;
+    if has_invalid_number(query) {
+        return Err(QueryError::InvalidNumber);
+    }
+    validate_weights(&query.parts)?;
+    Ok(QueryIndices { class, tenant })
+}
+
+fn find_tenant(query: &NewQuery, settings: &SiteSettings) -> Result<Option<usize>, QueryError> {
+    let Some(name) = &query.tenant else { return Ok(None) };
+    let tenant = settings.tenants.iter().position(|known| known == name);
+    // Where tenants have quotas, an unknown one would be served on nobody's quota.
+    if tenant.is_none() && !settings.tenants.is_empty() {
+        return Err(QueryError::UnknownTenant);
+    }
+    Ok(tenant)
+}
+
+fn validate_shards(parts: &[NewPart], shard_count: Option<u32>) -> Result<(), QueryError> {
+    let mut shards: Vec<u32> = parts.iter().map(|part| part.shard).collect();
+    shards.sort_unstable();
+    let Some(last) = shards.last() else { return Err(QueryError::NoParts) };
+    // Leaf servers identify a part by query and shard.
+    if shards.windows(2).any(|pair| pair[0] == pair[1]) {
+        return Err(QueryError::DuplicateShard);
+    }
+    if *last >= shard_count.unwrap_or(u32::MAX) {
+        return Err(QueryError::UnknownShard);
+    }
+    Ok(())
+}
+
+fn has_invalid_number(query: &NewQuery) -> bool {
+    let is_invalid = |number: f64| !number.is_finite() || number < 0.0;
+    let part_is_invalid = |part: &NewPart| is_invalid(part.weight) || part.cost_hint.is_some_and(is_invalid);
+    query.parts.iter().any(part_is_invalid) || query.time_left.is_some_and(is_invalid)
+}
+
+fn validate_weights(parts: &[NewPart]) -> Result<(), QueryError> {
+    let sum: f64 = parts.iter().map(|part| part.weight).sum();
+    if parts.iter().any(|part| part.weight == 0.0) || (sum - 1.0).abs() > WEIGHT_TOLERANCE {
+        return Err(QueryError::InvalidWeights);
+    }
+    Ok(())
+}
--- a/src/aggregator/reduce.rs
+++ b/src/aggregator/reduce.rs
@@ -1,189 +1,214 @@
-//! The reducer: every state change of the mixer, and the effects that follow from it.
+//! The entry of the state machine: [`reduce`] dispatches an event, and then lets the balancer react until it has
+//! nothing more to ask for. Each concern's part of [`Reduction`] lies in its own module.
 
-use super::state::{Part, Phase, State, Timer};
-use super::{Effect, Event, Lifecycle, LogEvent, Reply};
-use crate::balancer::{self, Action, Millis, Outcome};
-use crate::endpoints::Input;
+use super::records::{Part, Query};
+use super::state::State;
+use super::timer::Timer;
+use super::{ClientId, Effect, Event, LogEvent, Reply};
+use crate::balancer::{self, Action, Outcome, PartId, QueryId};
+use crate::clock::Millis;
+use crate::endpoints::{EndpointList, Input};
 use crate::ledger::{LedgerEvent, Share};
+use bytes::Bytes;
 use std::collections::VecDeque;
 
-/// Applies an event to the state; what is to be done about it comes back in order.
+/// Applies an event to the state, at a time by the aggregator's clock. The caller carries out the effects in their
+/// order.
 pub fn reduce(state: &mut State, now: Millis, event: Event) -> Vec<Effect> {
-    let mut step = Reduction { state, now, effects: Vec::new(), news: VecDeque::new() };
-    step.apply(event);
-    step.withdraw_late();
-    step.settle_module();
-    step.flush_calls();
-    step.check_exit();
-    step.effects
+    let mut reduction = Reduction { state, now, effects: Vec::new(), balancer_events: VecDeque::new() };
+    reduction.apply(event);
+    reduction.withdraw_overdue_attempts();
+    reduction.run_balancer();
+    reduction.flush_calls();
+    reduction.check_exit();
+    reduction.effects
 }
 
-/// One application of the reducer.
+/// One call of [`reduce`].
 pub(super) struct Reduction<'a> {
     pub(super) state: &'a mut State,
     pub(super) now: Millis,
+    /// What the caller is to do, in order.
     pub(super) effects: Vec<Effect>,
-    /// What the module has yet to be told.
-    pub(super) news: VecDeque<balancer::Event>,
+    /// Events that the balancer has not handled yet, in order.
+    pub(super) balancer_events: VecDeque<balancer::Event>,
 }
 
 impl Reduction<'_> {
     fn apply(&mut self, event: Event) {
-        let now = self.now;
         match event {
             Event::ClientOpened(client) => self.client_opened(client),
             Event::ClientClosed(client) => self.client_closed(client),
-            Event::QueryReceived(client, query) => self.query(client, query),
-            Event::RequestMalformed(client) => {
-                self.state.counters.queries_malformed += 1;
-                if let Some(c) = client.and_then(|client| self.state.clients.get_mut(&client)) {
-                    c.idle_since = now;
-                }
-            }
-            Event::HealthRequested(client) => {
-                let ready = self.is_healthy();
-                self.reply(client, Reply::Health { ready });
-            }
-            Event::MetricsRequested(client) => {
-                let text = self.state.counters_text();
-                self.reply(client, Reply::Metrics(text));
-            }
-            Event::Connected(conn) => self.connected(conn),
-            Event::Written(conn, upto) => self.written(conn, upto),
-            Event::AttemptAnswered { connection: conn, attempt, outcome: end, rows, report } => {
-                self.part_ended(conn, attempt, end, rows, report);
-            }
-            Event::HealthCheckEnded { connection: conn, healthy: good, report } => {
-                self.probe_ended(conn, good, report)
-            }
-            Event::ConnectionEnded { connection: conn, reason: why, protocol_error: spoilt } => {
-                self.broken(conn, &why, spoilt)
-            }
-            Event::EndpointList { list, wall_ahead } => {
-                self.membership(Input::Discovery(list), Some(wall_ahead));
-                self.look_ready(true);
-            }
-            Event::EndpointSource { input, wall_ahead } => {
-                // Without discovery there is nothing to hear.
-                let alone = matches!(input, Input::Started { known: None, .. });
-                if matches!(input, Input::Started { .. }) {
-                    self.state.lifecycle = Lifecycle::Starting { since: now };
-                }
-                self.membership(input, Some(wall_ahead));
-                self.look_ready(alone);
-            }
-            Event::DiscoveryPolled => self.state.counters.list_calls += 1,
-            Event::DiscoveryWatchLost { unreadable } => {
-                self.state.counters.watches_lost += 1;
-                self.state.counters.lists_unreadable += u64::from(unreadable);
-                self.news.push_back(balancer::Event::EndpointListFailed);
-            }
-            Event::Ledger(told) => {
-                let counters = &mut self.state.counters;
-                match told {
-                    LedgerEvent::EntriesLost(gap) => counters.ledger_lost += gap.entries,
-                    LedgerEvent::WriteFailed(_) => counters.ledger_failures += 1,
-                    LedgerEvent::PeriodClosed(_) => counters.ledger_periods_closed += 1,
-                    LedgerEvent::ExportFinished(_) => counters.ledger_exports += 1,
-                    LedgerEvent::Durable(_) | LedgerEvent::Recovered => {}
-                }
-            }
-            Event::SettingsReloaded(site, limits) => self.settings(*site, limits),
+            Event::QueryReceived(client, query) => self.query_received(client, query),
+            Event::RequestMalformed(client) => self.request_malformed(client),
+            Event::HealthRequested(client) => self.health_requested(client),
+            Event::MetricsRequested(client) => self.metrics_requested(client),
+            Event::Connected(connection) => self.connection_established(connection),
+            Event::Written(connection, message) => self.messages_written(connection, message),
+            Event::AttemptAnswered { connection, attempt, outcome, rows, report } => {
+                self.attempt_answered(connection, attempt, outcome, rows, report);
+            }
+            Event::HealthCheckEnded { connection, healthy, report } => {
+                self.health_check_answered(connection, healthy, report);
+            }
+            Event::ConnectionEnded { connection, reason, protocol_error } => {
+                self.connection_ended(connection, reason, protocol_error);
+            }
+            Event::EndpointList { list, wall_ahead } => self.discovery_answered(list, wall_ahead),
+            Event::EndpointSource { input, wall_ahead } => self.endpoint_source_changed(input, wall_ahead),
+            Event::DiscoveryPolled => self.state.counters.discovery_polls += 1,
+            Event::DiscoveryWatchLost { unreadable } => self.discovery_watch_lost(unreadable),
+            Event::Ledger(event) => self.count_ledger_event(&event),
+            Event::SettingsReloaded(settings, limits) => self.reload_settings(*settings, limits),
             Event::ReloadRejected => self.state.counters.reloads_rejected += 1,
-            Event::AdminCommand(call, operation) => self.operate(call, operation),
-            Event::OverridesLoaded(orders, digest) => self.orders_found(&orders, digest),
-            Event::SiblingsChanged(beside) => self.beside(beside),
+            Event::AdminCommand(call, command) => self.run_admin_command(call, command),
+            Event::OverridesLoaded(overrides, digest) => self.overrides_loaded(&overrides, digest),
+            Event::SiblingsChanged(siblings) => self.siblings_changed(siblings),
             Event::ListenerClosed => self.state.listener_closed = true,
-            Event::TimerFired => {
-                while let Some((at, timer)) = self.state.timers.first().copied().filter(|t| t.0 <= now.into())
-                {
-                    self.state.timers.remove(&(at, timer));
-                    self.timer(timer);
-                }
-            }
-            Event::ShutdownRequested => self.terminate(),
+            Event::TimerFired => self.fire_due_timers(),
+            Event::ShutdownRequested => self.begin_shutdown(),
         }
     }
 
-    /// Tells the module all news and carries out what it wants, until it is content.
-    fn settle_module(&mut self) {
+    fn health_requested(&mut self, client: ClientId) {
+        let ready = self.is_healthy();
+        self.reply(client, Reply::Health { ready });
+    }
+
+    fn metrics_requested(&mut self, client: ClientId) {
+        let text = self.state.counters_text();
+        self.reply(client, Reply::Metrics(text));
+    }
+
+    fn discovery_answered(&mut self, list: EndpointList, wall_clock_ahead: Millis) {
+        self.state.wall_clock_ahead = wall_clock_ahead;
+        self.update_endpoints(Input::Discovery(list));
+        self.finish_startup();
+    }
+
+    fn endpoint_source_changed(&mut self, input: Input, wall_clock_ahead: Millis) {
+        self.state.wall_clock_ahead = wall_clock_ahead;
+        let (is_start, uses_discovery) = match &input {
+            Input::Started { known, .. } => (true, known.is_some()),
+            _ => (false, true),
+        };
+        if is_start {
+            self.restart_startup();
+        }
+        self.update_endpoints(input);
+        if uses_discovery {
+            self.await_discovery();
+        } else {
+            self.finish_startup();
+        }
+    }
+
+    fn discovery_watch_lost(&mut self, unreadable: bool) {
+        let counters = &mut self.state.counters;
+        counters.discovery_watches_lost += 1;
+        counters.discovery_answers_malformed += u64::from(unreadable);
+        self.balancer_events.push_back(balancer::Event::EndpointListFailed);
+    }
+
+    fn count_ledger_event(&mut self, event: &LedgerEvent) {
+        let counters = &mut self.state.counters;
+        match event {
+            LedgerEvent::EntriesLost(gap) => counters.ledger_entries_lost += gap.entries,
+            LedgerEvent::WriteFailed(_) => counters.ledger_write_failures += 1,
+            LedgerEvent::PeriodClosed(_) => counters.ledger_periods_closed += 1,
+            LedgerEvent::ExportFinished(_) => counters.ledger_exports += 1,
+            LedgerEvent::Durable(_) | LedgerEvent::Recovered => {}
+        }
+    }
+
+    fn fire_due_timers(&mut self) {
+        while let Some(timer) = self.state.timers.pop_due(self.now) {
+            self.fire_timer(timer);
+        }
+    }
+
+    fn fire_timer(&mut self, timer: Timer) {
+        match timer {
+            Timer::Balancer => self.balancer_events.push_back(balancer::Event::Timer),
+            Timer::QueryDeadline(query) => self.query_expired(query),
+            Timer::AttemptTimeout(attempt) => self.attempt_timed_out(attempt),
+            Timer::SendDeadline(attempt) => self.send_deadline_passed(attempt),
+            Timer::ConnectTimeout(connection) => self.connect_timed_out(connection),
+            Timer::WriteTimeout(connection) => self.check_write_timeout(connection),
+            Timer::IdleTimeout(connection) => self.check_idle_timeout(connection),
+            Timer::HealthCheckTimeout(connection) => self.health_check_timed_out(connection),
+            Timer::DrainClients => self.drain_clients(),
+            Timer::DiscoveryWait => self.await_discovery(),
+            Timer::EndpointRegistry => self.update_endpoints(Input::TimerFired),
+        }
+    }
+
+    /// Gives the balancer all pending events and applies its actions, until none are left.
+    fn run_balancer(&mut self) {
         let mut actions = Vec::new();
-        while let Some(event) = self.news.pop_front() {
-            let arrived = match &event {
+        while let Some(event) = self.balancer_events.pop_front() {
+            let tenants_query = match &event {
                 balancer::Event::Query { query, tenant: Some(_), .. } => Some(*query),
                 _ => None,
             };
             self.state.balancer.handle(self.now, event, &mut actions);
-            if let Some(q) = arrived.and_then(|id| self.state.queries.get_mut(&id))
-                && !self.state.balancer.last_query_within_quota()
-            {
-                q.share = Share::Beyond;
+            if let Some(query) = tenants_query {
+                self.note_quota_use(query);
             }
             for action in actions.drain(..) {
-                self.act(action);
+                self.apply_action(action);
             }
         }
     }
 
-    fn act(&mut self, action: Action) {
+    /// Marks a query that the balancer has just found to exceed its tenant's quota.
+    fn note_quota_use(&mut self, query: QueryId) {
+        let within_quota = self.state.balancer.last_query_within_quota();
+        if let Some(query) = self.state.queries.get_mut(&query)
+            && !within_quota
+        {
+            query.share = Share::Beyond;
+        }
+    }
+
+    fn apply_action(&mut self, action: Action) {
         match action {
-            Action::Send { part, replica, timeout, send_by: by } => {
-                self.state.counters.attempts_cold += u64::from(self.state.balancer.is_warming_up(replica));
-                self.send(part, replica, timeout, by);
+            Action::Send { part, replica, timeout, send_by } => {
+                let is_warming_up = self.state.balancer.is_warming_up(replica);
+                self.state.counters.attempts_to_warming_servers += u64::from(is_warming_up);
+                self.start_attempt(part, replica, timeout, send_by);
             }
-            Action::Cancel { part, attempt } => {
-                let live = self.state.parts.get(&part).and_then(|p| p.live.get(&attempt).copied());
-                if let Some(id) = live {
-                    self.end(id, Outcome::Cancelled, None);
-                }
+            Action::Cancel { part, attempt } => self.cancel_attempt(part, attempt),
+            Action::Answer { query, complete } => {
+                let values = self.answer_values(query);
+                self.finish_query(query, Reply::Answer { complete, values });
             }
-            Action::Answer { query, complete: whole } => self.finish(query, |state, q| {
-                let value = |p| state.parts.get(p).and_then(|p: &Part| Some((p.shard, p.value.clone()?)));
-                Reply::Answer { complete: whole, values: q.parts.iter().filter_map(value).collect() }
-            }),
             Action::Reject { query, retry_after } => {
-                self.finish(query, |_, _| Reply::Rejected { retry_after })
+                self.finish_query(query, Reply::Rejected { retry_after });
             }
-            Action::Fail { query } => self.finish(query, |_, _| Reply::Failed),
-            Action::HealthCheck { replica } => self.probe(replica),
-            // The list is always watched here: what the module wants is under way.
+            Action::Fail { query } => self.finish_query(query, Reply::Failed),
+            Action::HealthCheck { replica } => self.start_health_check(replica),
+            // The endpoint list is always watched.
             Action::WatchEndpoints => {}
-            Action::SetTimer { at } => self.state.arm(at, Timer::Module),
+            Action::SetTimer { at } => self.state.set_timer(at, Timer::Balancer),
             Action::Log(event) => self.effects.push(Effect::Log(LogEvent::Balancer(event))),
         }
     }
 
-    fn timer(&mut self, timer: Timer) {
-        match timer {
-            Timer::Module => self.news.push_back(balancer::Event::Timer),
-            // The module ends every query before its time; this is the last resort should it fail to.
-            Timer::Query(query) => {
-                if self.state.queries.contains_key(&query) {
-                    self.finish(query, |_, _| Reply::Expired);
-                    self.news.push_back(balancer::Event::ClientDisconnected { query });
-                }
-            }
-            Timer::Attempt(id) => self.timed_out(id),
-            Timer::Leave(id) => self.must_have_left(id),
-            Timer::Dial(conn) => {
-                if self.state.connections.get(&conn).is_some_and(|c| c.phase == Phase::Dialling) {
-                    self.state.counters.connections_failed += 1;
-                    self.close(conn);
-                }
-            }
-            Timer::Stall(conn) => {
-                let Some(c) = self.state.connections.get(&conn) else { return };
-                // A node that reads nothing: what waits here must neither pile up nor leave long after a drain
-                // was told, and the next attempts of what was given up must not wait for it.
-                let Some(oldest) = c.unwritten.front().filter(|_| c.phase == Phase::Up) else { return };
-                let due = oldest + self.state.settings.connect_timeout;
-                if due <= self.now { self.close(conn) } else { self.state.arm(due, Timer::Stall(conn)) }
-            }
-            Timer::Idle(conn) => self.arm_idle(conn),
-            Timer::Probe(conn) => self.probe_timed_out(conn),
-            Timer::LetGo => self.let_go(),
-            Timer::Ready => self.look_ready(false),
-            Timer::Endpoints => self.membership(Input::TimerFired, None),
+    fn cancel_attempt(&mut self, part: PartId, number: u32) {
+        let Some(part) = self.state.parts.get(&part) else { return };
+        if let Some(attempt) = part.open_attempts.get(&number).copied() {
+            self.end_attempt(attempt, Outcome::Cancelled, None);
         }
     }
+
+    /// The values of a query's served parts, in the order of its parts.
+    fn answer_values(&self, query: QueryId) -> Vec<(u32, Vec<Bytes>)> {
+        let Some(query) = self.state.queries.get(&query) else { return Vec::new() };
+        self.parts_of(query).filter_map(|part| Some((part.shard, part.value.clone()?))).collect()
+    }
+
+    fn parts_of<'s>(&'s self, query: &'s Query) -> impl Iterator<Item = &'s Part> {
+        query.parts.iter().filter_map(|part| self.state.parts.get(part))
+    }
 }
--- /dev/null
+++ b/src/aggregator/reload.rs
@@ -0,0 +1,32 @@
+//! Reload of the settings while the process runs.
+
+use super::Limits;
+use super::reduce::Reduction;
+use crate::config::SiteSettings;
+use crate::endpoints::Input;
+
+impl Reduction<'_> {
+    /// Takes over new settings. They hold for new queries; queries in flight go on under the old ones.
+    pub(super) fn reload_settings(&mut self, settings: SiteSettings, limits: Limits) {
+        let old = &self.state.settings;
+        let old_index = |name: &String| old.classes.iter().position(|class| class == name);
+        let old_class_indices: Vec<Option<usize>> = settings.classes.iter().map(old_index).collect();
+        let zones_changed = settings.zones != old.zones;
+        let reconfigured = self.state.balancer.reconfigure(settings.balancer.clone(), &old_class_indices);
+        // The settings were validated when they were read, so this is not expected.
+        if reconfigured.is_err() {
+            self.state.counters.reloads_rejected += 1;
+            return;
+        }
+        self.state.counters.reloads += 1;
+        let layout = settings.layout();
+        self.state.settings = settings;
+        self.state.undivided_limits = limits;
+        self.divide_limits();
+        self.update_endpoints(Input::Layout(layout));
+        if zones_changed {
+            // The balancer identifies zones by their index in the settings.
+            self.update_endpoints(Input::Resend);
+        }
+    }
+}
--- /dev/null
+++ b/tests/aggregator.rs
@@ -0,0 +1,305 @@
+//! The aggregator's state machine without sockets: endpoint lists that change while parts are in flight, deadlines for
+//! sending, connections that stall or break, the validation of queries, and the names of its metrics.
+
+mod common;
+
+use common::process::{Setup, scratch};
+use sailmux::aggregator::*;
+use sailmux::config::Config;
+use sailmux::endpoints::{FileList, Input};
+use sailmux::inventory::{Bundle, BundleFile, Options, Role, read};
+use std::sync::Arc;
+
+/// When the simulated time begins, in milliseconds.
+const START: f64 = 1e6;
+/// Two leaf servers for cell 0, two for cell 1 and one for cell 2.
+const FIVE_SERVERS: &str = "a,h,1,0\nb,h,2,0\nc,h,3,1\nd,h,4,1\ne,h,5,2\n";
+
+fn inventory(rows: &str) -> Arc<FileList> {
+    let file = BundleFile {
+        name: "n.csv".into(),
+        key: "n.csv".into(),
+        role: Role::Inventory,
+        text: format!("name,host,port,cell\n{rows}").into(),
+        checksum: None,
+    };
+    Arc::new(read(&Bundle { files: vec![file] }, &Options::default()).expect("a valid inventory"))
+}
+
+fn change_endpoints(state: &mut State, now: f64, input: Input) -> Vec<Effect> {
+    reduce(state, now, Event::EndpointSource { input, wall_ahead: 0.0 })
+}
+
+/// An aggregator with these leaf servers and a configuration.
+fn aggregator_configured(servers: &str, config: &str) -> State {
+    let path = scratch("aggregator").join("config.json");
+    std::fs::write(&path, config).expect("written");
+    let settings = Config::at(&path).expect("a valid configuration").settings;
+    let limits = Limits::for_descriptors(1024);
+    let mut state = State::new(settings, limits, 7, Default::default()).expect("valid settings");
+    let files = vec![inventory(servers)];
+    change_endpoints(&mut state, START, Input::Started { known: None, files });
+    state
+}
+
+/// An aggregator with these leaf servers, and with one text of its configuration replaced by another.
+fn aggregator_with(servers: &str, setting: &str, replacement: &str) -> State {
+    let config = Setup::new(&[]).config();
+    assert!(config.contains(setting), "{setting}");
+    aggregator_configured(servers, &config.replace(setting, replacement))
+}
+
+fn aggregator() -> State {
+    aggregator_configured(FIVE_SERVERS, &Setup::new(&[]).config())
+}
+
+/// A valid query with one part, for shard 0.
+fn query(name: &str) -> NewQuery {
+    NewQuery {
+        name: name.into(),
+        class: "c".into(),
+        tenant: None,
+        time_left: Some(9000.0),
+        is_retry: false,
+        payload: "t".into(),
+        idempotency_key: None,
+        parts: vec![NewPart { shard: 0, weight: 1.0, cost_hint: None }],
+    }
+}
+
+fn send_query(state: &mut State, now: f64, client: u64, query: NewQuery) -> Vec<Effect> {
+    reduce(state, now, Event::ClientOpened(ClientId(client)));
+    reduce(state, now, Event::QueryReceived(ClientId(client), query))
+}
+
+/// An aggregator with a query for shard 0, and the connection that its part waits for, with its address.
+fn aggregator_with_waiting_part() -> (State, ConnectionId, String) {
+    let mut state = aggregator();
+    let new = NewQuery { time_left: Some(5000.0), ..query("q") };
+    let effects = send_query(&mut state, START + 1.0, 1, new);
+    let (connection, address) = connects(&effects).pop().expect("a connection");
+    (state, connection, address)
+}
+
+/// The connections that are opened, with their addresses.
+fn connects(effects: &[Effect]) -> Vec<(ConnectionId, String)> {
+    let connect = |effect: &Effect| match effect {
+        Effect::Connect(connection, address) => Some((*connection, address.to_string())),
+        _ => None,
+    };
+    effects.iter().filter_map(connect).collect()
+}
+
+fn call_count(effects: &[Effect]) -> usize {
+    effects.iter().filter(|effect| matches!(effect, Effect::SendCall(..))).count()
+}
+
+/// The first attempt that is sent.
+fn sent_attempt(effects: &[Effect]) -> AttemptId {
+    let first_attempt = |effect: &Effect| match effect {
+        Effect::SendCall(_, parts) => Some(parts[0].attempt),
+        _ => None,
+    };
+    effects.iter().find_map(first_attempt).expect("a call")
+}
+
+fn is_closed(effects: &[Effect], connection: ConnectionId) -> bool {
+    effects.iter().any(|effect| matches!(effect, Effect::CloseConnection(closed) if *closed == connection))
+}
+
+fn is_answered_completely(effects: &[Effect]) -> bool {
+    let is_complete =
+        |effect: &Effect| matches!(effect, Effect::Reply { reply: Reply::Answer { complete: true, .. }, .. });
+    effects.iter().any(is_complete)
+}
+
+fn has_failed(effects: &[Effect]) -> bool {
+    effects.iter().any(|effect| matches!(effect, Effect::Reply { reply: Reply::Failed, .. }))
+}
+
+/// An answer without a load report.
+fn answer(connection: ConnectionId, attempt: AttemptId, outcome: PartOutcome) -> Event {
+    let rows = if outcome == PartOutcome::Served { vec!["v".into()] } else { vec![] };
+    Event::AttemptAnswered { connection, attempt, outcome, rows, report: None }
+}
+
+#[test]
+fn a_part_that_waits_for_a_leaf_server_whose_cell_changes_goes_to_another_one() {
+    let (mut state, connection, address) = aggregator_with_waiting_part();
+    let row_in_cell = |cell: u32| format!("{},{cell}", address.replace(':', ","));
+    let moved = FIVE_SERVERS.replace(&row_in_cell(0), &row_in_cell(1));
+    let mut effects = change_endpoints(&mut state, START + 2.0, Input::File(0, inventory(&moved)));
+    effects.extend(reduce(&mut state, START + 3.0, Event::Connected(connection)));
+    assert_eq!(call_count(&effects), 0, "it does not hold the shard any more");
+    // The balancer sends the part to the other holder, at once or after a backoff.
+    let mut now = START + 3.0;
+    while connects(&effects).is_empty() && now < START + 2000.0 {
+        now += 5.0;
+        effects.extend(reduce(&mut state, now, Event::TimerFired));
+    }
+    let (other_connection, other_address) = connects(&effects).pop().expect("another connection");
+    assert_ne!(other_address, address);
+    let effects = reduce(&mut state, now + 1.0, Event::Connected(other_connection));
+    assert_eq!(call_count(&effects), 1);
+}
+
+#[test]
+fn a_leaf_server_that_changes_its_name_and_address_answers_what_is_in_flight() {
+    for (replaced_address, old_row, new_row) in [("h:1", "a,h,1,0", "z,h,9,0"), ("h:2", "b,h,2,0", "y,h,8,0")]
+    {
+        let (mut state, connection, address) = aggregator_with_waiting_part();
+        let effects = reduce(&mut state, START + 2.0, Event::Connected(connection));
+        assert_eq!(call_count(&effects), 1);
+        let attempt = sent_attempt(&effects);
+        reduce(&mut state, START + 2.5, Event::Written(connection, 1));
+        let replaced = FIVE_SERVERS.replace(old_row, new_row);
+        let effects = change_endpoints(&mut state, START + 3.0, Input::File(0, inventory(&replaced)));
+        assert!(!is_closed(&effects, connection), "a part is in flight on it");
+        let served = answer(connection, attempt, PartOutcome::Served);
+        let effects = reduce(&mut state, START + 9.0, served);
+        assert!(is_answered_completely(&effects), "{effects:?}");
+        let is_replaced = address == replaced_address;
+        assert_eq!(is_closed(&effects, connection), is_replaced, "closed once drained, if replaced");
+    }
+}
+
+#[test]
+fn endpoint_lists_held_back_or_rejected_are_counted_and_audited() {
+    let (mut state, ..) = aggregator_with_waiting_part();
+    let effects = change_endpoints(&mut state, START + 2.0, Input::File(0, inventory("a,h,1,0\n")));
+    assert!(effects.iter().any(|effect| matches!(effect, Effect::EndpointAudit(_))));
+    change_endpoints(&mut state, START + 3.0, Input::FileRejected(0, "torn".into()));
+    let counters = state.counters();
+    assert_eq!(counters.endpoint_lists_held_back, 1);
+    assert_eq!(counters.endpoint_lists_rejected, 1);
+    assert_eq!(counters.endpoint_lists_confirmed, 0);
+    assert_eq!(state.endpoints().endpoints().len(), 5);
+}
+
+/// A retry has been passed to the writer of a connection that takes no bytes. When the idempotency window ends, the
+/// connection is closed and the query fails: nothing of the retry may be sent later.
+#[test]
+fn a_retry_that_is_not_written_within_the_idempotency_window_is_withdrawn() {
+    const KEYED: &str = "\"effect\":\"dedup\",\"group\":\"all\",\"windowMs\":200";
+    let mut state = aggregator_with("a,h,1,0\nb,h,2,0\n", "\"effect\":\"retryable\"", KEYED);
+    let effects = send_query(&mut state, START + 1.0, 1, query("q"));
+    let (first, _) = connects(&effects).pop().expect("a connection");
+    let attempt = sent_attempt(&reduce(&mut state, START + 2.0, Event::Connected(first)));
+    reduce(&mut state, START + 2.0, Event::Written(first, 1));
+    let failed = answer(first, attempt, PartOutcome::Failed);
+    let effects = reduce(&mut state, START + 100.0, failed);
+    let (second, _) = connects(&effects).pop().expect("another connection");
+    assert_eq!(call_count(&reduce(&mut state, START + 101.0, Event::Connected(second))), 1);
+    let mut now = START + 101.0;
+    let mut effects = Vec::new();
+    while now < START + 210.0 {
+        assert!(!is_closed(&effects, second), "at {now}: the window is still open");
+        now += 5.0;
+        effects = reduce(&mut state, now, Event::TimerFired);
+        if is_closed(&effects, second) {
+            break;
+        }
+    }
+    assert!(now < START + 205.0 && is_closed(&effects, second), "withdrawn at {now}: {effects:?}");
+    assert!(has_failed(&effects), "the client is answered at once: {effects:?}");
+}
+
+/// Several messages wait on a connection that writes one now and then. Each of them is written within the connect
+/// timeout, or the connection is closed: a part must not be sent long after its leaf server began to drain.
+#[test]
+fn no_message_waits_on_a_connection_for_longer_than_the_connect_timeout() {
+    let mut state = aggregator_with("a,h,1,0\n", "\"streamsPerConn\":32", "\"streamsPerConn\":100");
+    let effects = send_query(&mut state, START, 1, query("q1"));
+    let (connection, _) = connects(&effects).pop().expect("a connection");
+    for client in 2..=8 {
+        send_query(&mut state, START, client, query(&format!("q{client}")));
+    }
+    assert_eq!(call_count(&reduce(&mut state, START + 1.0, Event::Connected(connection))), 8);
+    let mut effects = reduce(&mut state, START + 100.0, Event::Written(connection, 1));
+    effects.extend(reduce(&mut state, START + 200.0, Event::Written(connection, 2)));
+    effects.extend(reduce(&mut state, START + 250.0, Event::TimerFired));
+    assert!(!is_closed(&effects, connection), "the third message has waited for 249 ms");
+    let effects = reduce(&mut state, START + 252.0, Event::TimerFired);
+    assert!(is_closed(&effects, connection), "the third message has waited for 251 ms");
+}
+
+/// A connection breaks while a message is written to it. A message not written completely never ran, so even a part
+/// that is not idempotent is retried. A message written completely may have run, and the part is not retried.
+#[test]
+fn a_part_on_a_broken_connection_is_retried_only_if_it_was_not_written_completely() {
+    for written in [false, true] {
+        let servers = "a,h,1,0\nb,h,2,0\n";
+        let mut state = aggregator_with(servers, "\"effect\":\"retryable\"", "\"effect\":\"fragile\"");
+        let effects = send_query(&mut state, START + 1.0, 1, query("q"));
+        let (connection, _) = connects(&effects).pop().expect("a connection");
+        assert_eq!(call_count(&reduce(&mut state, START + 2.0, Event::Connected(connection))), 1);
+        if written {
+            reduce(&mut state, START + 2.0, Event::Written(connection, 1));
+        }
+        let ended = Event::ConnectionEnded { connection, reason: String::new(), protocol_error: false };
+        let effects = reduce(&mut state, START + 3.0, ended);
+        assert_eq!(has_failed(&effects), written, "{effects:?}");
+        assert_eq!(connects(&effects).is_empty(), written, "{effects:?}");
+        let counters = state.counters();
+        assert_eq!(counters.attempts_reset, u64::from(written));
+        assert_eq!(counters.attempts_connect_failed, u64::from(!written));
+    }
+}
+
+/// The first check that a query fails decides, and its text is what the client gets.
+#[test]
+fn an_invalid_query_is_answered_with_the_reason() {
+    let part = |shard: u32, weight: f64| NewPart { shard, weight, cost_hint: None };
+    let with_parts = |parts: &[NewPart]| NewQuery { parts: parts.to_vec(), ..query("q") };
+    let cases = [
+        (NewQuery { class: "none".into(), parts: vec![], ..query("q") }, "unknown class"),
+        (with_parts(&[]), "no parts"),
+        (with_parts(&[part(1, 0.5), part(0, 0.5), part(1, f64::NAN)]), "a shard is named twice"),
+        (with_parts(&[part(u32::MAX, 1.0)]), "no such shard"),
+        (with_parts(&[part(0, f64::NAN)]), "a figure makes no sense"),
+        (with_parts(&[part(0, 2.0), part(1, -1.0)]), "a figure makes no sense"),
+        (NewQuery { time_left: Some(f64::INFINITY), ..query("q") }, "a figure makes no sense"),
+        (with_parts(&[part(0, 1.0), part(1, 0.0)]), "the weights are no shares of one"),
+        (with_parts(&[part(0, 0.5), part(1, 0.48)]), "the weights are no shares of one"),
+        (query("in flight"), "the id is in use"),
+    ];
+    let mut state = aggregator();
+    send_query(&mut state, START + 1.0, 1, query("in flight"));
+    for (client, (invalid, expected)) in (2..).zip(cases) {
+        let effects = send_query(&mut state, START + 2.0, client, invalid);
+        let reply = effects.iter().find_map(|effect| match effect {
+            Effect::Reply { reply, .. } => Some(reply.clone()),
+            _ => None,
+        });
+        let Some(Reply::BadRequest(error)) = reply else { panic!("{expected}: {effects:?}") };
+        assert_eq!(error.to_string(), expected);
+    }
+    assert_eq!(state.counters().queries_malformed, 10);
+    assert_eq!(state.counters().queries_received, 1);
+}
+
+/// Operators' dashboards know the metrics by these names; the code's own names may change.
+#[test]
+fn metrics_keep_their_published_names_and_order() {
+    let text = aggregator().counters_text();
+    let names = text.lines().filter(|line| !line.starts_with('#')).filter_map(|line| line.split(' ').next());
+    let names: Vec<&str> = names.collect();
+    let expected: Vec<String> =
+        PUBLISHED_METRICS.split_whitespace().map(|name| format!("sailmux_{name}")).collect();
+    assert_eq!(names, expected);
+    for name in names {
+        assert!(text.contains(&format!("# TYPE {name} counter\n{name} ")), "{name}");
+    }
+}
+
+const PUBLISHED_METRICS: &str = "
+    clients_opened clients_closed clients_shed queries_taken parts_taken queries_malformed
+    answers_whole answers_partial queries_refused queries_failed queries_expired clients_gone
+    attempts_sent attempts_cold attempts_good attempts_bad attempts_rejected attempts_timed_out
+    attempts_not_connected attempts_reset attempts_cancelled attempts_not_sent answers_ignored
+    list_calls probes_sent probes_answered probes_failed reports_read reports_missing
+    connections_dialled connections_failed connections_up connections_broken connections_spoilt
+    connections_closed lists_taken lists_held lists_refused lists_confirmed nodes_forgotten
+    lists_unreadable watches_lost ledger_entries ledger_lost ledger_failures ledger_periods_closed
+    ledger_exports operations operations_refused reloads reloads_rejected
+";
