--- a/src/balancer/simulator_protocol.rs
+++ b/src/balancer/simulator_protocol.rs
@@ -4,7 +4,7 @@
 use miniserde::{Deserialize, Serialize};
 use sailmux::Balancer;
 use sailmux::balancer::*;
-use sailmux::config::{index_of, settings};
+use sailmux::config::{index_of, parse_platform_settings as settings};
 use sailmux::json::Field;
 use std::collections::{BTreeMap, HashMap};
 use std::error::Error;
--- /dev/null
+++ b/src/config/endpoint_list.rs
@@ -0,0 +1,39 @@
+//! Lists of leaf servers in discovery's JSON form, as the discovery watch and the platform's file (`known`) carry them.
+
+use crate::endpoints::{Endpoint, EndpointList, EndpointState};
+use crate::json::{Field, FieldError};
+
+/// Reads a list of leaf servers in discovery's form.
+///
+/// # Errors
+/// The first field that is missing or has a value that cannot be used.
+pub fn parse_endpoint_list(list: &Field<'_>) -> Result<EndpointList, FieldError> {
+    let mut entries = Vec::new();
+    for instance in list.get("instances").as_list()? {
+        entries.push(parse_endpoint(&instance)?);
+    }
+    let complete = list.get("reset").bool_or(false)?;
+    let generation = list.get("generation").as_u64()?;
+    Ok(EndpointList { generation, complete, entries })
+}
+
+fn parse_endpoint(instance: &Field<'_>) -> Result<Endpoint, FieldError> {
+    Ok(Endpoint {
+        name: instance.get("instanceId").as_str()?.into(),
+        address: instance.get("hostPort").as_str()?.into(),
+        zone: instance.get("zone").str_or("")?.into(),
+        cell: instance.get("cell").u32_or(0)?,
+        weight: instance.get("weight").f64_or(1.0)?,
+        state: parse_state(&instance.get("lifecycle"))?,
+        started_at_unix: instance.get("startedAtMs").f64_or(0.0)?,
+    })
+}
+
+fn parse_state(lifecycle: &Field<'_>) -> Result<EndpointState, FieldError> {
+    match lifecycle.as_str()? {
+        "Ready" => Ok(EndpointState::Ready),
+        "Terminating" => Ok(EndpointState::Draining),
+        "Gone" => Ok(EndpointState::Gone),
+        other => lifecycle.report(lifecycle.error(format!("knows no state {other:?}")), EndpointState::Gone),
+    }
+}
--- a/src/json.rs
+++ b/src/json.rs
@@ -1,4 +1,8 @@
-//! JSON read by miniserde into a tree, from which the few values used are taken by name; an error says where.
+//! Reading JSON documents by field name, with errors that say which field is wrong.
+//!
+//! [`Field`] walks a tree parsed by miniserde and remembers the path to each value; `config` reads the platform's
+//! settings and endpoint lists through it. [`ObjectScanner`] finds where an object of a streamed body ends, for the
+//! discovery watch. Nothing here knows what any field means.
 
 use miniserde::json::{Number, Value};
 use std::cell::RefCell;
@@ -6,12 +10,15 @@
 use std::fmt;
 use std::rc::Rc;
 
-/// What is wrong with a field, and which one it is.
+/// The earlier name of [`ObjectScanner`].
+pub use self::ObjectScanner as Object;
+
+/// A field that is missing or has a value that cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FieldError {
-    /// The field, as `settings.limits.maxOpen`.
+    /// The field's path, as `settings.limits.maxOpen`.
     pub field: String,
-    /// What it should have been.
+    /// What is wrong with it.
     pub message: String,
 }
 
@@ -23,191 +30,313 @@
 
 impl std::error::Error for FieldError {}
 
-/// A place in a JSON text that remembers its path; there may be nothing at it.
+/// The errors that a field from [`Field::collecting_errors`] and all fields below it have reported, in order.
+pub type CollectedErrors = Rc<RefCell<Vec<FieldError>>>;
+
+/// The paths of all keys below a field, as `settings.limits.maxOpen`; below a list those that all of its entries
+/// have, as `settings.categories[].name`.
+pub type KeyPaths = BTreeSet<String>;
+
+/// A value in a JSON document, or its absence, with the path that leads to it.
 #[derive(Clone, Debug)]
 pub struct Field<'a> {
     path: String,
     value: Option<&'a Value>,
     /// Where errors are collected; without it the first one ends the reading.
-    errors: Option<Rc<RefCell<Vec<FieldError>>>>,
-}
-
-/// The keys of a JSON text, as `settings.limits.maxOpen`; of a list those that all of its entries have, as
-/// `settings.categories[].name`.
-pub type Shape = BTreeSet<String>;
-
-fn shape(value: &Value, path: &str, into: &mut Shape) {
-    match value {
-        Value::Object(object) => {
-            for (name, value) in object.iter() {
-                let path = format!("{path}.{name}");
-                shape(value, &path, into);
-                into.insert(path);
-            }
-        }
-        Value::Array(entries) => {
-            let each = |entry| {
-                let mut keys = Shape::new();
-                shape(entry, &format!("{path}[]"), &mut keys);
-                keys
-            };
-            into.extend(entries.iter().map(each).reduce(|a, b| &a & &b).unwrap_or_default());
-        }
-        _ => {}
-    }
+    errors: Option<CollectedErrors>,
 }
 
 impl<'a> Field<'a> {
-    /// The keys below this field.
-    pub fn shape(&self) -> Shape {
-        let mut keys = Shape::new();
-        if let Some(value) = self.value {
-            shape(value, &self.path, &mut keys);
-        }
-        keys
-    }
-
-    /// The whole text.
+    /// The document's root. Reading ends with the first error.
     pub fn root(value: &'a Value) -> Self {
         Field { path: String::new(), value: Some(value), errors: None }
     }
 
-    /// The whole text, of which everything is read: what is wrong is collected, and a value of no meaning taken.
-    pub fn collecting(value: &'a Value) -> (Self, Rc<RefCell<Vec<FieldError>>>) {
-        let errors = Rc::new(RefCell::new(Vec::new()));
-        (Field { path: String::new(), value: Some(value), errors: Some(errors.clone()) }, errors)
+    /// The document's root, read to its end: errors go to the returned list, and each faulty field is read as a
+    /// placeholder.
+    pub fn collecting_errors(value: &'a Value) -> (Self, CollectedErrors) {
+        let errors = CollectedErrors::default();
+        let root = Field { path: String::new(), value: Some(value), errors: Some(errors.clone()) };
+        (root, errors)
     }
 
-    /// An error ends the reading, unless errors are collected: then it goes on with another value.
+    /// Reports an error about a field: returns it or, where errors are collected, stores it and returns the
+    /// placeholder, so that reading goes on. Of one field only the first error is stored.
     ///
     /// # Errors
-    /// The error itself.
-    pub fn or<T>(&self, error: FieldError, instead: T) -> Result<T, FieldError> {
+    /// The error itself, unless errors are collected.
+    pub fn report<T>(&self, error: FieldError, placeholder: T) -> Result<T, FieldError> {
         let Some(errors) = &self.errors else { return Err(error) };
         let mut errors = errors.borrow_mut();
-        if !errors.iter().any(|e| e.field == error.field) {
+        let is_known = errors.iter().any(|known| known.field == error.field);
+        if !is_known {
             errors.push(error);
         }
-        Ok(instead)
+        Ok(placeholder)
+    }
+
+    /// An error about this field.
+    pub fn error(&self, message: impl Into<String>) -> FieldError {
+        FieldError { field: self.path.clone(), message: message.into() }
     }
 
-    /// The field of that name.
+    /// The field of that name in this object.
     pub fn get(&self, name: &str) -> Field<'a> {
         let path = if self.path.is_empty() { name.to_owned() } else { format!("{}.{name}", self.path) };
         let value = match self.value {
-            Some(Value::Object(o)) => o.get(name),
+            Some(Value::Object(object)) => object.get(name),
             _ => None,
         };
         Field { path, value, errors: self.errors.clone() }
     }
 
-    /// The field itself where it is there and not null.
-    pub fn present(self) -> Option<Self> {
-        if matches!(self.value, None | Some(Value::Null)) { None } else { Some(self) }
+    /// The field itself, or `None` where it is absent or null.
+    pub fn optional(self) -> Option<Self> {
+        match self.value {
+            None | Some(Value::Null) => None,
+            Some(_) => Some(self),
+        }
     }
 
-    /// An error about this field.
-    pub fn wrong(&self, problem: impl Into<String>) -> FieldError {
-        FieldError { field: self.path.clone(), message: problem.into() }
+    /// The string.
+    ///
+    /// # Errors
+    /// The field is absent or no string.
+    pub fn as_str(&self) -> Result<&'a str, FieldError> {
+        match self.value {
+            Some(Value::String(text)) => Ok(text),
+            _ => self.report(self.type_error("a text"), ""),
+        }
     }
 
-    /// Its text.
-    pub fn text(&self) -> Result<&'a str, FieldError> {
-        match self.value {
-            Some(Value::String(s)) => Ok(s),
-            _ => self.or(self.expected("a text"), ""),
+    /// The string, or the default where the field is absent or null.
+    ///
+    /// # Errors
+    /// The field is no string.
+    pub fn str_or(self, default: &'a str) -> Result<&'a str, FieldError> {
+        match self.optional() {
+            Some(field) => field.as_str(),
+            None => Ok(default),
         }
     }
 
-    /// Its number.
-    pub fn number(&self) -> Result<f64, FieldError> {
+    /// The finite number.
+    ///
+    /// # Errors
+    /// The field is absent or no number.
+    pub fn as_f64(&self) -> Result<f64, FieldError> {
         match self.value {
-            Some(Value::Number(Number::U64(n))) => Ok(*n as f64),
-            Some(Value::Number(Number::I64(n))) => Ok(*n as f64),
-            Some(Value::Number(Number::F64(n))) if n.is_finite() => Ok(*n),
-            _ => self.or(self.expected("a number"), 0.0),
+            Some(Value::Number(Number::U64(number))) => Ok(*number as f64),
+            Some(Value::Number(Number::I64(number))) => Ok(*number as f64),
+            Some(Value::Number(Number::F64(number))) if number.is_finite() => Ok(*number),
+            _ => self.report(self.type_error("a number"), 0.0),
+        }
+    }
+
+    /// The finite number, or the default where the field is absent or null.
+    ///
+    /// # Errors
+    /// The field is no number.
+    pub fn f64_or(self, default: f64) -> Result<f64, FieldError> {
+        match self.optional() {
+            Some(field) => field.as_f64(),
+            None => Ok(default),
+        }
+    }
+
+    /// The finite number, or `None` where the field is absent or null.
+    ///
+    /// # Errors
+    /// The field is no number.
+    pub fn optional_f64(self) -> Result<Option<f64>, FieldError> {
+        self.optional().map(|field| field.as_f64()).transpose()
+    }
+
+    /// The whole number, 0 or above.
+    ///
+    /// # Errors
+    /// The field is absent, or no such number.
+    pub fn as_u64(&self) -> Result<u64, FieldError> {
+        let number = self.as_f64()?;
+        if let Some(Value::Number(Number::U64(exact))) = self.value {
+            return Ok(*exact);
+        }
+        if number >= 0.0 && number.fract() == 0.0 && number <= u64::MAX as f64 {
+            return Ok(number as u64);
         }
+        self.report(self.type_error("a whole number, 0 or above"), 0)
     }
 
-    /// Its number, or another one where the field is absent.
-    pub fn number_or(&self, absent: f64) -> Result<f64, FieldError> {
-        self.clone().present().map_or(Ok(absent), |f| f.number())
+    /// The whole number, 0 or above, of 32 bits.
+    ///
+    /// # Errors
+    /// The field is absent, or no such number.
+    pub fn as_u32(&self) -> Result<u32, FieldError> {
+        let number = self.as_u64()?;
+        u32::try_from(number).or_else(|_| self.report(self.error("is too large"), 0))
     }
 
-    /// Its whole number, 0 or above.
-    pub fn count(&self) -> Result<u64, FieldError> {
-        let n = self.number()?;
-        if n >= 0.0 && n.fract() == 0.0 && n <= u64::MAX as f64 {
-            Ok(if let Some(Value::Number(Number::U64(exact))) = self.value { *exact } else { n as u64 })
-        } else {
-            self.or(self.expected("a whole number, 0 or above"), 0)
+    /// The whole number of 32 bits, or the default where the field is absent or null.
+    ///
+    /// # Errors
+    /// The field is no such number.
+    pub fn u32_or(self, default: u32) -> Result<u32, FieldError> {
+        match self.optional() {
+            Some(field) => field.as_u32(),
+            None => Ok(default),
         }
     }
 
-    /// Its whole number as `u32`.
-    pub fn small(&self) -> Result<u32, FieldError> {
-        let count = self.count()?;
-        u32::try_from(count).or_else(|_| self.or(self.wrong("is too large"), 0))
+    /// The whole number of 32 bits, or `None` where the field is absent or null.
+    ///
+    /// # Errors
+    /// The field is no such number.
+    pub fn optional_u32(self) -> Result<Option<u32>, FieldError> {
+        self.optional().map(|field| field.as_u32()).transpose()
     }
 
-    /// Its truth value.
-    pub fn flag(&self) -> Result<bool, FieldError> {
+    /// The truth value.
+    ///
+    /// # Errors
+    /// The field is absent or no truth value.
+    pub fn as_bool(&self) -> Result<bool, FieldError> {
         match self.value {
-            Some(Value::Bool(b)) => Ok(*b),
-            _ => self.or(self.expected("true or false"), false),
+            Some(Value::Bool(flag)) => Ok(*flag),
+            _ => self.report(self.type_error("true or false"), false),
+        }
+    }
+
+    /// The truth value, or the default where the field is absent or null.
+    ///
+    /// # Errors
+    /// The field is no truth value.
+    pub fn bool_or(self, default: bool) -> Result<bool, FieldError> {
+        match self.optional() {
+            Some(field) => field.as_bool(),
+            None => Ok(default),
         }
     }
 
-    /// Its entries.
-    pub fn entries(&self) -> Result<Vec<Field<'a>>, FieldError> {
-        let Some(Value::Array(all)) = self.value else { return self.or(self.expected("a list"), Vec::new()) };
-        let entry = |(i, v)| Field {
-            path: format!("{}[{i}]", self.path),
-            value: Some(v),
+    /// The entries of a list.
+    ///
+    /// # Errors
+    /// The field is absent or no list.
+    pub fn as_list(&self) -> Result<Vec<Field<'a>>, FieldError> {
+        let Some(Value::Array(values)) = self.value else {
+            return self.report(self.type_error("a list"), Vec::new());
+        };
+        let entry = |(index, value)| Field {
+            path: format!("{}[{index}]", self.path),
+            value: Some(value),
             errors: self.errors.clone(),
         };
-        Ok(all.iter().enumerate().map(entry).collect())
+        Ok(values.iter().enumerate().map(entry).collect())
+    }
+
+    /// The entries of a list; none where the field is absent or null.
+    ///
+    /// # Errors
+    /// The field is no list.
+    pub fn list_or_empty(self) -> Result<Vec<Field<'a>>, FieldError> {
+        match self.optional() {
+            Some(field) => field.as_list(),
+            None => Ok(Vec::new()),
+        }
     }
 
-    fn expected(&self, what: &str) -> FieldError {
+    /// The paths of all keys below this field.
+    pub fn key_paths(&self) -> KeyPaths {
+        let mut paths = KeyPaths::new();
+        if let Some(value) = self.value {
+            collect_key_paths(value, &self.path, &mut paths);
+        }
+        paths
+    }
+
+    fn type_error(&self, expected: &str) -> FieldError {
         let state = if self.value.is_none() { "is missing" } else { "is something else" };
-        self.wrong(format!("{state}, must be {what}"))
+        self.error(format!("{state}, must be {expected}"))
+    }
+}
+
+fn collect_key_paths(value: &Value, path: &str, paths: &mut KeyPaths) {
+    match value {
+        Value::Object(object) => {
+            for (name, value) in object.iter() {
+                let path = format!("{path}.{name}");
+                collect_key_paths(value, &path, paths);
+                paths.insert(path);
+            }
+        }
+        Value::Array(entries) => {
+            let entry_path = format!("{path}[]");
+            let paths_of_entry = |entry| {
+                let mut paths = KeyPaths::new();
+                collect_key_paths(entry, &entry_path, &mut paths);
+                paths
+            };
+            let common = entries.iter().map(paths_of_entry).reduce(|common, other| &common & &other);
+            paths.extend(common.unwrap_or_default());
+        }
+        _ => {}
+    }
+}
+
+/// Why a streamed body does not hold a JSON object.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ScanError {
+    /// A line ends within a string.
+    UnterminatedString,
+    /// Something other than blanks stands before the object.
+    NotAnObject,
+}
+
+impl fmt::Display for ScanError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            ScanError::UnterminatedString => "a line that breaks off",
+            ScanError::NotAnObject => "a line that is not JSON",
+        })
     }
 }
 
-/// Where a JSON object ends that may come in pieces and over several lines.
+impl std::error::Error for ScanError {}
+
+/// Finds the end of a JSON object that comes in pieces and over several lines.
 #[derive(Debug, Default)]
-pub struct Object {
-    /// Bytes looked at.
-    seen: usize,
+pub struct ObjectScanner {
+    /// Bytes scanned so far.
+    scanned: usize,
+    /// Objects that are open.
     depth: u32,
-    in_text: bool,
+    in_string: bool,
     escaped: bool,
 }
 
-impl Object {
-    /// No object has begun in what was looked at.
+impl ObjectScanner {
+    /// Whether no object has begun in the bytes scanned so far.
     pub fn is_outside(&self) -> bool {
         self.depth == 0
     }
 
-    /// One past the object's end, once it is there; what stands before it must be blank.
+    /// Scans the bytes of `body` that are new since the last call. Returns the index one past the object's end once
+    /// it is there. Only blanks may stand before the object.
     ///
     /// # Errors
-    /// What is no object, and why.
-    pub fn end(&mut self, body: &[u8]) -> Result<Option<usize>, &'static str> {
-        while let Some(byte) = body.get(self.seen) {
-            self.seen += 1;
+    /// The body holds something other than an object.
+    pub fn end(&mut self, body: &[u8]) -> Result<Option<usize>, ScanError> {
+        while let Some(byte) = body.get(self.scanned) {
+            self.scanned += 1;
             match byte {
                 _ if self.escaped => self.escaped = false,
-                b'\n' if self.in_text => return Err("a line that breaks off"),
-                b'\\' if self.in_text => self.escaped = true,
-                b'"' if self.depth > 0 => self.in_text = !self.in_text,
-                _ if self.in_text => {}
+                b'\n' if self.in_string => return Err(ScanError::UnterminatedString),
+                b'\\' if self.in_string => self.escaped = true,
+                b'"' if self.depth > 0 => self.in_string = !self.in_string,
+                _ if self.in_string => {}
                 b'{' => self.depth += 1,
-                b'}' if self.depth == 1 => return Ok(Some(self.seen)),
+                b'}' if self.depth == 1 => return Ok(Some(self.scanned)),
                 b'}' if self.depth > 1 => self.depth -= 1,
-                _ if self.depth == 0 && !byte.is_ascii_whitespace() => return Err("a line that is not JSON"),
+                _ if self.depth == 0 && !byte.is_ascii_whitespace() => return Err(ScanError::NotAnObject),
                 _ => {}
             }
         }
