--- a/src/bin/sailmux-simhost.rs
+++ b/src/bin/sailmux-simhost.rs
@@ -1,14 +1,17 @@
-//! Speaks the bench's wire on standard input and output: one [`sailmux::Balancer`] per instance, nothing shared.
+//! Connects the simulator, on standard input and output, with the balancer: one [`sailmux::Balancer`] for each
+//! simulated aggregator.
 
-#[path = "../balancer/simulator_protocol.rs"]
+#[path = "../balancer/simulator_protocol/mod.rs"]
 mod simulator_protocol;
 
 use std::io::{self, BufReader, BufWriter};
 use std::process::ExitCode;
 
+const BUFFER_BYTES: usize = 64 * 1024;
+
 fn main() -> ExitCode {
-    let input = BufReader::with_capacity(1 << 16, io::stdin().lock());
-    let output = BufWriter::with_capacity(1 << 16, io::stdout().lock());
+    let input = BufReader::with_capacity(BUFFER_BYTES, io::stdin().lock());
+    let output = BufWriter::with_capacity(BUFFER_BYTES, io::stdout().lock());
     match simulator_protocol::run(input, output) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
