--- a/examples/ledger_cost.rs
+++ b/examples/ledger_cost.rs
@@ -1,6 +1,6 @@
-//! What the ledger costs: an entry in the event loop, a record on disk, a start after a kill with a million entries, and
-//! the time to an answer with the ledger off, in group mode and in strict mode.
-//! `cargo run --release --example ledger_cost -- [ENTRIES] [SECONDS]`, a million and 10 where none are told.
+//! Measures the ledger: the time to enqueue an entry in the event loop, the bytes of a record on disk, the start after a
+//! kill with a million entries, and the latency of answers with the ledger off, in group mode and in strict mode.
+//! `cargo run --release --example ledger_cost -- [ENTRIES] [SECONDS]`; the defaults are a million and 10.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -35,31 +35,31 @@
     Calendar::new("Asia/Taipei").expect("a zone")
 }
 
-fn kept(entries: u64) -> Result<(), Box<dyn std::error::Error>> {
+fn measure_store(entries: u64) -> Result<(), Box<dyn std::error::Error>> {
     let dir = scratch("cost");
     let options = Options::default();
     let (mut store, _) = Store::open(RealDisk::own(&dir)?, calendar(), options.clone(), "n1", AT)?;
     let groups: Vec<Vec<Record>> = (0..entries)
         .collect::<Vec<_>>()
         .chunks(512)
-        .map(|c| c.iter().map(|n| Record::Entry(entry(*n))).collect())
+        .map(|group| group.iter().map(|n| Record::Entry(entry(*n))).collect())
         .collect();
     let start = Instant::now();
     for group in &groups {
         store.append(group)?;
         store.commit()?;
     }
-    let took = start.elapsed().as_secs_f64();
-    println!("appended in groups of 512, each synced: {:.0} entries a second", entries as f64 / took);
+    let took_seconds = start.elapsed().as_secs_f64();
+    println!("appended in groups of 512, each synced: {:.0} entries a second", entries as f64 / took_seconds);
     drop(store);
     let bytes: u64 =
         std::fs::read_dir(&dir)?.map_while(Result::ok).filter_map(|f| Some(f.metadata().ok()?.len())).sum();
     println!("on disk: {:.1} bytes an entry, snapshots included", bytes as f64 / entries as f64);
     let start = Instant::now();
     let (store, found) = Store::open(RealDisk::own(&dir)?, calendar(), options, "n1", AT)?;
-    let took = start.elapsed().as_secs_f64() * 1e3;
+    let took_ms = start.elapsed().as_secs_f64() * 1e3;
     println!(
-        "start after a kill with {entries} entries: {took:.1} ms, {} records read behind the snapshot",
+        "start after a kill with {entries} entries: {took_ms:.1} ms, {} records read behind the snapshot",
         found.records
     );
     drop(store);
@@ -77,35 +77,36 @@
     Ok(())
 }
 
-fn brought() {
+fn measure_enqueue() {
     let (mut handle, intake) = queue();
-    let all: Vec<Entry> = (0..60_000).map(entry).collect();
+    const ENTRIES: u64 = 60_000;
+    let all: Vec<Entry> = (0..ENTRIES).map(entry).collect();
     let start = Instant::now();
     for entry in all {
         handle.put(entry);
     }
     println!(
         "brought to the thread, in the event loop: {:.0} ns an entry",
-        start.elapsed().as_nanos() as f64 / 6e4
+        start.elapsed().as_nanos() as f64 / ENTRIES as f64
     );
     drop(intake);
 }
 
-/// Times to whole answers, in ms, by three clients.
-fn answers(ledger: Option<&str>, seconds: f64) -> Vec<f64> {
+/// The latencies of complete answers to three clients, in ms, ascending.
+fn answer_latencies(ledger: Option<&str>, seconds: f64) -> Vec<f64> {
     let fleet = Fleet::new(6);
     let known = fleet.listed();
     let operator =
         ledger.map(|mode| format!("ledger: {{dir: {}, mode: {mode}}}\n", scratch("answers").display()));
-    let mixer = Setup { operator, ..Setup::new(&known) }.start();
+    let aggregator = Setup { operator, ..Setup::new(&known) }.start();
     let stop = Arc::new(AtomicBool::new(false));
     let clients: Vec<_> = (0..3)
-        .map(|c| {
-            let (stop, address) = (stop.clone(), mixer.address);
+        .map(|number| {
+            let (stop, address) = (stop.clone(), aggregator.address);
             thread::spawn(move || {
                 let (mut client, mut times) = (Client::connect(address), Vec::new());
                 while !stop.load(Ordering::Relaxed) {
-                    let id = format!("c{c}n{}", times.len());
+                    let id = format!("c{number}n{}", times.len());
                     let start = Instant::now();
                     assert_eq!(client.ask(query(&id, "5000m", &[0, 1, 2])).status, 200);
                     times.push(start.elapsed().as_secs_f64() * 1e3);
@@ -122,16 +123,22 @@
 }
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
-    let mut told = std::env::args().skip(1);
-    let entries = told.next().and_then(|n| n.parse().ok()).unwrap_or(1_000_000);
-    let seconds = told.next().and_then(|n| n.parse().ok()).unwrap_or(10.0);
-    brought();
-    kept(entries)?;
+    let mut arguments = std::env::args().skip(1);
+    let entries = arguments.next().and_then(|n| n.parse().ok()).unwrap_or(1_000_000);
+    let seconds = arguments.next().and_then(|n| n.parse().ok()).unwrap_or(10.0);
+    measure_enqueue();
+    measure_store(entries)?;
     println!("ledger    queries   p50 ms   p99 ms");
     for ledger in [None, Some("group"), Some("strict"), None, Some("group"), Some("strict")] {
-        let times = answers(ledger, seconds);
-        let at = |q: f64| times[((times.len() - 1) as f64 * q) as usize];
-        println!("{:8} {:8} {:8.2} {:8.2}", ledger.unwrap_or("off"), times.len(), at(0.5), at(0.99));
+        let times = answer_latencies(ledger, seconds);
+        let quantile = |rank: f64| times[((times.len() - 1) as f64 * rank) as usize];
+        println!(
+            "{:8} {:8} {:8.2} {:8.2}",
+            ledger.unwrap_or("off"),
+            times.len(),
+            quantile(0.5),
+            quantile(0.99)
+        );
     }
     Ok(())
 }
--- a/src/cli/ledger.rs
+++ b/src/cli/ledger.rs
@@ -134,7 +134,7 @@
 }
 
 fn calendar(zone: &str) -> Result<Calendar, Failure> {
-    Calendar::new(zone).map_err(|e| Failure::Diagnostics(vec![e]))
+    Ok(Calendar::new(zone)?)
 }
 
 impl SourceLocation {
--- a/src/ledger/book.rs
+++ b/src/ledger/book.rs
@@ -1,189 +1,109 @@
-//! What the records add up to: totals by period, account and class, corrections, closings and exports. A value that
-//! takes records in order; two books that took the same records are the same.
+//! The ledger's state: totals by billing line, corrections, closed periods and exports. The store feeds it records in
+//! order; two books that took the same records are equal. It reads no clock and no file.
 
 use super::UnixMs;
-use super::entry::{Correction, Entry, Gap, Outcome, Record, Share};
+use super::accounts::{Line, Totals, UnknownTenants};
 use super::period::{Calendar, Period};
-use std::collections::{BTreeMap, BTreeSet};
+use super::record::{Correction, Entry, Gap, Record};
+use std::collections::BTreeMap;
 
-/// Names of unknown tenants that get a line of their own; all others share one.
-const UNKNOWN_MOST: usize = 1000;
-
-/// Whose line it is.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Account {
-    /// A tenant that the settings know.
-    Tenant(String),
-    /// A name that they do not.
-    Unknown(String),
-    /// All names beyond the bound.
-    Others,
-}
-
-impl Account {
-    /// As it is printed.
-    pub fn name(&self) -> String {
-        match self {
-            Account::Tenant(name) => name.clone(),
-            Account::Unknown(name) if name.is_empty() => "(none)".to_owned(),
-            Account::Unknown(name) => format!("(unknown) {name}"),
-            Account::Others => "(unknown, all others)".to_owned(),
-        }
-    }
-}
-
-/// What is counted.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Sums {
-    /// Queries with a final answer.
-    pub queries: u64,
-    /// Those that are billed.
-    pub billed: u64,
-    /// Those refused.
-    pub refused: u64,
-    /// Those that failed, ran out of time or lost their client.
-    pub failed: u64,
-    /// Parts asked.
-    pub asked: u64,
-    /// Parts billed: served in answers, each once.
-    pub parts: u64,
-    /// Attempts sent.
-    pub attempts: u64,
-    /// Work billed, in thousandths of a unit.
-    pub work: u64,
-    /// Of the queries, those that came after their own period had closed.
-    pub late: u64,
-}
-
-impl Sums {
-    pub(super) fn add(&mut self, e: &Entry, late: bool) {
-        self.queries += 1;
-        match e.outcome {
-            o if o.is_billed() => {
-                self.billed += 1;
-                self.parts += u64::from(e.served);
-                self.work += e.work;
-            }
-            Outcome::Refused => self.refused += 1,
-            _ => self.failed += 1,
-        }
-        self.asked += u64::from(e.asked);
-        self.attempts += u64::from(e.attempts);
-        self.late += u64::from(late);
-    }
-}
-
-/// A line's key.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Line {
-    /// The period it is billed in.
-    pub period: Period,
-    /// Whose.
-    pub account: Account,
-    /// The class.
-    pub class: String,
-    /// Within the share or beyond.
-    pub share: Share,
-}
-
-/// Lines and what stands in them.
-pub type Totals = BTreeMap<Line, Sums>;
-
-/// Where a period stands.
+/// Whether a period still takes entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeriodState {
     /// It takes entries.
     Open,
-    /// It takes none any more.
+    /// It takes no entries any more; what comes late is billed in a later period.
     Closed,
 }
 
-/// An export that was begun.
+/// An export whose intent is in the journal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Begun {
-    /// Its name.
+    /// The export's name, which is unique.
     pub name: String,
-    /// Its period.
+    /// The period that it covers.
     pub period: String,
-    /// Its form's word.
+    /// The name of its format.
     pub format: String,
-    /// The records that it covers.
+    /// The records that it covers: after the first sequence number, up to and including the second.
     pub range: (u64, u64),
-    /// The hash of its bytes, once it is done.
+    /// SHA-256 of its bytes in hex, once it is finished.
     pub hash: Option<String>,
 }
 
-/// What the records add up to.
+impl Begun {
+    /// The export's file and its manifest are in place.
+    pub fn is_finished(&self) -> bool {
+        self.hash.is_some()
+    }
+
+    /// The name of the export's file.
+    pub fn file_name(&self) -> String {
+        format!("{}.{}", self.name, self.format)
+    }
+}
+
+/// The sum of all records so far.
 #[derive(Clone, Debug)]
 pub struct Book {
     calendar: Calendar,
-    /// The last record taken.
-    pub(super) seq: u64,
-    pub(super) mixer: String,
+    /// The sequence number of the last record.
+    pub(super) sequence: u64,
+    /// The aggregator that wrote the last run.
+    pub(super) aggregator: String,
+    /// The number of the last run, counted from 1.
     pub(super) epoch: u64,
     pub(super) totals: Totals,
-    /// Unknown tenants with lines of their own.
-    pub(super) unknown: BTreeSet<String>,
+    pub(super) unknown_tenants: UnknownTenants,
     pub(super) corrections: Vec<(u64, Period, Correction)>,
     pub(super) gaps: Vec<(u64, Gap)>,
-    pub(super) closed: BTreeMap<Period, UnixMs>,
+    /// Closed periods, and when each was closed.
+    pub(super) closed_periods: BTreeMap<Period, UnixMs>,
     pub(super) exports: Vec<Begun>,
-    /// The latest moment of any entry.
-    pub(super) latest: UnixMs,
-    /// The last run has ended in good order, or there was none.
-    pub(super) ended: bool,
-    /// The last record that changed a period.
-    pub(super) changed: BTreeMap<Period, u64>,
+    /// The latest time of any entry.
+    pub(super) latest_entry: UnixMs,
+    /// The last run ended by a graceful shutdown, or there was none.
+    pub(super) ended_gracefully: bool,
+    /// The last record that changed each period.
+    pub(super) last_changes: BTreeMap<Period, u64>,
 }
 
 impl Book {
-    /// No records yet.
+    /// A book without records.
     pub fn new(calendar: Calendar) -> Self {
         Book {
             calendar,
-            seq: 0,
-            mixer: String::new(),
+            sequence: 0,
+            aggregator: String::new(),
             epoch: 0,
             totals: Totals::new(),
-            unknown: BTreeSet::new(),
+            unknown_tenants: UnknownTenants::default(),
             corrections: Vec::new(),
             gaps: Vec::new(),
-            closed: BTreeMap::new(),
+            closed_periods: BTreeMap::new(),
             exports: Vec::new(),
-            latest: 0,
-            changed: BTreeMap::new(),
-            ended: true,
+            latest_entry: 0,
+            ended_gracefully: true,
+            last_changes: BTreeMap::new(),
         }
     }
 
-    /// Takes the next record in.
-    pub fn apply(&mut self, seq: u64, record: &Record) {
-        self.seq = seq;
-        self.ended = matches!(record, Record::End { .. });
+    /// Takes the next record.
+    pub fn apply(&mut self, sequence: u64, record: &Record) {
+        self.sequence = sequence;
+        self.ended_gracefully = matches!(record, Record::End { .. });
         match record {
             Record::End { .. } => {}
-            Record::Open { mixer, epoch, .. } => {
-                self.mixer.clone_from(mixer);
+            Record::Open { aggregator, epoch, .. } => {
+                self.aggregator.clone_from(aggregator);
                 self.epoch = *epoch;
             }
-            Record::Entry(entry) => {
-                self.latest = self.latest.max(entry.at);
-                let (period, late) = self.billed_in(entry.at);
-                self.changed.insert(period, seq);
-                let account = self.account(entry);
-                let line = Line { period, account, class: entry.class.clone(), share: entry.share };
-                self.totals.entry(line).or_default().add(entry, late);
-            }
-            Record::Gap(gap) => self.gaps.push((seq, gap.clone())),
-            Record::Correction(c) => {
-                // Billed in the period that is open when it is made, whatever it corrects.
-                let (period, _) = self.billed_in(c.at);
-                self.changed.insert(period, seq);
-                self.corrections.push((seq, period, c.clone()));
-            }
+            Record::Entry(entry) => self.apply_entry(sequence, entry),
+            Record::Gap(gap) => self.gaps.push((sequence, gap.clone())),
+            Record::Correction(correction) => self.apply_correction(sequence, correction),
             Record::Close { period, at } => {
                 if let Ok(period) = period.parse() {
-                    self.closed.entry(period).or_insert(*at);
+                    self.closed_periods.entry(period).or_insert(*at);
                 }
             }
             Record::Intent { name, period, format, after, upto } => self.exports.push(Begun {
@@ -194,42 +114,45 @@
                 hash: None,
             }),
             Record::Done { name, hash, .. } => {
-                if let Some(export) = self.exports.iter_mut().find(|e| e.name == *name) {
+                if let Some(export) = self.exports.iter_mut().find(|export| export.name == *name) {
                     export.hash = Some(hash.clone());
                 }
             }
         }
     }
 
-    /// The period that what happened then is billed in, and whether its own had closed.
+    fn apply_entry(&mut self, sequence: u64, entry: &Entry) {
+        self.latest_entry = self.latest_entry.max(entry.at);
+        let (period, late) = self.billed_in(entry.at);
+        self.last_changes.insert(period, sequence);
+        let account = self.unknown_tenants.account_of(entry);
+        let line = Line { period, account, class: entry.class.clone(), share: entry.share };
+        self.totals.entry(line).or_default().add_entry(entry, late);
+    }
+
+    /// A correction is billed in the period that is open when it is made, whichever period it corrects.
+    fn apply_correction(&mut self, sequence: u64, correction: &Correction) {
+        let (period, _) = self.billed_in(correction.at);
+        self.last_changes.insert(period, sequence);
+        self.corrections.push((sequence, period, correction.clone()));
+    }
+
+    /// The period in which an event of that time is billed, and whether its own period had closed.
     pub fn billed_in(&self, at: UnixMs) -> (Period, bool) {
         let own = self.calendar.period(at);
         let mut period = own;
-        while self.closed.contains_key(&period) {
+        while self.closed_periods.contains_key(&period) {
             period = period.next();
         }
         (period, period != own)
     }
 
-    fn account(&mut self, entry: &Entry) -> Account {
-        if entry.known {
-            return Account::Tenant(entry.tenant.clone());
-        }
-        if self.unknown.len() < UNKNOWN_MOST {
-            self.unknown.insert(entry.tenant.clone());
-        }
-        match self.unknown.contains(&entry.tenant) {
-            true => Account::Unknown(entry.tenant.clone()),
-            false => Account::Others,
-        }
-    }
-
-    /// The lines, corrections apart.
+    /// The billing lines, without corrections.
     pub fn totals(&self) -> &Totals {
         &self.totals
     }
 
-    /// Corrections with their sequence numbers and the periods they are billed in.
+    /// Corrections with their sequence numbers and the periods in which they are billed.
     pub fn corrections(&self) -> &[(u64, Period, Correction)] {
         &self.corrections
     }
@@ -239,54 +162,64 @@
         &self.gaps
     }
 
-    /// Exports that were begun, in order.
+    /// Exports in the order in which they were begun, finished or not.
     pub fn exports(&self) -> &[Begun] {
         &self.exports
     }
 
-    /// Where a period stands.
+    /// Whether a period still takes entries.
     pub fn state(&self, period: Period) -> PeriodState {
-        if self.closed.contains_key(&period) { PeriodState::Closed } else { PeriodState::Open }
+        if self.closed_periods.contains_key(&period) { PeriodState::Closed } else { PeriodState::Open }
     }
 
-    /// The last record taken, the mixer and its run.
+    /// The sequence number of the last record, the aggregator that wrote it, and the number of its run.
     pub fn position(&self) -> (u64, &str, u64) {
-        (self.seq, &self.mixer, self.epoch)
+        (self.sequence, &self.aggregator, self.epoch)
     }
 
-    /// The months in which it counts.
+    /// The calendar by which entries are assigned to periods.
     pub fn calendar(&self) -> &Calendar {
         &self.calendar
     }
 
-    /// Periods with lines or corrections that are over for longer than the grace and not closed yet, oldest first.
+    /// Periods with lines or corrections that ended at least `grace` milliseconds ago and are still open, oldest first.
     pub fn due(&self, now: UnixMs, grace: UnixMs) -> Vec<Period> {
-        let lines = self.totals.keys().map(|l| l.period).chain(self.corrections.iter().map(|(_, p, _)| *p));
-        let mut due: Vec<Period> = lines
-            .filter(|p| !self.closed.contains_key(p) && self.calendar.end(*p).saturating_add(grace) <= now)
-            .collect();
+        let billed = self.totals.keys().map(|line| line.period);
+        let corrected = self.corrections.iter().map(|(_, period, _)| *period);
+        let is_due = |period: &Period| {
+            let is_open = self.state(*period) == PeriodState::Open;
+            is_open && self.calendar.end(*period).saturating_add(grace) <= now
+        };
+        let mut due: Vec<Period> = billed.chain(corrected).filter(is_due).collect();
         due.sort_unstable();
         due.dedup();
         due
     }
 
-    /// The next export of a period: the records after the last one's up to the newest; none if nothing is new.
+    /// The next export of a period: the records since its last export up to the newest one. `None` if nothing in the
+    /// period changed since.
     pub fn next_export(&self, period: Period, format: &str) -> Option<Begun> {
-        let of_period: Vec<&Begun> = self.exports.iter().filter(|e| e.period == period.to_string()).collect();
-        let after = of_period.iter().map(|e| e.range.1).max().unwrap_or(0);
-        if self.changed.get(&period).is_none_or(|last| *last <= after) {
+        let period_name = period.to_string();
+        let earlier = || self.exports.iter().filter(|export| export.period == period_name);
+        let after = earlier().map(|export| export.range.1).max().unwrap_or(0);
+        if self.last_changes.get(&period).is_none_or(|last| *last <= after) {
             return None;
         }
-        let (number, epoch) = (of_period.len() + 1, self.epoch);
-        // It is the name of a file as well.
-        let plain = |c: char| if c.is_ascii_alphanumeric() || matches!(c, '-' | '_') { c } else { '_' };
-        let mixer: String = self.mixer.chars().map(plain).collect();
+        let aggregator = file_name_part(&self.aggregator);
+        let epoch = self.epoch;
+        let number = earlier().count() + 1;
         Some(Begun {
-            name: format!("{mixer}-e{epoch}-{period}-{number:04}"),
-            period: period.to_string(),
+            name: format!("{aggregator}-e{epoch}-{period_name}-{number:04}"),
+            period: period_name,
             format: format.to_owned(),
-            range: (after, self.seq),
+            range: (after, self.sequence),
             hash: None,
         })
     }
 }
+
+/// A name without characters that a file name may not have.
+fn file_name_part(name: &str) -> String {
+    let plain = |c: char| if c.is_ascii_alphanumeric() || matches!(c, '-' | '_') { c } else { '_' };
+    name.chars().map(plain).collect()
+}
--- /dev/null
+++ b/src/ledger/export_format.rs
@@ -0,0 +1,252 @@
+//! The formats of exports. The same content gives the same bytes, so that an export that a crash interrupted is
+//! completed as it was begun.
+
+use super::export::{BilledRecord, BilledRow, Export};
+use super::record::{Correction, Entry};
+use arrow_array::{ArrayRef, BooleanArray, Int64Array, RecordBatch, StringArray, UInt64Array};
+use arrow_ipc::writer::FileWriter;
+use arrow_schema::ArrowError;
+use serde::Serialize;
+use std::error::Error;
+use std::fmt;
+use std::sync::Arc;
+
+/// A format of exports.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Format {
+    /// CSV with a header.
+    Csv,
+    /// One JSON object a line.
+    JsonLines,
+    /// Arrow's IPC file format.
+    Arrow,
+}
+
+impl Format {
+    /// Its name in the journal, which is also the extension of its files.
+    pub fn word(self) -> &'static str {
+        match self {
+            Format::Csv => "csv",
+            Format::JsonLines => "jsonl",
+            Format::Arrow => "arrow",
+        }
+    }
+
+    /// The format of that name.
+    pub fn named(word: &str) -> Option<Self> {
+        [Format::Csv, Format::JsonLines, Format::Arrow].into_iter().find(|format| format.word() == word)
+    }
+}
+
+/// An export could not be rendered, which is a fault of this program.
+#[derive(Debug)]
+pub enum RenderError {
+    /// By the CSV writer.
+    Csv(csv::Error),
+    /// By the JSON writer.
+    Json(serde_json::Error),
+    /// By the Arrow writer.
+    Arrow(ArrowError),
+}
+
+impl fmt::Display for RenderError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Csv(error) => write!(f, "{error}"),
+            Self::Json(error) => write!(f, "{error}"),
+            Self::Arrow(error) => write!(f, "{error}"),
+        }
+    }
+}
+
+impl Error for RenderError {}
+
+impl From<csv::Error> for RenderError {
+    fn from(error: csv::Error) -> Self {
+        RenderError::Csv(error)
+    }
+}
+
+impl From<serde_json::Error> for RenderError {
+    fn from(error: serde_json::Error) -> Self {
+        RenderError::Json(error)
+    }
+}
+
+impl From<ArrowError> for RenderError {
+    fn from(error: ArrowError) -> Self {
+        RenderError::Arrow(error)
+    }
+}
+
+/// The columns of every format, in the order of [`ExportRow`]'s fields.
+const COLUMNS: [&str; 15] = [
+    "seq",
+    "kind",
+    "at_ms",
+    "tenant",
+    "known",
+    "class",
+    "query",
+    "asked",
+    "served",
+    "attempts",
+    "work_milliunits",
+    "outcome",
+    "share",
+    "corrects",
+    "note",
+];
+
+/// A row as it is written. The names and the order of its fields are those of the JSON format.
+#[derive(Serialize)]
+struct ExportRow<'a> {
+    #[serde(rename = "seq")]
+    sequence: u64,
+    #[serde(rename = "kind")]
+    kind: &'static str,
+    #[serde(rename = "at_ms")]
+    at_ms: i64,
+    #[serde(rename = "tenant")]
+    tenant: &'a str,
+    #[serde(rename = "known")]
+    known: bool,
+    #[serde(rename = "class")]
+    class: &'a str,
+    #[serde(rename = "query")]
+    query: &'a str,
+    #[serde(rename = "asked")]
+    requested_parts: i64,
+    #[serde(rename = "served")]
+    served_parts: i64,
+    #[serde(rename = "attempts")]
+    attempts: i64,
+    /// Wide enough for unsigned work and negative corrections.
+    #[serde(rename = "work_milliunits")]
+    work_milliunits: i128,
+    #[serde(rename = "outcome")]
+    outcome: &'static str,
+    #[serde(rename = "share")]
+    share: &'static str,
+    #[serde(rename = "corrects")]
+    corrected_period: &'a str,
+    #[serde(rename = "note")]
+    note: String,
+}
+
+impl<'a> ExportRow<'a> {
+    fn new(row: &'a BilledRow) -> Self {
+        match &row.record {
+            BilledRecord::Entry(entry) => ExportRow::of_entry(row.sequence, entry),
+            BilledRecord::Correction(correction) => ExportRow::of_correction(row.sequence, correction),
+        }
+    }
+
+    fn of_entry(sequence: u64, entry: &'a Entry) -> Self {
+        let billed_work = if entry.outcome.is_billed() { entry.work } else { 0 };
+        ExportRow {
+            sequence,
+            kind: "entry",
+            at_ms: entry.at,
+            tenant: &entry.tenant,
+            known: entry.known,
+            class: &entry.class,
+            query: &entry.query,
+            requested_parts: i64::from(entry.asked),
+            served_parts: i64::from(entry.served),
+            attempts: i64::from(entry.attempts),
+            work_milliunits: i128::from(billed_work),
+            outcome: entry.outcome.word(),
+            share: entry.share.word(),
+            corrected_period: "",
+            note: String::new(),
+        }
+    }
+
+    fn of_correction(sequence: u64, correction: &'a Correction) -> Self {
+        ExportRow {
+            sequence,
+            kind: "correction",
+            at_ms: correction.at,
+            tenant: &correction.tenant,
+            known: true,
+            class: &correction.class,
+            query: "",
+            requested_parts: correction.queries,
+            served_parts: correction.parts,
+            attempts: 0,
+            work_milliunits: i128::from(correction.work),
+            outcome: "correction",
+            share: correction.share.word(),
+            corrected_period: &correction.corrects,
+            note: format!("by {}: {}", correction.by, correction.why),
+        }
+    }
+}
+
+/// The bytes of an export.
+///
+/// # Errors
+/// The writer of the format failed, which is a fault of this program.
+pub fn render(export: &Export, format: Format) -> Result<Vec<u8>, RenderError> {
+    let rows: Vec<ExportRow<'_>> = export.rows().iter().map(ExportRow::new).collect();
+    match format {
+        Format::Csv => render_csv(&rows),
+        Format::JsonLines => render_json_lines(&rows),
+        Format::Arrow => Ok(render_arrow(&rows)?),
+    }
+}
+
+fn render_csv(rows: &[ExportRow<'_>]) -> Result<Vec<u8>, RenderError> {
+    // The header is written here, since the writer adds none to an export without rows.
+    let mut writer = csv::WriterBuilder::new().has_headers(false).from_writer(Vec::new());
+    writer.write_record(COLUMNS)?;
+    for row in rows {
+        writer.serialize(row)?;
+    }
+    writer.into_inner().map_err(|error| RenderError::Csv(error.into_error().into()))
+}
+
+fn render_json_lines(rows: &[ExportRow<'_>]) -> Result<Vec<u8>, RenderError> {
+    let mut bytes = Vec::new();
+    for row in rows {
+        serde_json::to_writer(&mut bytes, row)?;
+        bytes.push(b'\n');
+    }
+    Ok(bytes)
+}
+
+fn render_arrow(rows: &[ExportRow<'_>]) -> Result<Vec<u8>, ArrowError> {
+    let columns: [ArrayRef; COLUMNS.len()] = [
+        Arc::new(rows.iter().map(|row| Some(row.sequence)).collect::<UInt64Array>()),
+        text_column(rows, |row| row.kind),
+        integer_column(rows, |row| Some(row.at_ms)),
+        text_column(rows, |row| row.tenant),
+        Arc::new(rows.iter().map(|row| Some(row.known)).collect::<BooleanArray>()),
+        text_column(rows, |row| row.class),
+        text_column(rows, |row| row.query),
+        integer_column(rows, |row| Some(row.requested_parts)),
+        integer_column(rows, |row| Some(row.served_parts)),
+        integer_column(rows, |row| Some(row.attempts)),
+        integer_column(rows, |row| i64::try_from(row.work_milliunits).ok()),
+        text_column(rows, |row| row.outcome),
+        text_column(rows, |row| row.share),
+        text_column(rows, |row| row.corrected_period),
+        text_column(rows, |row| &row.note),
+    ];
+    let batch = RecordBatch::try_from_iter(COLUMNS.into_iter().zip(columns))?;
+    let mut bytes = Vec::new();
+    let mut writer = FileWriter::try_new(&mut bytes, &batch.schema())?;
+    writer.write(&batch)?;
+    writer.finish()?;
+    drop(writer);
+    Ok(bytes)
+}
+
+fn integer_column(rows: &[ExportRow<'_>], value: impl Fn(&ExportRow<'_>) -> Option<i64>) -> ArrayRef {
+    Arc::new(rows.iter().map(value).collect::<Int64Array>())
+}
+
+fn text_column<'a>(rows: &'a [ExportRow<'a>], value: impl Fn(&'a ExportRow<'a>) -> &'a str) -> ArrayRef {
+    Arc::new(rows.iter().map(|row| Some(value(row))).collect::<StringArray>())
+}
--- a/src/ledger/metrics.rs
+++ b/src/ledger/metrics.rs
@@ -1,13 +1,17 @@
-//! Counters by tenant, for collectors: as the ledger's entries are made, whether or not a disk keeps them.
+//! Counters by tenant, served to metrics collectors. The aggregator counts each entry here whether or not the disk
+//! stores it.
 
-use super::entry::Entry;
+use super::record::Entry;
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::encoding::text::encode;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
 use prometheus_client::registry::Registry;
 
-/// Labels of one counter. Tenants that the settings do not know share one, so that a hostile client makes no labels.
+/// The tenant label of all tenants that the settings do not know, so that a hostile client cannot create labels.
+const UNKNOWN_TENANT: &str = "(unknown)";
+
+/// Labels of one counter; the field names are the label names that collectors see.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct Labels {
     tenant: String,
@@ -29,16 +33,16 @@
 impl Default for TenantMetrics {
     fn default() -> Self {
         let mut registry = Registry::with_prefix("sailmux_tenant");
-        let mut family = |name: &str, help: &str| {
+        let mut register = |name: &str, help: &str| {
             let family: Family<Labels, Counter> = Family::default();
             registry.register(name, help, family.clone());
             family
         };
         TenantMetrics {
-            queries: family("queries", "Queries with a final answer"),
-            parts: family("parts", "Parts served in answers, each once"),
-            attempts: family("attempts", "Attempts sent for them"),
-            work: family("work_milliunits", "Work billed, in thousandths of a unit"),
+            queries: register("queries", "Queries with a final answer"),
+            parts: register("parts", "Parts served in answers, each once"),
+            attempts: register("attempts", "Attempts sent for them"),
+            work: register("work_milliunits", "Work billed, in thousandths of a unit"),
             registry,
         }
     }
@@ -47,8 +51,9 @@
 impl TenantMetrics {
     /// Counts an entry.
     pub fn count(&self, entry: &Entry) {
+        let tenant = if entry.known { entry.tenant.as_str() } else { UNKNOWN_TENANT };
         let labels = Labels {
-            tenant: if entry.known { entry.tenant.clone() } else { "(unknown)".to_owned() },
+            tenant: tenant.to_owned(),
             class: entry.class.clone(),
             share: entry.share.word(),
             outcome: entry.outcome.word(),
@@ -61,10 +66,10 @@
         self.attempts.get_or_create(&labels).inc_by(u64::from(entry.attempts));
     }
 
-    /// In the text form that collectors read, to stand behind other counters.
+    /// The counters in OpenMetrics text, without its end marker, to be appended to other counters.
     pub fn text(&self) -> String {
         let mut text = String::new();
-        // Writing into memory: there is nothing that could fail.
+        // Writing into a string cannot fail.
         let written = encode(&mut text, &self.registry);
         debug_assert!(written.is_ok());
         text.trim_end_matches("# EOF\n").to_owned()
--- a/src/ledger/mod.rs
+++ b/src/ledger/mod.rs
@@ -1,37 +1,48 @@
-//! The tenant ledger: one entry for each query with its final answer, kept on disk through crashes, and billed once.
+//! The tenant ledger: one entry for each query with its final answer, durable through crashes and billed exactly once.
 //!
-//! It promises the operators that what is in it is never changed: a correction is an entry, a closed period is closed,
-//! an export has one name and one content. It promises the mixer that no answer waits for a disk, except in strict mode
-//! and then for a stated time at most; what could not be kept is itself recorded, as a gap with its bounds.
+//! To those who bill it guarantees that a record never changes: a correction is a record of its own, a closed period
+//! stays closed, and an export has one name and one content. To the event loop it guarantees that no answer waits for
+//! the disk, except in strict mode and then for a bounded time. Entries that could not be stored are themselves
+//! recorded, as a [`Gap`] with its bounds.
 //!
-//! [`Book`] is the half that decides: records in, totals and periods out, without a clock or a file. [`journal`] is the
-//! form of the records as bytes. [`store`] keeps them through a [`Disk`], which tests replace by one with faults.
+//! [`Book`] is the half that decides: it takes records and answers with totals and periods, without clock or file.
+//! [`journal`] is the binary format of the records. [`store`] keeps them on a [`Disk`], which tests replace by one with
+//! faults. [`Writer`] runs a store on a thread of its own. [`Request`] is how the command line reaches a ledger that a
+//! running aggregator owns.
 
 pub mod disk;
 pub mod journal;
 pub mod store;
 
+mod accounts;
 mod book;
-mod entry;
+mod error;
 mod export;
+mod export_format;
 mod metrics;
+mod options;
 mod period;
 mod price;
 mod reconcile;
+mod record;
 mod request;
 mod writer;
 
-pub use book::{Account, Begun, Book, Line, PeriodState, Sums, Totals};
+pub use accounts::{Account, Line, Sums, Totals};
+pub use book::{Begun, Book, PeriodState};
 pub use disk::{Disk, RealDisk};
-pub use entry::{Correction, Entry, Gap, Outcome, Record, Share};
-pub use export::{Export, Format, Manifest, lines, render};
+pub use error::LedgerError;
+pub use export::{Export, Manifest, lines};
+pub use export_format::{Format, RenderError, render};
 pub use metrics::TenantMetrics;
-pub use period::{Calendar, Period};
+pub use options::{Options, Recovery};
+pub use period::{Calendar, ParsePeriodError, Period, UnknownTimeZone};
 pub use price::PriceList;
 pub use reconcile::{Ledger, Reconciled, reconcile};
-pub use request::{Request, reply_name, request_name};
-pub use store::{LedgerError, Options, Recovery, Store, read_all};
-pub use writer::{Handle, Intake, LedgerEvent, Writer, queue};
+pub use record::{Correction, Entry, Gap, Outcome, Record, Share};
+pub use request::{Reply, Request, RequestError, RequestOutcome, reply_name, request_name};
+pub use store::{Store, read_all};
+pub use writer::{Handle, Intake, LedgerEvent, NumberedRecord, Writer, queue};
 
 /// Unix time in milliseconds.
 pub type UnixMs = i64;
--- a/src/ledger/period.rs
+++ b/src/ledger/period.rs
@@ -1,21 +1,39 @@
-//! Billing periods: months in a set time zone.
+//! Billing periods: calendar months in a configured time zone.
 
 use super::UnixMs;
 use jiff::Timestamp;
 use jiff::civil::Date;
 use jiff::tz::TimeZone;
+use std::error::Error;
 use std::fmt;
 use std::str::FromStr;
 
-/// A month, as `2026-11`.
+/// The latest moment that is assigned to a period of its own, in 2096.
+const LATEST_MOMENT: UnixMs = 4_000_000_000_000;
+
+/// A calendar month, written as `2026-11`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Period {
-    /// The year.
+    /// The year, from 1.
     pub year: i16,
-    /// The month, from 1.
+    /// The month, from 1 to 12.
     pub month: i8,
 }
 
+/// A text that is no period such as `2026-11`.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ParsePeriodError {
+    text: String,
+}
+
+impl fmt::Display for ParsePeriodError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{:?} is no period such as 2026-11", self.text)
+    }
+}
+
+impl Error for ParsePeriodError {}
+
 impl fmt::Display for Period {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:04}-{:02}", self.year, self.month)
@@ -23,23 +41,25 @@
 }
 
 impl FromStr for Period {
-    type Err = String;
-
-    fn from_str(text: &str) -> Result<Self, String> {
-        let wrong = || format!("{text:?} is no period such as 2026-11");
-        let (year, month) = text.split_once('-').ok_or_else(wrong)?;
-        let digits = |s: &str, n: usize| s.len() == n && s.bytes().all(|b| b.is_ascii_digit());
-        if !digits(year, 4) || !digits(month, 2) {
-            return Err(wrong());
-        }
-        let period =
-            Period { year: year.parse().map_err(|_| wrong())?, month: month.parse().map_err(|_| wrong())? };
-        if (1..=12).contains(&period.month) && period.year > 0 { Ok(period) } else { Err(wrong()) }
+    type Err = ParsePeriodError;
+
+    fn from_str(text: &str) -> Result<Self, ParsePeriodError> {
+        Period::parse(text).ok_or_else(|| ParsePeriodError { text: text.to_owned() })
     }
 }
 
 impl Period {
-    /// The month after.
+    fn parse(text: &str) -> Option<Self> {
+        let (year, month) = text.split_once('-')?;
+        if !has_digits(year, 4) || !has_digits(month, 2) {
+            return None;
+        }
+        let period = Period { year: year.parse().ok()?, month: month.parse().ok()? };
+        let is_valid = period.year > 0 && (1..=12).contains(&period.month);
+        is_valid.then_some(period)
+    }
+
+    /// The month after this one.
     pub fn next(self) -> Period {
         match self.month {
             12 => Period { year: self.year + 1, month: 1 },
@@ -48,33 +68,61 @@
     }
 }
 
-/// Months in a time zone.
+fn has_digits(text: &str, count: usize) -> bool {
+    text.len() == count && text.bytes().all(|byte| byte.is_ascii_digit())
+}
+
+/// A name that is not in the IANA time zone database.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct UnknownTimeZone {
+    name: String,
+}
+
+impl fmt::Display for UnknownTimeZone {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{:?} is no time zone", self.name)
+    }
+}
+
+impl Error for UnknownTimeZone {}
+
+impl From<UnknownTimeZone> for String {
+    fn from(error: UnknownTimeZone) -> String {
+        error.to_string()
+    }
+}
+
+/// Assigns moments to the months of one time zone.
 #[derive(Clone, Debug)]
 pub struct Calendar {
     zone: TimeZone,
 }
 
 impl Calendar {
-    /// By the zone's name in the IANA database, as `Asia/Taipei`.
+    /// A calendar for a zone of the IANA database, such as `Asia/Taipei`.
     ///
     /// # Errors
-    /// There is no such zone.
-    pub fn new(zone: &str) -> Result<Self, String> {
-        TimeZone::get(zone).map(|zone| Calendar { zone }).map_err(|_| format!("{zone:?} is no time zone"))
+    /// There is no zone of that name.
+    pub fn new(zone: &str) -> Result<Self, UnknownTimeZone> {
+        match TimeZone::get(zone) {
+            Ok(zone) => Ok(Calendar { zone }),
+            Err(_) => Err(UnknownTimeZone { name: zone.to_owned() }),
+        }
     }
 
-    /// The month of a moment; a moment beyond all calendars is taken for the nearest one.
+    /// The month that a moment lies in. Moments before 1970 or after 2096 are clamped to these bounds.
     pub fn period(&self, at: UnixMs) -> Period {
-        let moment =
-            Timestamp::from_millisecond(at.clamp(0, 4_000_000_000_000)).unwrap_or(Timestamp::UNIX_EPOCH);
+        let clamped = at.clamp(0, LATEST_MOMENT);
+        let moment = Timestamp::from_millisecond(clamped).unwrap_or(Timestamp::UNIX_EPOCH);
         let date = self.zone.to_datetime(moment).date();
         Period { year: date.year(), month: date.month() }
     }
 
-    /// When a month is over: its first moment is not before, the next one's is.
+    /// The first moment after a month.
     pub fn end(&self, period: Period) -> UnixMs {
         let next = period.next();
-        let first = Date::new(next.year, next.month, 1).unwrap_or(Date::MAX);
-        self.zone.to_timestamp(first.at(0, 0, 0, 0)).map_or(UnixMs::MAX, |t| t.as_millisecond())
+        let first_day = Date::new(next.year, next.month, 1).unwrap_or(Date::MAX);
+        let midnight = self.zone.to_timestamp(first_day.at(0, 0, 0, 0));
+        midnight.map_or(UnixMs::MAX, |moment| moment.as_millisecond())
     }
 }
--- a/src/ledger/price.rs
+++ b/src/ledger/price.rs
@@ -1,18 +1,22 @@
-//! The price list: units of work by class, for a query and for each part served.
+//! The price list: billed work by query class. The operator's file sets it.
 
 use std::collections::BTreeMap;
 
-/// Units in thousandths, by class.
+/// Prices of a class that is not listed: nothing for the query, one unit for each part.
+const DEFAULT_PRICES: (u64, u64) = (0, 1000);
+
+/// Prices by class, in thousandths of a unit of work.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PriceList {
-    /// For a query answered, and for each of its parts served; a class that is not there costs a unit a part.
+    /// The price of an answered query and of each part served; a class that is not listed costs one unit a part.
     pub classes: BTreeMap<String, (u64, u64)>,
 }
 
 impl PriceList {
-    /// Work billed for an answered query, in thousandths of a unit.
+    /// The work billed for an answered query, in thousandths of a unit.
     pub fn work(&self, class: &str, served: u32) -> u64 {
-        let (query, part) = self.classes.get(class).copied().unwrap_or((0, 1000));
-        query.saturating_add(part.saturating_mul(u64::from(served)))
+        let (query_price, part_price) = self.classes.get(class).copied().unwrap_or(DEFAULT_PRICES);
+        let parts_price = part_price.saturating_mul(u64::from(served));
+        query_price.saturating_add(parts_price)
     }
 }
--- a/src/ledger/reconcile.rs
+++ b/src/ledger/reconcile.rs
@@ -1,102 +1,146 @@
-//! Several mixers' ledgers, which never talked, held against each other from their records alone.
+//! Compares the ledgers of several aggregators, which never exchange records, and adds them up.
 
 use super::UnixMs;
-use super::book::{Book, Totals};
-use super::entry::{Gap, Record};
+use super::accounts::Totals;
+use super::book::Book;
+use super::record::{Entry, Gap, Record};
 use std::collections::HashMap;
 
-/// A clock that runs back by more than that within a run, or two mixers that saw one query so far apart, are told of.
-const CLOCKS: UnixMs = 5_000;
-/// Findings of one kind that are named; more are counted.
-const NAMED: usize = 100;
+/// Clocks that differ by more than this many milliseconds are reported: within one ledger, or between two that
+/// recorded the same query.
+const CLOCK_TOLERANCE_MS: UnixMs = 5_000;
+/// Findings of one kind that are listed; more are only counted, if at all.
+const MAX_LISTED: usize = 100;
 
-/// What several ledgers add up to, and what is not proven.
+/// The sum of several ledgers, and what is missing or contradictory in them.
 #[derive(Clone, Debug, Default)]
 pub struct Reconciled {
-    /// All lines together.
+    /// All billing lines together.
     pub totals: Totals,
-    /// Entries in all ledgers.
+    /// Number of entries in all ledgers.
     pub entries: u64,
-    /// Queries met at two mixers. A client's retry is a new query with a name of its own, so these are one client
-    /// request that two mixers answered: by rule both count, for both did the work.
+    /// Queries that two aggregators recorded. A client's retry is a new query with an id of its own, so one client
+    /// request reached both; by rule both count, since both did the work.
     pub twice: Vec<String>,
-    /// How many there are, those not named included.
+    /// Number of such queries, including those that are not listed.
     pub twice_count: usize,
-    /// Gaps, with the mixer that recorded each.
+    /// Gaps, each with the aggregator that recorded it.
     pub gaps: Vec<(String, Gap)>,
-    /// Clocks that disagree.
+    /// Descriptions of clocks that disagree.
     pub clocks: Vec<String>,
-    /// Ledgers that are the same mixer's: counted once would be wrong, counted twice too.
+    /// Descriptions of ledgers of the same aggregator, of which it is unknown whether they hold the same queries.
     pub overlaps: Vec<String>,
 }
 
 impl Reconciled {
-    /// Nothing is missing: sequences are whole, no gap was recorded, no ledger stands twice.
+    /// Whether the totals are proven to be complete: no gap was recorded and no two ledgers are of one aggregator.
     pub fn is_complete(&self) -> bool {
         self.gaps.is_empty() && self.overlaps.is_empty()
     }
 }
 
-/// One mixer's records with its book; sequences were held to be whole when they were read.
+/// The ledger of one aggregator, as it was read.
 pub struct Ledger {
-    /// Where it was read.
+    /// The directory, for messages.
     pub place: String,
-    /// Its book.
+    /// The state after all its records.
     pub book: Book,
-    /// Its records.
+    /// Its records with their sequence numbers; only entries are compared.
     pub records: Vec<(u64, Record)>,
 }
 
-/// Holds ledgers against each other.
+/// Where and when a query was recorded.
+struct Sighting {
+    /// Index of the ledger.
+    ledger: usize,
+    at: UnixMs,
+}
+
+/// Compares ledgers and adds them up.
 pub fn reconcile(ledgers: &[Ledger]) -> Reconciled {
-    let mut result = Reconciled::default();
-    let mut mixers: HashMap<&str, &str> = HashMap::new();
-    let mut met: HashMap<&str, (usize, UnixMs)> = HashMap::new();
-    for (i, ledger) in ledgers.iter().enumerate() {
-        let (_, mixer, _) = ledger.book.position();
-        if let Some(other) = mixers.insert(mixer, &ledger.place) {
-            result.overlaps.push(format!("{other} and {} are both {mixer}'s", ledger.place));
+    let mut reconciler = Reconciler { ledgers, sightings: HashMap::new(), result: Reconciled::default() };
+    reconciler.find_overlaps();
+    for (index, ledger) in ledgers.iter().enumerate() {
+        reconciler.add_totals(&ledger.book);
+        reconciler.add_gaps(&ledger.book);
+        reconciler.compare_entries(index);
+    }
+    reconciler.result
+}
+
+struct Reconciler<'a> {
+    ledgers: &'a [Ledger],
+    /// The last ledger in which each query was found.
+    sightings: HashMap<&'a str, Sighting>,
+    result: Reconciled,
+}
+
+impl<'a> Reconciler<'a> {
+    fn find_overlaps(&mut self) {
+        let mut places: HashMap<&str, &str> = HashMap::new();
+        for ledger in self.ledgers {
+            let (_, aggregator, _) = ledger.book.position();
+            let place = &ledger.place;
+            if let Some(other) = places.insert(aggregator, place) {
+                self.result.overlaps.push(format!("{other} and {place} are both {aggregator}'s"));
+            }
         }
-        for (line, sums) in ledger.book.totals() {
-            let all = result.totals.entry(line.clone()).or_default();
-            all.queries += sums.queries;
-            all.billed += sums.billed;
-            all.refused += sums.refused;
-            all.failed += sums.failed;
-            all.asked += sums.asked;
-            all.parts += sums.parts;
-            all.attempts += sums.attempts;
-            all.work += sums.work;
-            all.late += sums.late;
+    }
+
+    fn add_totals(&mut self, book: &Book) {
+        for (line, sums) in book.totals() {
+            self.result.totals.entry(line.clone()).or_default().add(sums);
         }
-        result.gaps.extend(ledger.book.gaps().iter().map(|(_, gap)| (mixer.to_owned(), gap.clone())));
-        let mut before = UnixMs::MIN;
-        for (seq, record) in &ledger.records {
-            let Record::Entry(e) = record else { continue };
-            result.entries += 1;
-            if before > e.at.saturating_add(CLOCKS) && result.clocks.len() < NAMED {
-                let back = before - e.at;
-                result.clocks.push(format!("{mixer}: the clock went back by {back} ms at record {seq}"));
-            }
-            before = before.max(e.at);
-            match met.insert(&e.query, (i, e.at)) {
-                Some((other, at)) if other != i => {
-                    result.twice_count += 1;
-                    if result.twice.len() < NAMED {
-                        result.twice.push(e.query.clone());
-                    }
-                    let apart = (at - e.at).abs();
-                    if apart > CLOCKS && result.clocks.len() < NAMED {
-                        let place = &ledgers[other].place;
-                        result.clocks.push(format!(
-                            "{}: {place} and {} saw it {apart} ms apart",
-                            e.query, ledger.place
-                        ));
-                    }
-                }
-                _ => {}
+    }
+
+    fn add_gaps(&mut self, book: &Book) {
+        let (_, aggregator, _) = book.position();
+        for (_, gap) in book.gaps() {
+            self.result.gaps.push((aggregator.to_owned(), gap.clone()));
+        }
+    }
+
+    fn compare_entries(&mut self, index: usize) {
+        let ledger = &self.ledgers[index];
+        let (_, aggregator, _) = ledger.book.position();
+        let mut latest = UnixMs::MIN;
+        for (sequence, record) in &ledger.records {
+            let Record::Entry(entry) = record else { continue };
+            self.result.entries += 1;
+            if latest > entry.at.saturating_add(CLOCK_TOLERANCE_MS) {
+                let back = latest - entry.at;
+                self.report_clock(format!(
+                    "{aggregator}: the clock went back by {back} ms at record {sequence}"
+                ));
             }
+            latest = latest.max(entry.at);
+            self.find_duplicate(index, entry);
+        }
+    }
+
+    /// Reports a query that another ledger recorded as well.
+    fn find_duplicate(&mut self, index: usize, entry: &'a Entry) {
+        let sighting = Sighting { ledger: index, at: entry.at };
+        let Some(other) = self.sightings.insert(&entry.query, sighting) else { return };
+        if other.ledger == index {
+            return;
+        }
+        self.result.twice_count += 1;
+        if self.result.twice.len() < MAX_LISTED {
+            self.result.twice.push(entry.query.clone());
+        }
+        let apart = (other.at - entry.at).abs();
+        if apart > CLOCK_TOLERANCE_MS {
+            let query = &entry.query;
+            let other_place = &self.ledgers[other.ledger].place;
+            let place = &self.ledgers[index].place;
+            self.report_clock(format!("{query}: {other_place} and {place} saw it {apart} ms apart"));
+        }
+    }
+
+    fn report_clock(&mut self, finding: String) {
+        if self.result.clocks.len() < MAX_LISTED {
+            self.result.clocks.push(finding);
         }
     }
-    result
 }
--- a/src/ledger/request.rs
+++ b/src/ledger/request.rs
@@ -1,20 +1,25 @@
-//! What operators ask of a ledger: done by whoever owns it. A command that finds a mixer in possession leaves its request
-//! as a file in the directory, and finds the reply there. A request may be met again after a crash, so doing it twice
-//! changes nothing: a correction has a name, a closed period is closed, an export exports what is new.
+//! Requests of operators to the owner of a ledger, and the files in which they travel. A command that finds an
+//! aggregator owning the ledger leaves its request as a file in the directory and waits for a file with the reply;
+//! [`Store::process_requests`](super::Store::process_requests) is the other end.
+//!
+//! A request may be met again after a crash, so each is idempotent: a correction has an idempotency key, a closed
+//! period stays closed, an export covers what is new.
 
 use super::UnixMs;
-use super::disk::Disk;
-use super::entry::{Correction, Share};
-use super::export::Format;
-use super::period::Period;
-use super::store::{LedgerError, Store};
+use super::export_format::Format;
+use super::period::{ParsePeriodError, Period};
+use super::record::{Correction, Share};
 use serde_json::{Value, json};
+use std::error::Error;
+use std::fmt;
 
-/// Requests taken in one go, and bytes of one: against a directory that somebody fills.
-const REQUESTS_MOST: usize = 64;
-const BYTES_MOST: usize = 64 << 10;
+/// Longest text of a request, in bytes.
+const MAX_TEXT_BYTES: usize = 1024;
 
-/// A request.
+const REQUEST_PREFIX: &str = "request-";
+const REQUEST_SUFFIX: &str = ".json";
+
+/// A request to the owner of a ledger.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Request {
     /// Correct what was billed.
@@ -25,24 +30,83 @@
     Export(Period, Format),
 }
 
-/// The names of the files of a request.
+/// Why the content of a request file was rejected.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum RequestError {
+    /// The file is not UTF-8, or too long.
+    NotText,
+    /// The content is not JSON; with the parser's message.
+    NotJson(String),
+    /// A field is missing, is no text, or is too long.
+    InvalidText(&'static str),
+    /// A field is missing or is no whole number.
+    InvalidNumber(&'static str),
+    /// A period is invalid.
+    InvalidPeriod(ParsePeriodError),
+    /// There is no such export format.
+    UnknownFormat(String),
+    /// There is no such request.
+    UnknownRequest(String),
+}
+
+impl fmt::Display for RequestError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::NotText => f.write_str("is no text, or too long"),
+            Self::NotJson(message) => f.write_str(message),
+            Self::InvalidText(field) => write!(f, "{field} must be a text of at most 1,024 bytes"),
+            Self::InvalidNumber(field) => write!(f, "{field} must be a whole number"),
+            Self::InvalidPeriod(error) => write!(f, "{error}"),
+            Self::UnknownFormat(name) => write!(f, "{name} is no form of export"),
+            Self::UnknownRequest(name) => write!(f, "{name} is nothing that a ledger does"),
+        }
+    }
+}
+
+impl Error for RequestError {}
+
+impl From<ParsePeriodError> for RequestError {
+    fn from(error: ParsePeriodError) -> Self {
+        RequestError::InvalidPeriod(error)
+    }
+}
+
+/// The name of a request's file; `id` must be unique in the directory.
 pub fn request_name(id: &str) -> String {
-    format!("request-{id}.json")
+    format!("{REQUEST_PREFIX}{id}{REQUEST_SUFFIX}")
 }
 
-/// The file in which its reply comes.
+/// The name of the file with the reply to a request.
 pub fn reply_name(id: &str) -> String {
     format!("reply-{id}.json")
 }
 
+/// Whether a file is a request, complete or still being written by the command that makes it.
+pub(super) fn is_request(name: &str) -> bool {
+    name.starts_with(REQUEST_PREFIX)
+}
+
+/// The id of the complete request in a file of that name.
+pub(super) fn request_id(name: &str) -> Option<&str> {
+    name.strip_prefix(REQUEST_PREFIX)?.strip_suffix(REQUEST_SUFFIX)
+}
+
 impl Request {
-    /// As JSON, one object.
+    /// The content of a request file: one JSON object and a line feed.
     pub fn to_json(&self) -> String {
         let object = match self {
-            Request::Correct(c) => json!({
-                "do": "correct", "id": c.id, "tenant": c.tenant, "class": c.class, "corrects": c.corrects,
-                "beyond": c.share == Share::Beyond, "queries": c.queries, "parts": c.parts, "work": c.work, "by": c.by,
-                "why": c.why,
+            Request::Correct(correction) => json!({
+                "do": "correct",
+                "id": correction.id,
+                "tenant": correction.tenant,
+                "class": correction.class,
+                "corrects": correction.corrects,
+                "beyond": correction.share == Share::Beyond,
+                "queries": correction.queries,
+                "parts": correction.parts,
+                "work": correction.work,
+                "by": correction.by,
+                "why": correction.why,
             }),
             Request::Close(period) => json!({ "do": "close", "period": period.to_string() }),
             Request::Export(period, format) => {
@@ -52,101 +116,122 @@
         format!("{object}\n")
     }
 
-    /// Reads one that was left in a file; a correction counts as made now.
+    /// Reads the content of a request file; a correction is made at `now`.
     ///
     /// # Errors
-    /// What in it makes no sense.
-    pub fn from_json(text: &str, now: UnixMs) -> Result<Self, String> {
-        let value: Value = serde_json::from_str(text).map_err(|e| e.to_string())?;
-        let word = |name: &str| {
-            let text = value[name].as_str().filter(|t| t.len() <= 1024);
-            text.map(str::to_owned).ok_or_else(|| format!("{name} must be a text of at most 1,024 bytes"))
-        };
-        let number =
-            |name: &str| value[name].as_i64().ok_or_else(|| format!("{name} must be a whole number"));
-        match word("do")?.as_str() {
-            "correct" => Ok(Request::Correct(Correction {
-                at: now,
-                id: word("id")?,
-                tenant: word("tenant")?,
-                class: word("class")?,
-                corrects: word("corrects")?,
-                share: if value["beyond"] == true { Share::Beyond } else { Share::Within },
-                queries: number("queries")?,
-                parts: number("parts")?,
-                work: number("work")?,
-                by: word("by")?,
-                why: word("why")?,
-            })),
-            "close" => Ok(Request::Close(word("period")?.parse()?)),
+    /// The text is no JSON, or a field of it is missing or invalid.
+    pub fn from_json(text: &str, now: UnixMs) -> Result<Self, RequestError> {
+        let value = serde_json::from_str(text).map_err(|error| RequestError::NotJson(error.to_string()))?;
+        let fields = Fields(value);
+        match fields.text("do")?.as_str() {
+            "correct" => Ok(Request::Correct(fields.correction(now)?)),
+            "close" => Ok(Request::Close(fields.text("period")?.parse()?)),
             "export" => {
-                let format = word("format")?;
-                let format =
-                    Format::named(&format).ok_or_else(|| format!("{format} is no form of export"))?;
-                Ok(Request::Export(word("period")?.parse()?, format))
+                let name = fields.text("format")?;
+                let format = Format::named(&name).ok_or(RequestError::UnknownFormat(name))?;
+                Ok(Request::Export(fields.text("period")?.parse()?, format))
             }
-            other => Err(format!("{other} is nothing that a ledger does")),
+            other => Err(RequestError::UnknownRequest(other.to_owned())),
         }
     }
 }
 
-impl<D: Disk> Store<D> {
-    /// Does what is asked; what came of it, for the one who asked.
-    ///
-    /// # Errors
-    /// The disk, or that it makes no sense.
-    pub fn perform(&mut self, request: Request, now: UnixMs) -> Result<String, LedgerError> {
-        match request {
-            Request::Correct(correction) => {
-                let id = correction.id.clone();
-                if !self.book().corrections().iter().any(|(_, _, c)| c.id == id) {
-                    self.correct(correction)?;
-                }
-                let made = self.book().corrections().iter().find(|(_, _, c)| c.id == id);
-                Ok(made.map_or_else(String::new, |(seq, period, _)| {
-                    format!("correction {seq}, billed in {period}")
-                }))
-            }
-            Request::Close(period) => {
-                self.close(period, now)?;
-                Ok(format!("{period} is closed"))
+/// The fields of a request as they were read.
+struct Fields(Value);
+
+impl Fields {
+    fn text(&self, name: &'static str) -> Result<String, RequestError> {
+        match self.0[name].as_str() {
+            Some(text) if text.len() <= MAX_TEXT_BYTES => Ok(text.to_owned()),
+            _ => Err(RequestError::InvalidText(name)),
+        }
+    }
+
+    fn number(&self, name: &'static str) -> Result<i64, RequestError> {
+        self.0[name].as_i64().ok_or(RequestError::InvalidNumber(name))
+    }
+
+    fn correction(&self, now: UnixMs) -> Result<Correction, RequestError> {
+        Ok(Correction {
+            at: now,
+            id: self.text("id")?,
+            tenant: self.text("tenant")?,
+            class: self.text("class")?,
+            corrects: self.text("corrects")?,
+            share: if self.0["beyond"] == true { Share::Beyond } else { Share::Within },
+            queries: self.number("queries")?,
+            parts: self.number("parts")?,
+            work: self.number("work")?,
+            by: self.text("by")?,
+            why: self.text("why")?,
+        })
+    }
+}
+
+/// What a request achieved. Its text is what the command line prints.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum RequestOutcome {
+    /// A correction is in the ledger.
+    Corrected {
+        /// The sequence number of its record.
+        sequence: u64,
+        /// The period in which it is billed.
+        period: Period,
+    },
+    /// A period is closed.
+    Closed(Period),
+    /// An export is in place.
+    Exported {
+        /// The name of its file.
+        file: String,
+        /// SHA-256 of its bytes, in hex.
+        hash: String,
+    },
+    /// Nothing changed in the period since its last export.
+    NothingToExport(Period),
+}
+
+impl fmt::Display for RequestOutcome {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Corrected { sequence, period } => {
+                write!(f, "correction {sequence}, billed in {period}")
             }
-            Request::Export(period, format) => Ok(match self.export(period, format, now)? {
-                Some(done) => {
-                    format!("{}.{}  sha256 {}", done.name, done.format, done.hash.unwrap_or_default())
-                }
-                None => format!("nothing is new in {period} since its last export"),
-            }),
+            Self::Closed(period) => write!(f, "{period} is closed"),
+            Self::Exported { file, hash } => write!(f, "{file}  sha256 {hash}"),
+            Self::NothingToExport(period) => write!(f, "nothing is new in {period} since its last export"),
         }
     }
+}
+
+/// The reply to a request, for the operator who made it.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum Reply {
+    /// It was done; with the text of its [`RequestOutcome`].
+    Done(String),
+    /// It was rejected; with the reason.
+    Rejected(String),
+}
+
+impl Reply {
+    /// The content of a reply file: one JSON object and a line feed.
+    pub fn to_json(&self) -> String {
+        let object = match self {
+            Reply::Done(text) => json!({ "done": text }),
+            Reply::Rejected(reason) => json!({ "refused": reason }),
+        };
+        format!("{object}\n")
+    }
 
-    /// Does what was left in the directory and leaves the replies; how many requests there were.
+    /// Reads the content of a reply file.
     ///
     /// # Errors
-    /// The disk; a request that makes no sense is answered, and is none.
-    pub fn requests(&mut self, now: UnixMs) -> Result<usize, LedgerError> {
-        let names = self.disk_mut().list()?;
-        let ids = names.iter().filter_map(|n| n.strip_prefix("request-")?.strip_suffix(".json"));
-        let ids: Vec<String> = ids.take(REQUESTS_MOST).map(str::to_owned).collect();
-        for id in &ids {
-            let bytes = self.disk_mut().read(&request_name(id))?;
-            let text = String::from_utf8(bytes).ok().filter(|t| t.len() <= BYTES_MOST);
-            let request = text.ok_or_else(|| "is no text, or too long".to_owned());
-            let done = match request.and_then(|text| Request::from_json(&text, now)) {
-                Ok(request) => match self.perform(request, now) {
-                    // The disk may work again later: the request stays.
-                    Err(LedgerError::Io(e)) => return Err(e.into()),
-                    done => done.map_err(|e| e.to_string()),
-                },
-                Err(problem) => Err(problem),
-            };
-            let reply = match done {
-                Ok(words) => json!({ "done": words }),
-                Err(problem) => json!({ "refused": problem }),
-            };
-            self.place(&reply_name(id), format!("{reply}\n").as_bytes())?;
-            self.disk_mut().remove(&request_name(id))?;
+    /// The text is no JSON.
+    pub fn from_json(text: &str) -> Result<Self, serde_json::Error> {
+        let value: Value = serde_json::from_str(text)?;
+        if let Some(text) = value["done"].as_str() {
+            return Ok(Reply::Done(text.to_owned()));
         }
-        Ok(ids.len())
+        Ok(Reply::Rejected(value["refused"].as_str().unwrap_or_default().to_owned()))
     }
 }
--- /dev/null
+++ b/src/ledger/store/mod.rs
@@ -0,0 +1,154 @@
+//! A ledger on a [`Disk`]. A concern each: [`recovery`] reads what a directory holds, [`segments`] appends records and
+//! makes them durable, [`snapshot`] saves the book so that a start reads few records, [`compaction`] removes what is
+//! no longer needed, [`exports`] writes exports in steps of which each may be the last before a crash, [`requests`]
+//! carries out what operators ask for.
+//!
+//! The writer's thread owns the store of a running aggregator; the command line owns it where no aggregator runs.
+
+mod compaction;
+mod exports;
+mod file_names;
+mod recovery;
+mod requests;
+mod segments;
+mod snapshot;
+
+pub use recovery::read_all;
+
+use super::UnixMs;
+use super::book::{Book, PeriodState};
+use super::disk::Disk;
+use super::error::LedgerError;
+use super::options::{Options, Recovery};
+use super::period::{Calendar, Period};
+use super::record::{Correction, Gap, Record};
+use segments::ActiveSegment;
+
+/// A ledger that is open for writing.
+pub struct Store<D> {
+    disk: D,
+    options: Options,
+    book: Book,
+    segment: ActiveSegment,
+    /// A write or sync failed: it is unknown what the segment holds behind its synced bytes.
+    write_failed: bool,
+    /// Encoded frames of one append; kept for its allocation.
+    frames: Vec<u8>,
+}
+
+impl<D: Disk> Store<D> {
+    /// Opens a ledger: cuts a torn tail, begins a run, and completes exports that a crash interrupted. `aggregator`
+    /// names the one that writes.
+    ///
+    /// # Errors
+    /// The disk failed, or a file is damaged before its torn tail; in the latter case nothing was changed.
+    pub fn open(
+        disk: D,
+        calendar: Calendar,
+        options: Options,
+        aggregator: &str,
+        now: UnixMs,
+    ) -> Result<(Self, Recovery), LedgerError> {
+        let loaded = recovery::load(&disk, &calendar, recovery::Start::NewestSnapshot, |_, _, _| {})?;
+        let mut store = Store {
+            disk,
+            options,
+            book: loaded.book,
+            segment: ActiveSegment::default(),
+            write_failed: false,
+            frames: Vec::new(),
+        };
+        let mut recovery = Recovery { records: loaded.records, ..Recovery::default() };
+        store.remove_temporary_files()?;
+        if let Some(last) = loaded.last_segment {
+            recovery.torn = last.torn_bytes;
+            store.adopt_segment(last)?;
+        }
+        store.begin_run(aggregator, now)?;
+        recovery.finished = store.complete_interrupted_exports(now)?;
+        Ok((store, recovery))
+    }
+
+    fn remove_temporary_files(&mut self) -> Result<(), LedgerError> {
+        for name in self.disk.list()? {
+            if file_names::is_temporary(&name) {
+                self.disk.remove(&name)?;
+            }
+        }
+        Ok(())
+    }
+
+    /// Records that a run begins, and before that what the last run may have lost if it was killed.
+    fn begin_run(&mut self, aggregator: &str, now: UnixMs) -> Result<(), LedgerError> {
+        let mut records = Vec::new();
+        let window = self.options.window;
+        if !self.book.ended_gracefully && window > 0 {
+            let from = self.book.latest_entry;
+            records.push(Record::Gap(Gap {
+                from,
+                to: now.max(from),
+                entries: 0,
+                reason: format!("a run ended without a word; its last {window} ms may be missing"),
+            }));
+        }
+        let epoch = self.book.epoch + 1;
+        records.push(Record::Open { aggregator: aggregator.to_owned(), epoch, at: now });
+        self.append(&records)?;
+        self.commit()
+    }
+
+    /// The state after all records appended so far.
+    pub fn book(&self) -> &Book {
+        &self.book
+    }
+
+    /// Closes a period: nothing more is billed in it.
+    ///
+    /// # Errors
+    /// The disk failed, or the period is not over or is closed already.
+    pub fn close(&mut self, period: Period, now: UnixMs) -> Result<(), LedgerError> {
+        if self.book.state(period) == PeriodState::Closed {
+            return Err(LedgerError::PeriodClosed(period));
+        }
+        if self.book.calendar().end(period) > now {
+            return Err(LedgerError::PeriodNotOver(period));
+        }
+        self.append(&[Record::Close { period: period.to_string(), at: now }])?;
+        self.commit()
+    }
+
+    /// Corrects what was billed, in the period that is open now.
+    ///
+    /// # Errors
+    /// The disk failed, or the correction lacks an author, a reason or a valid period.
+    pub fn correct(&mut self, correction: Correction) -> Result<(), LedgerError> {
+        if correction.by.trim().is_empty() || correction.why.trim().is_empty() {
+            return Err(LedgerError::CorrectionWithoutReason);
+        }
+        correction.corrects.parse::<Period>()?;
+        self.append(&[Record::Correction(correction)])?;
+        self.commit()
+    }
+
+    /// Records entries that could not be stored; the caller commits.
+    ///
+    /// # Errors
+    /// The disk failed.
+    pub fn gap(&mut self, gap: Gap) -> Result<(), LedgerError> {
+        self.append(&[Record::Gap(gap)])
+    }
+
+    /// Ends a run by a graceful shutdown.
+    ///
+    /// # Errors
+    /// The disk failed: then the next run records that entries may be missing.
+    pub fn end(&mut self, now: UnixMs) -> Result<(), LedgerError> {
+        self.append(&[Record::End { at: now }])?;
+        self.commit()
+    }
+
+    /// Gives the disk back, for tests.
+    pub fn into_disk(self) -> D {
+        self.disk
+    }
+}
--- /dev/null
+++ b/src/ledger/store/requests.rs
@@ -0,0 +1,87 @@
+//! Carries out requests of operators: given by a command that owns the ledger, or left as files for the owner.
+
+use super::super::UnixMs;
+use super::super::disk::Disk;
+use super::super::error::LedgerError;
+use super::super::record::Correction;
+use super::super::request::{
+    Reply, Request, RequestError, RequestOutcome, reply_name, request_id, request_name,
+};
+use super::Store;
+
+/// Requests carried out at a time. It bounds the pause of the writer if somebody fills the directory.
+const MAX_REQUESTS: usize = 64;
+/// Longest request file, in bytes.
+const MAX_REQUEST_BYTES: usize = 64 << 10;
+
+impl<D: Disk> Store<D> {
+    /// Carries out a request.
+    ///
+    /// # Errors
+    /// The disk failed, or the request is not possible.
+    pub fn perform(&mut self, request: Request, now: UnixMs) -> Result<RequestOutcome, LedgerError> {
+        match request {
+            Request::Correct(correction) => self.correct_once(correction),
+            Request::Close(period) => {
+                self.close(period, now)?;
+                Ok(RequestOutcome::Closed(period))
+            }
+            Request::Export(period, format) => match self.export(period, format, now)? {
+                Some(export) => Ok(RequestOutcome::Exported {
+                    file: export.file_name(),
+                    hash: export.hash.unwrap_or_default(),
+                }),
+                None => Ok(RequestOutcome::NothingToExport(period)),
+            },
+        }
+    }
+
+    /// Makes a correction unless one with its idempotency key is in the ledger.
+    fn correct_once(&mut self, correction: Correction) -> Result<RequestOutcome, LedgerError> {
+        let made = self.book.corrections().iter().find(|(_, _, made)| made.id == correction.id);
+        if let Some((sequence, period, _)) = made {
+            return Ok(RequestOutcome::Corrected { sequence: *sequence, period: *period });
+        }
+        let (period, _) = self.book.billed_in(correction.at);
+        self.correct(correction)?;
+        Ok(RequestOutcome::Corrected { sequence: self.book.sequence, period })
+    }
+
+    /// Carries out the requests that lie in the directory and writes the replies. Returns the number of requests.
+    ///
+    /// # Errors
+    /// The disk failed; requests without a reply stay. A request that is invalid or not possible is no error: its reply
+    /// says so.
+    pub fn process_requests(&mut self, now: UnixMs) -> Result<usize, LedgerError> {
+        let names = self.disk.list()?;
+        let ids: Vec<&str> = names.iter().filter_map(|name| request_id(name)).take(MAX_REQUESTS).collect();
+        for id in &ids {
+            let bytes = self.disk.read(&request_name(id))?;
+            let reply = self.reply_to(bytes, now)?;
+            self.place_file(&reply_name(id), reply.to_json().as_bytes())?;
+            self.disk.remove(&request_name(id))?;
+        }
+        Ok(ids.len())
+    }
+
+    /// Carries out the request in a file. Only a failing disk is an error, since the request may succeed later.
+    fn reply_to(&mut self, file: Vec<u8>, now: UnixMs) -> Result<Reply, LedgerError> {
+        let request = match parse_request(file, now) {
+            Ok(request) => request,
+            Err(error) => return Ok(Reply::Rejected(error.to_string())),
+        };
+        match self.perform(request, now) {
+            Ok(outcome) => Ok(Reply::Done(outcome.to_string())),
+            Err(LedgerError::Io(error)) => Err(LedgerError::Io(error)),
+            Err(error) => Ok(Reply::Rejected(error.to_string())),
+        }
+    }
+}
+
+fn parse_request(file: Vec<u8>, now: UnixMs) -> Result<Request, RequestError> {
+    let text = String::from_utf8(file).map_err(|_| RequestError::NotText)?;
+    if text.len() > MAX_REQUEST_BYTES {
+        return Err(RequestError::NotText);
+    }
+    Request::from_json(&text, now)
+}
--- /dev/null
+++ b/src/ledger/store/snapshot.rs
@@ -0,0 +1,243 @@
+//! The binary format of a snapshot: the book after some record, with a checksum in front. A damaged snapshot is skipped:
+//! an older one, or the records themselves, take its place.
+
+use super::super::accounts::{Account, Line, Sums};
+use super::super::book::{Begun, Book};
+use super::super::journal::{self, FieldReader, put_bytes, put_number, put_signed, put_text, read_frame};
+use super::super::period::Calendar;
+use super::super::record::Record;
+
+/// What a snapshot begins with; the last byte is the version of the format.
+const MAGIC: &[u8; 8] = b"SMXSNAP\x01";
+/// Bytes of the checksum behind [`MAGIC`].
+const CHECKSUM_BYTES: usize = 4;
+
+/// The byte that tells the kind of an account. These numbers are stored.
+mod account_kind {
+    pub const TENANT: u8 = 0;
+    pub const UNKNOWN: u8 = 1;
+    pub const OTHERS: u8 = 2;
+}
+
+/// The snapshot of a book.
+pub(super) fn encode(book: &Book) -> Vec<u8> {
+    let mut fields = Vec::new();
+    encode_position(&mut fields, book);
+    encode_totals(&mut fields, book);
+    encode_unknown_tenants(&mut fields, book);
+    encode_corrections_and_gaps(&mut fields, book);
+    encode_periods(&mut fields, book);
+    encode_exports(&mut fields, book);
+    let checksum = crc32fast::hash(&fields).to_le_bytes();
+    [MAGIC.as_slice(), &checksum, &fields].concat()
+}
+
+/// The book of a snapshot; `None` if it is damaged or of another version.
+pub(super) fn decode(bytes: &[u8], calendar: &Calendar) -> Option<Book> {
+    let content = bytes.strip_prefix(MAGIC)?;
+    let (checksum, fields) = content.split_at_checked(CHECKSUM_BYTES)?;
+    if checksum != crc32fast::hash(fields).to_le_bytes() {
+        return None;
+    }
+    let mut fields = FieldReader::new(fields);
+    let mut book = Book::new(calendar.clone());
+    decode_position(&mut fields, &mut book)?;
+    decode_totals(&mut fields, &mut book)?;
+    decode_unknown_tenants(&mut fields, &mut book)?;
+    decode_corrections_and_gaps(&mut fields, &mut book)?;
+    decode_periods(&mut fields, &mut book)?;
+    decode_exports(&mut fields, &mut book)?;
+    fields.is_at_end().then_some(book)
+}
+
+fn encode_position(into: &mut Vec<u8>, book: &Book) {
+    put_number(into, book.sequence);
+    put_text(into, &book.aggregator);
+    put_number(into, book.epoch);
+    put_signed(into, book.latest_entry);
+    into.push(u8::from(book.ended_gracefully));
+}
+
+fn decode_position(fields: &mut FieldReader<'_>, book: &mut Book) -> Option<()> {
+    book.sequence = fields.number()?;
+    book.aggregator = fields.text()?;
+    book.epoch = fields.number()?;
+    book.latest_entry = fields.signed()?;
+    book.ended_gracefully = fields.flag()?;
+    Some(())
+}
+
+fn encode_totals(into: &mut Vec<u8>, book: &Book) {
+    put_number(into, book.totals.len() as u64);
+    for (line, sums) in &book.totals {
+        encode_line(into, line);
+        encode_sums(into, sums);
+    }
+}
+
+fn decode_totals(fields: &mut FieldReader<'_>, book: &mut Book) -> Option<()> {
+    for _ in 0..fields.number()? {
+        let line = decode_line(fields)?;
+        let sums = decode_sums(fields)?;
+        book.totals.insert(line, sums);
+    }
+    Some(())
+}
+
+fn encode_line(into: &mut Vec<u8>, line: &Line) {
+    put_text(into, &line.period.to_string());
+    let (kind, name) = match &line.account {
+        Account::Tenant(name) => (account_kind::TENANT, name.as_str()),
+        Account::Unknown(name) => (account_kind::UNKNOWN, name.as_str()),
+        Account::Others => (account_kind::OTHERS, ""),
+    };
+    into.push(kind);
+    put_text(into, name);
+    put_text(into, &line.class);
+    into.push(line.share as u8);
+}
+
+fn decode_line(fields: &mut FieldReader<'_>) -> Option<Line> {
+    let period = fields.text()?.parse().ok()?;
+    let kind = fields.byte()?;
+    let name = fields.text()?;
+    let account = match kind {
+        account_kind::TENANT => Account::Tenant(name),
+        account_kind::UNKNOWN => Account::Unknown(name),
+        _ => Account::Others,
+    };
+    let class = fields.text()?;
+    let share = fields.share()?;
+    Some(Line { period, account, class, share })
+}
+
+fn encode_sums(into: &mut Vec<u8>, sums: &Sums) {
+    put_number(into, sums.queries);
+    put_number(into, sums.billed);
+    put_number(into, sums.refused);
+    put_number(into, sums.failed);
+    put_number(into, sums.asked);
+    put_number(into, sums.parts);
+    put_number(into, sums.attempts);
+    put_number(into, sums.work);
+    put_number(into, sums.late);
+}
+
+/// The fields of the literal are evaluated in the order in which they are written, which is the stored order.
+fn decode_sums(fields: &mut FieldReader<'_>) -> Option<Sums> {
+    Some(Sums {
+        queries: fields.number()?,
+        billed: fields.number()?,
+        refused: fields.number()?,
+        failed: fields.number()?,
+        asked: fields.number()?,
+        parts: fields.number()?,
+        attempts: fields.number()?,
+        work: fields.number()?,
+        late: fields.number()?,
+    })
+}
+
+fn encode_unknown_tenants(into: &mut Vec<u8>, book: &Book) {
+    let names = &book.unknown_tenants.names;
+    put_number(into, names.len() as u64);
+    for name in names {
+        put_text(into, name);
+    }
+}
+
+fn decode_unknown_tenants(fields: &mut FieldReader<'_>, book: &mut Book) -> Option<()> {
+    for _ in 0..fields.number()? {
+        book.unknown_tenants.names.insert(fields.text()?);
+    }
+    Some(())
+}
+
+/// Corrections and gaps are stored as frames of the journal; the periods in which corrections are billed follow.
+fn encode_corrections_and_gaps(into: &mut Vec<u8>, book: &Book) {
+    let mut frames = Vec::new();
+    for (sequence, _, correction) in &book.corrections {
+        journal::encode(&mut frames, *sequence, 0, &Record::Correction(correction.clone()));
+    }
+    for (sequence, gap) in &book.gaps {
+        journal::encode(&mut frames, *sequence, 0, &Record::Gap(gap.clone()));
+    }
+    put_bytes(into, &frames);
+    put_number(into, book.corrections.len() as u64);
+    for (_, period, _) in &book.corrections {
+        put_text(into, &period.to_string());
+    }
+}
+
+fn decode_corrections_and_gaps(fields: &mut FieldReader<'_>, book: &mut Book) -> Option<()> {
+    let mut frames = fields.bytes()?;
+    let mut corrections = Vec::new();
+    while !frames.is_empty() {
+        let framed = read_frame(frames)?;
+        match framed.record {
+            Record::Correction(correction) => corrections.push((framed.sequence, correction)),
+            Record::Gap(gap) => book.gaps.push((framed.sequence, gap)),
+            _ => return None,
+        }
+        frames = &frames[framed.length..];
+    }
+    if fields.number()? != corrections.len() as u64 {
+        return None;
+    }
+    for (sequence, correction) in corrections {
+        let period = fields.text()?.parse().ok()?;
+        book.corrections.push((sequence, period, correction));
+    }
+    Some(())
+}
+
+fn encode_periods(into: &mut Vec<u8>, book: &Book) {
+    put_number(into, book.closed_periods.len() as u64);
+    for (period, closed_at) in &book.closed_periods {
+        put_text(into, &period.to_string());
+        put_signed(into, *closed_at);
+    }
+    put_number(into, book.last_changes.len() as u64);
+    for (period, sequence) in &book.last_changes {
+        put_text(into, &period.to_string());
+        put_number(into, *sequence);
+    }
+}
+
+fn decode_periods(fields: &mut FieldReader<'_>, book: &mut Book) -> Option<()> {
+    for _ in 0..fields.number()? {
+        let period = fields.text()?.parse().ok()?;
+        let closed_at = fields.signed()?;
+        book.closed_periods.insert(period, closed_at);
+    }
+    for _ in 0..fields.number()? {
+        let period = fields.text()?.parse().ok()?;
+        let sequence = fields.number()?;
+        book.last_changes.insert(period, sequence);
+    }
+    Some(())
+}
+
+fn encode_exports(into: &mut Vec<u8>, book: &Book) {
+    put_number(into, book.exports.len() as u64);
+    for export in &book.exports {
+        put_text(into, &export.name);
+        put_text(into, &export.period);
+        put_text(into, &export.format);
+        put_text(into, export.hash.as_deref().unwrap_or_default());
+        put_number(into, export.range.0);
+        put_number(into, export.range.1);
+    }
+}
+
+fn decode_exports(fields: &mut FieldReader<'_>, book: &mut Book) -> Option<()> {
+    for _ in 0..fields.number()? {
+        let name = fields.text()?;
+        let period = fields.text()?;
+        let format = fields.text()?;
+        let hash = Some(fields.text()?).filter(|hash| !hash.is_empty());
+        let range = (fields.number()?, fields.number()?);
+        book.exports.push(Begun { name, period, format, range, hash });
+    }
+    Some(())
+}
--- /dev/null
+++ b/src/ledger/writer/mod.rs
@@ -0,0 +1,225 @@
+//! The ledger's thread. Entries come through a bounded queue, are written in groups, and are reported as durable once
+//! they are synced. Whatever the disk does, the event loop that enqueues them never waits: entries that cannot be
+//! stored in time become a gap.
+
+mod event;
+mod lost;
+mod queue;
+mod timers;
+
+pub use event::LedgerEvent;
+pub use queue::{Handle, Intake, NumberedRecord, queue};
+
+use super::UnixMs;
+use super::book::Begun;
+use super::disk::Disk;
+use super::error::LedgerError;
+use super::export_format::Format;
+use super::options::Options;
+use super::period::Period;
+use super::record::Record;
+use super::store::Store;
+use lost::LostEntries;
+use queue::Received;
+use std::collections::VecDeque;
+use std::time::{Duration, Instant};
+use timers::Timers;
+
+/// Records held while the disk fails; entries beyond that become a gap.
+const MAX_PENDING_RECORDS: usize = 65_536;
+/// Records of one append.
+const MAX_GROUP_RECORDS: usize = 4096;
+/// Time between attempts to write to a disk that fails.
+const RETRY_INTERVAL: Duration = Duration::from_millis(500);
+/// The reason of gaps that a failing disk causes.
+const DISK_FAILED: &str = "the disk failed for too long";
+
+/// The state of the ledger's thread.
+pub struct Writer<D, F> {
+    store: Store<D>,
+    /// Takes events, on the ledger's thread.
+    emit: F,
+    /// Time between two commits, which bounds the loss by a crash; zero commits each group at once (strict mode).
+    commit_interval: Duration,
+    /// Time between a period's end and its closing, in milliseconds.
+    grace: UnixMs,
+    /// The format in which periods are exported when they close.
+    export_format: Option<Format>,
+    /// Records that are not known to be durable.
+    pending: VecDeque<NumberedRecord>,
+    /// How many of them, from the front, were appended since the last commit.
+    appended: usize,
+    /// Entries that were lost and are not recorded yet.
+    lost: LostEntries,
+    /// When the last write failed, while the disk fails.
+    failed_at: Option<Instant>,
+    /// The number of the newest record taken.
+    newest: u64,
+}
+
+impl<D: Disk, F: FnMut(LedgerEvent)> Writer<D, F> {
+    /// A writer for an open ledger. `commit_interval` zero commits each group at once, as strict mode requires; `emit`
+    /// is called on the thread that calls [`Writer::run`].
+    pub fn new(store: Store<D>, commit_interval: Duration, options: &Options, emit: F) -> Self {
+        Writer {
+            store,
+            emit,
+            commit_interval,
+            grace: options.grace,
+            export_format: options.export,
+            pending: VecDeque::new(),
+            appended: 0,
+            lost: LostEntries::default(),
+            failed_at: None,
+            newest: 0,
+        }
+    }
+
+    /// Runs until the [`Handle`] is dropped, commits what was enqueued and ends the run. `now` reads the wall clock.
+    pub fn run(mut self, intake: Intake, now: impl Fn() -> UnixMs) -> Store<D> {
+        let mut timers = Timers::new();
+        loop {
+            let wake_at = timers.next_wake(self.failed_at.map(|failed_at| failed_at + RETRY_INTERVAL));
+            match intake.receive(wake_at) {
+                Received::Record(record) => {
+                    self.take_all(record, &intake);
+                    timers.schedule_commit(self.commit_interval);
+                }
+                Received::Nothing => {}
+                Received::Disconnected => return self.finish(now()),
+            }
+            if self.is_flush_due(&timers) {
+                timers.clear_commit();
+                self.flush();
+            }
+            if timers.is_request_check_due() {
+                timers.restart_request_check();
+                self.check_requests(now());
+            }
+            if timers.is_period_check_due() && self.failed_at.is_none() {
+                timers.restart_period_check();
+                self.close_due_periods(now());
+            }
+        }
+    }
+
+    /// Takes a record and all others that are in the queue, up to the bound.
+    fn take_all(&mut self, first: NumberedRecord, intake: &Intake) {
+        self.take(first);
+        while self.pending.len() < MAX_PENDING_RECORDS
+            && let Some(next) = intake.try_receive()
+        {
+            self.take(next);
+        }
+    }
+
+    /// While the disk fails, only the next attempt is due.
+    fn is_flush_due(&self, timers: &Timers) -> bool {
+        match self.failed_at {
+            Some(failed_at) => failed_at.elapsed() >= RETRY_INTERVAL,
+            None => timers.is_commit_due(),
+        }
+    }
+
+    fn finish(mut self, now: UnixMs) -> Store<D> {
+        self.flush();
+        if let Err(error) = self.store.end(now) {
+            self.report_failure(&error);
+        }
+        self.store
+    }
+
+    /// Holds a record until it is durable; beyond the bound it is lost.
+    pub fn take(&mut self, numbered: NumberedRecord) {
+        self.newest = numbered.number;
+        if self.pending.len() < MAX_PENDING_RECORDS {
+            self.pending.push_back(numbered);
+            return;
+        }
+        match numbered.record {
+            Record::Entry(entry) => self.lost.add_entry(entry.at, DISK_FAILED),
+            Record::Gap(gap) => self.lost.add_gap(&gap, DISK_FAILED),
+            _ => {}
+        }
+    }
+
+    /// Writes and commits all records held.
+    pub fn flush(&mut self) {
+        match self.try_flush() {
+            Ok(()) => {
+                if self.failed_at.take().is_some() {
+                    (self.emit)(LedgerEvent::Recovered);
+                }
+                (self.emit)(LedgerEvent::Durable(self.newest));
+            }
+            Err(error) => {
+                // It is unknown what was stored since the last commit: all of it is appended again.
+                self.appended = 0;
+                if self.failed_at.is_none() {
+                    self.report_failure(&error);
+                }
+                self.failed_at = Some(Instant::now());
+            }
+        }
+    }
+
+    fn try_flush(&mut self) -> Result<(), LedgerError> {
+        while self.appended < self.pending.len() {
+            let unwritten = self.pending.iter().skip(self.appended).take(MAX_GROUP_RECORDS);
+            let group: Vec<Record> = unwritten.map(|numbered| numbered.record.clone()).collect();
+            self.store.append(&group)?;
+            self.appended += group.len();
+        }
+        if let Some(gap) = self.lost.gap() {
+            self.store.gap(gap.clone())?;
+        }
+        self.store.commit()?;
+        for numbered in self.pending.drain(..) {
+            if let Record::Gap(gap) = numbered.record {
+                (self.emit)(LedgerEvent::EntriesLost(gap));
+            }
+        }
+        if let Some(gap) = self.lost.take() {
+            (self.emit)(LedgerEvent::EntriesLost(gap));
+        }
+        self.appended = 0;
+        Ok(())
+    }
+
+    /// Carries out the requests of operators, unless the disk fails.
+    fn check_requests(&mut self, now: UnixMs) {
+        if self.failed_at.is_some() {
+            return;
+        }
+        if let Err(error) = self.store.process_requests(now) {
+            self.report_failure(&error);
+        }
+    }
+
+    /// Closes the periods that are due, exports them if that is configured, and compacts the ledger.
+    pub fn close_due_periods(&mut self, now: UnixMs) {
+        for period in self.store.book().due(now, self.grace) {
+            match self.close_and_export(period, now) {
+                Ok(Some(export)) => (self.emit)(LedgerEvent::ExportFinished(export.name)),
+                Ok(None) => {}
+                Err(error) => return self.report_failure(&error),
+            }
+        }
+        if let Err(error) = self.store.compact() {
+            self.report_failure(&error);
+        }
+    }
+
+    fn close_and_export(&mut self, period: Period, now: UnixMs) -> Result<Option<Begun>, LedgerError> {
+        self.store.close(period, now)?;
+        (self.emit)(LedgerEvent::PeriodClosed(period.to_string()));
+        match self.export_format {
+            Some(format) => self.store.export(period, format, now),
+            None => Ok(None),
+        }
+    }
+
+    fn report_failure(&mut self, error: &LedgerError) {
+        (self.emit)(LedgerEvent::WriteFailed(error.to_string()));
+    }
+}
--- a/tests/ledger.rs
+++ b/tests/ledger.rs
@@ -1,4 +1,5 @@
-//! The ledger without a process: crashes at every step, power cuts, disks that fail, periods, corrections, exports.
+//! The ledger without a process: crashes at every disk operation, power cuts, failing disks, periods, corrections and
+//! exports.
 
 mod common;
 
@@ -49,12 +50,12 @@
     }
 }
 
-fn small() -> Options {
+fn small_segments() -> Options {
     Options { segment_bytes: 700, grace: 0, window: 0, export: None }
 }
 
 fn open(disk: &FaultyDisk, now: UnixMs) -> Result<(Store<FaultyDisk>, Recovery), LedgerError> {
-    Store::open(disk.clone(), calendar(), small(), "n1", now)
+    Store::open(disk.clone(), calendar(), small_segments(), "n1", now)
 }
 
 /// The queries in a ledger, in order.
@@ -69,23 +70,23 @@
     all
 }
 
-/// Who bills: takes each export once by its name, whenever it finds it.
+/// A billing system: imports each export once by its name, whenever it finds it.
 #[derive(Default)]
 struct Importer {
-    taken: BTreeMap<String, Vec<u8>>,
+    imported: BTreeMap<String, Vec<u8>>,
 }
 
 impl Importer {
-    fn look(&mut self, disk: &FaultyDisk) {
+    fn import(&mut self, disk: &FaultyDisk) {
         for name in disk.list().expect("names").iter().filter(|n| n.ends_with(".csv")) {
             let bytes = disk.read(name).expect("read");
-            let before = self.taken.entry(name.clone()).or_insert_with(|| bytes.clone());
+            let before = self.imported.entry(name.clone()).or_insert_with(|| bytes.clone());
             assert_eq!(*before, bytes, "{name} has another content than before");
         }
     }
 
     fn queries(&self) -> Vec<String> {
-        let rows = self.taken.values().flat_map(|b| {
+        let rows = self.imported.values().flat_map(|b| {
             String::from_utf8_lossy(b).into_owned().lines().map(str::to_owned).collect::<Vec<_>>()
         });
         let rows = rows.filter(|l| !l.starts_with("seq,"));
@@ -93,23 +94,27 @@
     }
 }
 
-/// A life of a ledger: entries in groups, a period that closes, exports, compaction. Queries are acknowledged once
-/// committed; what was not comes again, as no client would, so that the end is known.
-fn live(disk: &FaultyDisk, acked: &mut BTreeSet<String>, importer: &mut Importer) -> Result<(), LedgerError> {
+/// A run of a ledger: entries in groups, a period that closes, exports, compaction. Queries are acknowledged once they
+/// are committed; the others are entered again at the next run, so that the final content is known.
+fn play_run(
+    disk: &FaultyDisk,
+    acknowledged: &mut BTreeSet<String>,
+    importer: &mut Importer,
+) -> Result<(), LedgerError> {
     let (mut store, _) = open(disk, NOVEMBER)?;
-    let there: BTreeSet<String> = queries(disk).into_iter().collect();
+    let stored: BTreeSet<String> = queries(disk).into_iter().collect();
     for group in 0..6u64 {
         let at = NOVEMBER + group as UnixMs * 4 * DAY;
-        let new = (group * 4..group * 4 + 4).filter(|n| !there.contains(&format!("q{n}")));
+        let new = (group * 4..group * 4 + 4).filter(|n| !stored.contains(&format!("q{n}")));
         let records: Vec<Record> = new.map(|n| Record::Entry(entry(n, at))).collect();
         if !records.is_empty() {
             store.append(&records)?;
             store.commit()?;
-            acked.extend((group * 4..group * 4 + 4).map(|n| format!("q{n}")));
+            acknowledged.extend((group * 4..group * 4 + 4).map(|n| format!("q{n}")));
         }
         if group == 2 {
             store.export("2026-11".parse().expect("a period"), Format::Csv, at)?;
-            importer.look(disk);
+            importer.import(disk);
         }
     }
     let december = NOVEMBER + 20 * DAY;
@@ -119,18 +124,18 @@
     for period in ["2026-11", "2026-12"] {
         store.export(period.parse().expect("a period"), Format::Csv, december)?;
     }
-    importer.look(disk);
+    importer.import(disk);
     store.compact()?;
     Ok(())
 }
 
-/// The machine goes down at each step in turn, in each way, and then once more at some step of its next start.
+/// The machine crashes at each disk operation in turn, in each way, and then once more during the next run.
 #[test]
-fn a_crash_at_any_step_loses_nothing_committed_and_exports_all_once() {
+fn crash_at_any_disk_operation_loses_no_committed_entry_and_exports_each_once() {
     let steps = {
         let disk = FaultyDisk::default();
         disk.stop_at(usize::MAX);
-        live(&disk, &mut BTreeSet::new(), &mut Importer::default()).expect("no fault");
+        play_run(&disk, &mut BTreeSet::new(), &mut Importer::default()).expect("no fault");
         disk.steps()
     };
     assert!(steps > 60, "{steps} steps");
@@ -138,11 +143,11 @@
     for stop in 1..=steps {
         for down in [Down::Kill, Down::Power(0), Down::Power(37), Down::Power(usize::MAX)] {
             for second in [None, Some(stop % 7 + 1)] {
-                let (mut acked, mut importer) = (BTreeSet::new(), Importer::default());
+                let (mut acknowledged, mut importer) = (BTreeSet::new(), Importer::default());
                 let mut disk = FaultyDisk::default();
                 for at in [Some(stop), second].into_iter().flatten() {
                     disk.stop_at(at);
-                    let ended = live(&disk, &mut acked, &mut importer);
+                    let ended = play_run(&disk, &mut acknowledged, &mut importer);
                     if disk.stopped() {
                         assert!(ended.is_err());
                         crashes += 1;
@@ -156,10 +161,11 @@
                     assert_eq!(all.len(), set.len(), "{stop} {down:?}: an entry stands twice");
                     let exported: BTreeSet<String> = importer.queries().into_iter().collect();
                     let lost: Vec<_> =
-                        acked.iter().filter(|q| !set.contains(*q) && !exported.contains(*q)).collect();
+                        acknowledged.iter().filter(|q| !set.contains(*q) && !exported.contains(*q)).collect();
                     assert!(lost.is_empty(), "{stop} {down:?}: lost {lost:?}");
                 }
-                live(&disk, &mut acked, &mut importer).unwrap_or_else(|e| panic!("{stop} {down:?}: {e}"));
+                play_run(&disk, &mut acknowledged, &mut importer)
+                    .unwrap_or_else(|e| panic!("{stop} {down:?}: {e}"));
                 let mut imported = importer.queries();
                 imported.sort();
                 let mut wanted: Vec<String> = (0..24).map(|n| format!("q{n}")).collect();
@@ -172,7 +178,7 @@
 }
 
 #[test]
-fn a_torn_tail_is_cut_and_a_damaged_middle_is_refused_with_its_place() {
+fn torn_tail_is_cut_and_damaged_middle_is_rejected_with_file_and_offset() {
     let disk = FaultyDisk::default();
     let options = Options { window: 0, ..Options::default() };
     let mut store = Store::open(disk.clone(), calendar(), options.clone(), "n1", NOVEMBER).expect("new").0;
@@ -193,31 +199,32 @@
     }
     // A byte anywhere before the last commit: refused, with the file and a place at or before it.
     for at in (16..length - 120).step_by(13) {
-        let rotten = disk.after(Down::Kill);
-        rotten.rot(&name, at);
-        match Store::open(rotten, calendar(), options.clone(), "n1", NOVEMBER) {
-            Err(LedgerError::Damaged(file, damage)) => {
+        let damaged_disk = disk.after(Down::Kill);
+        damaged_disk.rot(&name, at);
+        match Store::open(damaged_disk, calendar(), options.clone(), "n1", NOVEMBER) {
+            Err(LedgerError::Damaged { file, damage }) => {
                 assert!(file == name && damage.offset <= at, "{damage}")
             }
             other => panic!("byte {at}: {:?}", other.map(|(_, r)| r)),
         }
     }
-    let rotten = disk.after(Down::Kill);
-    rotten.rot(&name, 7);
-    assert!(Store::open(rotten, calendar(), options, "n1", NOVEMBER).is_err(), "another version");
+    let damaged_disk = disk.after(Down::Kill);
+    damaged_disk.rot(&name, 7);
+    assert!(Store::open(damaged_disk, calendar(), options, "n1", NOVEMBER).is_err(), "another version");
 }
 
 #[test]
-fn a_disk_that_fails_holds_nothing_up_and_what_is_lost_is_a_gap_with_its_bounds() {
+fn failing_disk_does_not_block_and_lost_entries_become_a_gap_with_bounds() {
     for kind in [ErrorKind::StorageFull, ErrorKind::ReadOnlyFilesystem] {
         let disk = FaultyDisk::default();
         let (store, _) = open(&disk, NOVEMBER).expect("new");
-        let mut told = Vec::new();
-        let mut writer = Writer::new(store, Duration::ZERO, &small(), |t| told.push(t));
+        let mut events = Vec::new();
+        let mut writer = Writer::new(store, Duration::ZERO, &small_segments(), |event| events.push(event));
         let mut number = 0;
         let mut take = |writer: &mut Writer<_, _>, n: u64| {
             number += 1;
-            writer.take((number, Record::Entry(entry(n, NOVEMBER + n as UnixMs))));
+            let record = Record::Entry(entry(n, NOVEMBER + n as UnixMs));
+            writer.take(NumberedRecord { number, record });
         };
         take(&mut writer, 0);
         writer.flush();
@@ -231,8 +238,8 @@
         disk.fail(None);
         writer.flush();
         drop(writer);
-        assert_eq!(told[0], LedgerEvent::Durable(1));
-        assert!(matches!(told[1], LedgerEvent::WriteFailed(_)));
+        assert_eq!(events[0], LedgerEvent::Durable(1));
+        assert!(matches!(events[1], LedgerEvent::WriteFailed(_)));
         let gap = Gap {
             from: NOVEMBER + 65_537,
             to: NOVEMBER + 66_000,
@@ -240,7 +247,7 @@
             reason: "the disk failed for too long".to_owned(),
         };
         assert_eq!(
-            told[2..],
+            events[2..],
             [LedgerEvent::EntriesLost(gap.clone()), LedgerEvent::Recovered, LedgerEvent::Durable(66_001)]
         );
         let book = read_all(&disk, &calendar(), |_, _, _| {}).expect("whole");
@@ -252,7 +259,7 @@
 }
 
 #[test]
-fn periods_close_and_change_by_corrections_alone() {
+fn closed_period_does_not_change_and_corrections_are_billed_in_the_open_one() {
     let disk = FaultyDisk::default();
     let (mut store, _) = open(&disk, NOVEMBER).expect("new");
     let november: Period = "2026-11".parse().expect("a period");
@@ -279,9 +286,9 @@
     // The clock steps back an hour across the month's end: billed in the open period, marked as late.
     store.append(&[Record::Entry(entry(2, end - 3_600_000))]).expect("written");
     assert_eq!((sum(&store, "2026-11"), sum(&store, "2026-12")), ((1, 0), (2, 1)));
-    let made = |by: &str| correction(by, by, end + 5000);
-    assert!(store.correct(made(" ")).is_err(), "by whom?");
-    store.correct(made("billing")).expect("corrected");
+    let correction_by = |by: &str| correction(by, by, end + 5000);
+    assert!(store.correct(correction_by(" ")).is_err(), "by whom?");
+    store.correct(correction_by("billing")).expect("corrected");
     assert_eq!(sum(&store, "2026-11"), (1, 0), "a closed period stays as it is");
     assert_eq!(store.book().corrections()[0].1.to_string(), "2026-12");
     // What was exported once is not exported again; what came since is.
@@ -298,7 +305,7 @@
 }
 
 #[test]
-fn an_arrow_export_is_read_by_arrow() {
+fn arrow_export_is_read_by_the_arrow_reader() {
     let disk = FaultyDisk::default();
     let (mut store, _) = open(&disk, NOVEMBER).expect("new");
     store.append(&(0..9).map(|n| Record::Entry(entry(n, NOVEMBER))).collect::<Vec<_>>()).expect("written");
@@ -310,10 +317,10 @@
 }
 
 #[test]
-fn a_run_that_ends_without_a_word_leaves_a_gap_unless_nothing_can_be_missing() {
+fn killed_run_leaves_a_gap_unless_no_entry_can_be_missing() {
     for (window, ends, gaps) in [(50, false, 1), (50, true, 0), (0, false, 0)] {
         let disk = FaultyDisk::default();
-        let options = Options { window, ..small() };
+        let options = Options { window, ..small_segments() };
         let start =
             || Store::open(disk.clone(), calendar(), options.clone(), "n1", NOVEMBER + 9).expect("opened").0;
         let mut store = start();
@@ -334,21 +341,23 @@
     }
 }
 
-/// The machine goes down at each step of doing what was asked for; the next start finds the request or its reply.
+/// The machine crashes at each disk operation while requests are carried out; the next run finds each request or its
+/// reply.
 #[test]
-fn requests_that_a_crash_parts_are_done_once() {
-    let ask = |id: &str| {
-        let asked = correction(id, "billing", 0);
-        Request::Correct(asked).to_json()
+fn requests_interrupted_by_a_crash_are_carried_out_once() {
+    let correction_request = |id: &str| {
+        let correction = correction(id, "billing", 0);
+        Request::Correct(correction).to_json()
     };
-    let fresh = || {
+    let disk_with_requests = || {
         let disk = FaultyDisk::default();
         let (mut store, _) = open(&disk, NOVEMBER).expect("new");
         store.append(&[Record::Entry(entry(1, NOVEMBER))]).expect("written");
         store.commit().expect("synced");
         let mut handle = disk.clone();
         let november: Period = "2026-11".parse().expect("a period");
-        let texts = [ask("c1"), Request::Export(november, Format::Csv).to_json(), "{}".to_owned()];
+        let texts =
+            [correction_request("c1"), Request::Export(november, Format::Csv).to_json(), "{}".to_owned()];
         for (i, text) in texts.iter().enumerate() {
             let name = request_name(&format!("r{i}"));
             handle.append(&name, text.as_bytes()).expect("left");
@@ -357,22 +366,23 @@
         handle.sync_names().expect("synced");
         disk
     };
-    let work =
-        |disk: &FaultyDisk| open(disk, NOVEMBER).and_then(|(mut store, _)| store.requests(NOVEMBER + 9));
+    let process = |disk: &FaultyDisk| {
+        open(disk, NOVEMBER).and_then(|(mut store, _)| store.process_requests(NOVEMBER + 9))
+    };
     let steps = {
-        let disk = fresh();
+        let disk = disk_with_requests();
         disk.stop_at(usize::MAX);
-        assert_eq!(work(&disk).expect("no fault"), 3);
+        assert_eq!(process(&disk).expect("no fault"), 3);
         disk.steps()
     };
     assert!(steps > 15, "{steps} steps");
     for stop in 1..=steps {
         for down in [Down::Kill, Down::Power(0), Down::Power(50)] {
-            let disk = fresh();
+            let disk = disk_with_requests();
             disk.stop_at(stop);
-            assert!(work(&disk).is_err());
+            assert!(process(&disk).is_err());
             let disk = disk.after(down);
-            work(&disk).unwrap_or_else(|e| panic!("{stop} {down:?}: {e}"));
+            process(&disk).unwrap_or_else(|e| panic!("{stop} {down:?}: {e}"));
             let book = read_all(&disk, &calendar(), |_, _, _| {}).expect("whole");
             assert_eq!(book.corrections().len(), 1, "{stop} {down:?}");
             assert_eq!(book.exports().len(), 1, "{stop} {down:?}");
@@ -390,7 +400,7 @@
 }
 
 #[test]
-fn names_of_unknown_tenants_are_bounded() {
+fn accounts_of_unknown_tenants_are_bounded() {
     let mut book = Book::new(calendar());
     for n in 0..10_000 {
         let stranger = Entry { tenant: format!("x{n}"), known: false, ..entry(n, NOVEMBER) };
@@ -401,16 +411,17 @@
 }
 
 #[test]
-fn ledgers_of_several_mixers_are_held_against_each_other() {
-    let make = |mixer: &str, from: u64, to: u64, shift: UnixMs| {
+fn reconciliation_finds_overlaps_duplicates_and_clock_differences() {
+    let make = |aggregator: &str, from: u64, to: u64, shift: UnixMs| {
         let disk = FaultyDisk::default();
-        let mut store = Store::open(disk.clone(), calendar(), small(), mixer, NOVEMBER).expect("new").0;
+        let mut store =
+            Store::open(disk.clone(), calendar(), small_segments(), aggregator, NOVEMBER).expect("new").0;
         for n in from..to {
             store.append(&[Record::Entry(entry(n, NOVEMBER + n as UnixMs + shift))]).expect("written");
         }
         let mut records = Vec::new();
         let book = read_all(&disk, &calendar(), |seq, r, _| records.push((seq, r.clone()))).expect("whole");
-        Ledger { place: mixer.to_owned(), book, records }
+        Ledger { place: aggregator.to_owned(), book, records }
     };
     let found = reconcile(&[make("n1", 0, 50, 0), make("n2", 50, 80, 0)]);
     assert!(found.is_complete() && found.entries == 80 && found.twice_count == 0);
@@ -423,7 +434,7 @@
 }
 
 #[test]
-fn a_segment_that_is_missing_is_told_with_its_records() {
+fn missing_segment_is_reported_with_its_sequence_numbers() {
     let disk = FaultyDisk::default();
     let (mut store, _) = open(&disk, NOVEMBER).expect("new");
     for n in 0..60 {
@@ -442,9 +453,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, ..ProptestConfig::default() })]
 
-    /// A book from a snapshot and the records behind it is the book from all records.
+    /// The book from a snapshot and the records behind it equals the book from all records.
     #[test]
-    fn a_start_by_snapshot_is_a_start_by_all_records(
+    fn start_from_snapshot_equals_start_from_all_records(
         entries in prop::collection::vec((0..40u64, 0..60i64, 0..6usize, any::<bool>()), 1..80),
         close in any::<bool>(),
     ) {
--- a/tests/ledger_process.rs
+++ b/tests/ledger_process.rs
@@ -1,4 +1,4 @@
-//! The ledger of real mixers that are killed at any moment while load runs, and of exports that are killed as well.
+//! The ledger of aggregator processes that are killed under load, and of export commands that are killed.
 
 mod common;
 
@@ -14,22 +14,22 @@
 use std::thread;
 use std::time::Duration;
 
-/// Each kill comes after so many milliseconds: printed, so that a run can be told.
-fn moments(rounds: u64) -> Vec<u64> {
+/// The delays before each kill in milliseconds; printed, so that a failed run can be repeated.
+fn kill_delays(rounds: u64) -> Vec<u64> {
     let all: Vec<u64> = (0..rounds).map(|i| 60 + (i * 101 + 31) % 240).collect();
     println!("killed after {all:?} ms");
     all
 }
 
-/// Asks until the mixer is gone; the ids that were answered, in order, with their status.
-fn ask_until_killed(address: SocketAddr, owner: &str) -> Vec<(String, u16)> {
+/// Sends queries until the aggregator is gone; the ids that were answered, in order, with their status.
+fn query_until_killed(address: SocketAddr, tenant: &str) -> Vec<(String, u16)> {
     static NEXT: AtomicU64 = AtomicU64::new(0);
     let mut answered = Vec::new();
     let Ok(stream) = TcpStream::connect(address) else { return answered };
     let mut stream = BufReader::new(stream);
     loop {
         let id = format!("k{}", NEXT.fetch_add(1, Ordering::Relaxed));
-        let text = query(&id, "5000m", &[0, 1, 2]).replace("acme", owner);
+        let text = query(&id, "5000m", &[0, 1, 2]).replace("acme", tenant);
         if stream.get_mut().write_all(text.as_bytes()).is_err() {
             return answered;
         }
@@ -59,13 +59,13 @@
     (all, book.expect("whole").gaps().len())
 }
 
-struct Ledgered {
+struct LedgerSetup {
     fleet: Fleet,
     setup: Setup,
     dir: std::path::PathBuf,
 }
 
-fn ledgered(mode: &str) -> Ledgered {
+fn ledger_setup(mode: &str) -> LedgerSetup {
     let fleet = Fleet::new(6);
     let known = fleet.listed();
     let dir = scratch("ledger");
@@ -73,31 +73,31 @@
         "ledger: {{dir: {}, mode: {mode}, prices: {{c: {{query: 500, part: 250}}}}}}\n",
         dir.display()
     ));
-    Ledgered { setup: Setup { operator, ..Setup::new(&known) }, fleet, dir }
+    LedgerSetup { setup: Setup { operator, ..Setup::new(&known) }, fleet, dir }
 }
 
-/// Starts, asks with three clients, kills; what was answered to each client of each round. The third one names a tenant
-/// that the settings do not know: it is turned away, and its requests are nobody's use.
-fn rounds(l: &Ledgered, moments: &[u64]) -> Vec<Vec<(String, u16)>> {
+/// Starts an aggregator, queries it from three clients and kills it; the answers to each client of each round. The third
+/// client names a tenant that the settings do not know: it is rejected, and nothing is entered for it.
+fn rounds(ledger: &LedgerSetup, delays_ms: &[u64]) -> Vec<Vec<(String, u16)>> {
     let round = |after: &u64| {
-        let mut mixer = l.setup.start();
-        let address = mixer.address;
-        let ask = |owner: &'static str| thread::spawn(move || ask_until_killed(address, owner));
+        let mut aggregator = ledger.setup.start();
+        let address = aggregator.address;
+        let ask = |tenant: &'static str| thread::spawn(move || query_until_killed(address, tenant));
         let clients = ["acme", "acme", "stranger"].map(ask);
         thread::sleep(Duration::from_millis(*after));
-        mixer.kill();
+        aggregator.kill();
         let [a, b, stranger] = clients.map(|c| c.join().expect("no panic"));
         assert!(!stranger.is_empty() && stranger.iter().all(|(_, status)| *status == 400), "{stranger:?}");
         [a, b]
     };
-    moments.iter().flat_map(round).collect()
+    delays_ms.iter().flat_map(round).collect()
 }
 
 #[test]
-fn in_strict_mode_every_answer_is_entered_once_however_often_the_mixer_is_killed() {
-    let l = ledgered("strict");
-    let answered: BTreeMap<String, u16> = rounds(&l, &moments(12)).into_iter().flatten().collect();
-    let (entries, gaps) = entries(&l.dir);
+fn strict_mode_enters_every_answer_once_however_often_the_aggregator_is_killed() {
+    let ledger = ledger_setup("strict");
+    let answered: BTreeMap<String, u16> = rounds(&ledger, &kill_delays(12)).into_iter().flatten().collect();
+    let (entries, gaps) = entries(&ledger.dir);
     let mut by_name: BTreeMap<&str, &Entry> = BTreeMap::new();
     for e in &entries {
         assert!(by_name.insert(&e.query, e).is_none(), "{} stands twice", e.query);
@@ -116,16 +116,16 @@
         entries.len(),
         answered.len()
     );
-    assert!(l.fleet.broken().is_empty(), "{:?}", l.fleet.broken());
+    assert!(ledger.fleet.broken().is_empty(), "{:?}", ledger.fleet.broken());
     let ours = |e: &Entry| e.known && e.tenant == "acme";
     assert!(entries.iter().all(ours), "strangers were turned away with a 4xx: nothing of theirs is entered");
 }
 
 #[test]
-fn in_group_mode_only_the_last_moments_before_a_kill_are_missing_and_a_gap_says_so() {
-    let l = ledgered("group");
-    let rounds = rounds(&l, &moments(8));
-    let (entries, gaps) = entries(&l.dir);
+fn group_mode_loses_only_the_last_entries_before_a_kill_and_records_a_gap() {
+    let ledger = ledger_setup("group");
+    let rounds = rounds(&ledger, &kill_delays(8));
+    let (entries, gaps) = entries(&ledger.dir);
     let names: BTreeSet<&str> = entries.iter().map(|e| e.query.as_str()).collect();
     assert_eq!(names.len(), entries.len(), "none stands twice");
     for answered in &rounds {
@@ -142,12 +142,12 @@
 }
 
 #[test]
-fn a_mixer_that_ends_in_good_order_has_entered_all_and_left_no_gap() {
-    let l = ledgered("group");
+fn graceful_shutdown_enters_every_answer_and_leaves_no_gap() {
+    let ledger = ledger_setup("group");
     let mut ids = Vec::new();
     for _ in 0..2 {
-        let mut mixer = l.setup.start();
-        let mut client = Client::connect(mixer.address);
+        let mut aggregator = ledger.setup.start();
+        let mut client = Client::connect(aggregator.address);
         for _ in 0..20 {
             let id = format!("e{}", ids.len());
             assert_eq!(client.ask(query(&id, "5000m", &[0, 1])).status, 200);
@@ -162,22 +162,24 @@
             assert!(text.contains(&wanted), "{wanted}: {text}");
         }
         drop(client);
-        mixer.signal("-TERM");
-        assert!(mixer.ended().success());
+        aggregator.signal("-TERM");
+        assert!(aggregator.ended().success());
     }
-    let (entries, gaps) = entries(&l.dir);
+    let (entries, gaps) = entries(&ledger.dir);
     assert_eq!(entries.iter().map(|e| e.query.clone()).collect::<Vec<_>>(), ids);
     assert_eq!(gaps, 0);
     // A second process is told that the directory is owned; those who only look are not.
-    let _mixer = l.setup.start();
-    let out = spawn(&l.setup.config(), l.setup.operator.as_deref()).wait_with_output().expect("it ends");
+    let _aggregator = ledger.setup.start();
+    let out =
+        spawn(&ledger.setup.config(), ledger.setup.operator.as_deref()).wait_with_output().expect("it ends");
     assert!(
         !out.status.success() && String::from_utf8_lossy(&out.stderr).contains("another process owns"),
         "{out:?}"
     );
     // What is to be written is asked of the owner.
     let ask = |args: &[&str]| {
-        let out = Command::new(binary()).arg("ledger").arg(args[0]).arg(&l.dir).args(&args[1..]).output();
+        let out =
+            Command::new(binary()).arg("ledger").arg(args[0]).arg(&ledger.dir).args(&args[1..]).output();
         let out = out.expect("it runs");
         (out.status.code(), String::from_utf8_lossy(&[out.stdout, out.stderr].concat()).into_owned())
     };
@@ -200,15 +202,16 @@
     assert!(code == Some(1) && words.contains("by whom and why"), "{words}");
     let (code, words) = ask(&["close", "2999-01"]);
     assert!(code == Some(1) && words.contains("2999-01 is not over"), "{words}");
-    let show = Command::new(binary()).args(["ledger", "show"]).arg(&l.dir).output().expect("it runs");
+    let show = Command::new(binary()).args(["ledger", "show"]).arg(&ledger.dir).output().expect("it runs");
     let table = String::from_utf8_lossy(&show.stdout).into_owned();
     assert!(table.contains("acme") && table.contains("40.000"), "40 queries of 500 + 2 * 250 each: {table}");
 }
 
-/// The export is killed at dozens of moments, restarted, killed: who bills takes each name once and has all once.
+/// Export commands are killed at dozens of points in time; a billing system that imports each name once has each entry
+/// once.
 #[test]
-fn exports_killed_at_any_moment_bill_every_entry_once() {
-    let l = ledgered("strict");
+fn exports_killed_at_any_time_bill_every_entry_once() {
+    let ledger = ledger_setup("strict");
     let mut imported: BTreeMap<String, Vec<u8>> = BTreeMap::new();
     let period = {
         use std::time::{SystemTime, UNIX_EPOCH};
@@ -216,7 +219,7 @@
         Calendar::new("Asia/Taipei").expect("a zone").period(now).to_string()
     };
     let import = |imported: &mut BTreeMap<String, Vec<u8>>| {
-        for file in std::fs::read_dir(&l.dir).expect("a directory").map_while(Result::ok) {
+        for file in std::fs::read_dir(&ledger.dir).expect("a directory").map_while(Result::ok) {
             let name = file.file_name().into_string().expect("text");
             if name.ends_with(".csv") {
                 let bytes = std::fs::read(file.path()).expect("read");
@@ -230,10 +233,10 @@
     };
     let mut killed = 0;
     for round in 0..6 {
-        rounds(&l, &[80 + 20 * round]);
+        rounds(&ledger, &[80 + 20 * round]);
         for step in 0..8u64 {
             let mut export = Command::new(binary())
-                .args(["ledger", "export", l.dir.to_str().expect("text"), &period])
+                .args(["ledger", "export", ledger.dir.to_str().expect("text"), &period])
                 .stdout(Stdio::null())
                 .stderr(Stdio::null())
                 .spawn()
@@ -245,11 +248,15 @@
             import(&mut imported);
         }
     }
-    let last =
-        Command::new(binary()).args(["ledger", "export"]).arg(&l.dir).arg(&period).output().expect("it runs");
+    let last = Command::new(binary())
+        .args(["ledger", "export"])
+        .arg(&ledger.dir)
+        .arg(&period)
+        .output()
+        .expect("it runs");
     assert!(last.status.success(), "{last:?}");
     import(&mut imported);
-    let (entries, _) = entries(&l.dir);
+    let (entries, _) = entries(&ledger.dir);
     let rows = imported
         .values()
         .flat_map(|b| String::from_utf8_lossy(b).lines().skip(1).map(str::to_owned).collect::<Vec<_>>());
@@ -260,6 +267,7 @@
     println!("{killed} of 48 exports killed, {} exports, {} entries", imported.len(), wanted.len());
     assert_eq!(billed, wanted);
     assert!(killed >= 6, "{killed} kills came in time");
-    let verify = Command::new(binary()).args(["ledger", "verify"]).arg(&l.dir).output().expect("it runs");
+    let verify =
+        Command::new(binary()).args(["ledger", "verify"]).arg(&ledger.dir).output().expect("it runs");
     assert!(verify.status.success(), "{verify:?}");
 }
--- a/tests/stored_formats.rs
+++ b/tests/stored_formats.rs
@@ -233,7 +233,7 @@
 
 /// Records 1 to 33: the first segment.
 fn first_segment() -> Vec<Record> {
-    let mut all = vec![Record::Open { mixer: "n0".to_owned(), epoch: 1, at: NOVEMBER }];
+    let mut all = vec![Record::Open { aggregator: "n0".to_owned(), epoch: 1, at: NOVEMBER }];
     all.extend(batch(0));
     all.push(Record::Gap(gap()));
     all.extend([1, 2].map(|n| Record::Correction(correction(n))));
@@ -253,9 +253,9 @@
 /// Records 34 to 36: the second segment.
 fn second_segment() -> Vec<Record> {
     vec![
-        Record::Open { mixer: "n0".to_owned(), epoch: 2, at: DECEMBER + 2000 },
+        Record::Open { aggregator: "n0".to_owned(), epoch: 2, at: DECEMBER + 2000 },
         Record::Gap(gap_of_run()),
-        Record::Open { mixer: "n0".to_owned(), epoch: 3, at: DECEMBER + 3000 },
+        Record::Open { aggregator: "n0".to_owned(), epoch: 3, at: DECEMBER + 3000 },
     ]
 }
 // ---- Ledger: journal segments -----------------------------------------------------------------------------------
@@ -674,7 +674,7 @@
     }
     let disk = RealDisk::own(&dir).expect("owned");
     let mut store = Store::open(disk, calendar(), Options::default(), "n0", NOW).expect("opened").0;
-    assert_eq!(store.requests(NOW).expect("done"), 4);
+    assert_eq!(store.process_requests(NOW).expect("done"), 4);
     for (id, request) in requests_of() {
         let reply = fs::read_to_string(dir.join(reply_name(id))).expect("a reply");
         assert_eq!(reply, text(&format!("requests/{}", reply_name(id))), "{id}");
