--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -1,39 +1,47 @@
-//! What CI passes over: the tests that `KNOWN-RED.txt` names, and nothing that is not written as it should be.
+//! CI passes over the tests that `KNOWN-RED.txt` names, and over no others: its reader takes complete entries alone.
 
 use std::path::Path;
 use std::process::Command;
 
-/// Runs CI's reader on a file; its status and the names it gives.
-fn read(text: &str) -> (bool, String) {
+/// Runs CI's reader on the text of a file; whether it succeeds, and the names that it prints.
+fn read_known_red(text: &str) -> (bool, String) {
     let dir = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("known-red-{}", std::process::id()));
-    std::fs::create_dir_all(&dir).expect("a folder");
+    std::fs::create_dir_all(&dir).expect("a directory");
     let (file, list) = (dir.join("KNOWN-RED.txt"), dir.join("list"));
     std::fs::write(&file, text).expect("written");
     std::fs::write(&list, "one: test\ntwo: test\nmod::three: test\nfour: test\ntwice: test\ntwice: test\n")
         .expect("written");
     let reader = Path::new(env!("CARGO_MANIFEST_DIR")).join(".ci/known-red");
-    let out = Command::new(reader).arg(file).arg(list).output().expect("it runs");
-    (out.status.success(), String::from_utf8(out.stdout).expect("text"))
+    let output = Command::new(reader).arg(file).arg(list).output().expect("the reader runs");
+    (output.status.success(), String::from_utf8(output.stdout).expect("UTF-8"))
 }
 
 #[test]
-fn only_what_is_written_in_full_and_is_a_test_is_passed_over() {
-    assert_eq!(read(""), (true, String::new()));
-    let two = "one; the dial is never given up; issue 30\nmod::three; a late answer; issue 27\n";
-    assert_eq!(read(two), (true, "one\nmod::three\n".to_owned()));
-    assert_eq!(read("one; without a last line break; issue 30"), (true, "one\n".to_owned()));
-    for bad in [
-        "one; a; issue 1\ntwo; b; issue 1\nmod::three; c; issue 1\nfour; d; issue 1\n",
+fn complete_entries_give_the_names_of_their_tests() {
+    assert_eq!(read_known_red(""), (true, String::new()));
+    let two = "one; cargo test one, seed 7; the dial is never given up; issue 30\n\
+               mod::three; cargo test three; a late answer; issue 27\n";
+    assert_eq!(read_known_red(two), (true, "one\nmod::three\n".to_owned()));
+    let unterminated = "one; cargo test one; without a last line break; issue 30";
+    assert_eq!(read_known_red(unterminated), (true, "one\n".to_owned()));
+}
+
+#[test]
+fn incomplete_unknown_ambiguous_and_surplus_entries_are_refused() {
+    for text in [
+        "one; c; a; issue 1\ntwo; c; b; issue 1\nmod::three; c; c; issue 1\nfour; c; d; issue 1\n",
         "one\n",
-        "one; no issue\n",
-        "one; ; issue 30\n",
-        "one; a cause; issue thirty\n",
-        "five; no such test; issue 30\n",
-        "on; a part of a name; issue 30\n",
-        ".*; not a name; issue 30\n",
-        "twice; two tests of one name; issue 30\n",
-        "one; a cause; issue 30\n\n",
+        "one; cargo test one; no issue\n",
+        "one; cargo test one; issue 30\n",
+        "one; ; what was seen; issue 30\n",
+        "one; cargo test one; ; issue 30\n",
+        "one; cargo test one; what was seen; issue thirty\n",
+        "five; cargo test five; no such test; issue 30\n",
+        "on; cargo test on; a part of a name; issue 30\n",
+        ".*; cargo test; not a name; issue 30\n",
+        "twice; cargo test twice; two tests of one name; issue 30\n",
+        "one; cargo test one; what was seen; issue 30\n\n",
     ] {
-        assert!(!read(bad).0, "{bad:?}");
+        assert!(!read_known_red(text).0, "{text:?}");
     }
 }
