--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -2,10 +2,16 @@
 
 use std::path::Path;
 use std::process::Command;
+use std::sync::atomic::{AtomicU32, Ordering};
+
+/// Readers started so far: tests run side by side in one process.
+static READERS: AtomicU32 = AtomicU32::new(0);
 
 /// Runs CI's reader on the text of a file; whether it succeeds, and the names that it prints.
 fn read_known_red(text: &str) -> (bool, String) {
-    let dir = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("known-red-{}", std::process::id()));
+    let number = READERS.fetch_add(1, Ordering::Relaxed);
+    let name = format!("known-red-{}-{number}", std::process::id());
+    let dir = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::create_dir_all(&dir).expect("a directory");
     let (file, list) = (dir.join("KNOWN-RED.txt"), dir.join("list"));
     std::fs::write(&file, text).expect("written");
