--- a/src/endpoints/discovery_timing.rs
+++ b/src/endpoints/discovery_timing.rs
@@ -1,98 +1,114 @@
-//! When a mixer asks discovery anew. One mixer that asks ten times a second is no load; a hundred that lost their watch
-//! in the same moment keep an overbooked discovery from ever answering one of them. So the waits after failed calls
-//! grow with the number of mixers and with the calls that failed, and are drawn from the mixer's own seed.
+//! When an aggregator calls discovery again: backoff with jitter, scaled by the size of the fleet, so that a fleet
+//! whose watches end at the same moment does not overload a shared discovery service.
 //!
-//! A mixer that does not ask is not spared what it would have been told: nothing new may go to a draining node 1 s
-//! after it was told, and what discovery has counts as told 6 s later at the latest, asked or not (PROTOCOL). So no
-//! wait is long against those two bounds: the first call after a start and the call after a watch that told
-//! something come within a fraction of the first; the calls after failures, within a fraction of the second.
-
+//! Two bounds of the platform's protocol limit every delay: a draining leaf server may get new attempts for 1 s after
+//! it was announced, and any change counts as announced after 6 s, whether or not it was fetched.
+//!
+//! | delay | bound |
+//! |---|---|
+//! | before the first call, for a large fleet | uniform in 0..0.1 s |
+//! | after a call or watch that delivered a list | uniform in 0..0.1 s |
+//! | after n failed calls in a row | `base * min(2^n, 4) * (0.5..1.5)`, at most 2 s |
 //!
-//! Where lists are pushed an agent on the mixer's own machine answers, at once and at no cost: there no fleet has to be
-//! spared, and who stays silent on a call is asked again within the bound. The worst chain there, against the 6 s: 2.5 s
-//! until a watch that told is known to be silent, 0.1 s, a call that stays silent (1 s), a wait (0.3 s), a call that is
-//! refused, a wait (0.6 s): 4.5 s, and each further refused call 0.6 s.
+//! The base is 10 ms for each aggregator of the fleet and at least 100 ms; with a local discovery agent it is 100 ms,
+//! since no fleet shares that agent.
 
 use crate::clock::Millis;
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 
-/// The shortest mean wait after a failed call, and what each mixer of the fleet adds to it: together they begin with a
-/// hundred calls a second at most.
-const LEAST: Millis = 100.0;
-const EACH: Millis = 10.0;
-/// Each failed call in a row doubles the wait, up to this many times the first one.
-const MOST: f64 = 4.0;
-/// How long after it was told a draining node may still be sent something new.
-const DRAIN: Millis = 1000.0;
-/// What discovery has counts as told this long after at the latest, whether it was asked or not.
-const TOLD_BY: Millis = 6000.0;
-/// A mixer that has just started, or whose watch has just ended after it told something, is blind until it asks: it
-/// asks within a tenth of the drain's bound, spread over that time by its seed.
-const SOON: Millis = DRAIN / 10.0;
-/// After failed calls no wait is longer than a third of the time by which a change counts as told: three calls at the
-/// least within it.
-const LONGEST: Millis = TOLD_BY / 3.0;
-/// An empty line comes every 2 s: a quarter more than that is no delay, the watch has died without a word.
-const SILENCE: Millis = 2500.0;
-/// What answers at once is not waited for longer: a sixth of the time by which a change counts as told, as a call may
-/// come upon silence right after the watch did.
-const AT_ONCE: Millis = TOLD_BY / 6.0;
+/// For how long after its announcement a draining leaf server may get new attempts (protocol).
+const DRAIN_NOTICE: Millis = 1000.0;
+/// After how long a change counts as announced even if it was not fetched (protocol).
+const CHANGE_KNOWN_WITHIN: Millis = 6000.0;
+
+/// Least base delay after a failed call.
+const MIN_BASE_DELAY: Millis = 100.0;
+/// Base delay for each aggregator that shares the discovery service.
+const BASE_DELAY_PER_AGGREGATOR: Millis = 10.0;
+/// Upper limit of the exponential backoff factor.
+const MAX_BACKOFF_FACTOR: f64 = 4.0;
+/// Backoff factors are powers of two up to this exponent; it only keeps the power finite.
+const MAX_BACKOFF_EXPONENT: u32 = 16;
+/// Jitter multiplies a mean delay by a factor of `MIN_JITTER_FACTOR..MAX_JITTER_FACTOR`.
+const MIN_JITTER_FACTOR: f64 = 0.5;
+const MAX_JITTER_FACTOR: f64 = 1.5;
+/// Longest delay after failed calls: at least three calls fit before a change counts as announced.
+const MAX_DELAY: Millis = CHANGE_KNOWN_WITHIN / 3.0;
+/// Longest delay when the known list may be outdated: after a start and after a watch that delivered a list.
+const MAX_REFRESH_DELAY: Millis = DRAIN_NOTICE / 10.0;
 
-/// The pace of one mixer's calls.
+/// Silence after which a watch is taken for dead: discovery sends an empty line every 2 s.
+const WATCH_TIMEOUT: Millis = 2500.0;
+/// Response timeout of a local agent, which answers without delay. A dead watch, a silent call and two refused ones
+/// with their delays then still fit into [`CHANGE_KNOWN_WITHIN`].
+const LOCAL_AGENT_RESPONSE_TIMEOUT: Millis = CHANGE_KNOWN_WITHIN / 6.0;
+
+/// Delays and timeouts of one aggregator's calls to discovery.
 #[derive(Debug)]
 pub struct DiscoveryTiming {
-    draw: Pcg64Mcg,
-    first: Millis,
-    failed: u32,
-    /// The waits of many mixers at one discovery are spread; one that answers for itself alone is asked at once.
-    many: bool,
+    random: Pcg64Mcg,
+    base_delay: Millis,
+    consecutive_failures: u32,
+    /// Spread the first calls, as many aggregators may start at once.
+    large_fleet: bool,
     response_timeout: Millis,
 }
 
 impl DiscoveryTiming {
-    /// For one of so many mixers that ask one discovery.
-    pub fn shared_discovery(seed: u64, mixers: u32) -> Self {
-        let first = (EACH * f64::from(mixers)).max(LEAST);
-        // The seed's other uses must not be echoed here.
-        let draw = Pcg64Mcg::seed_from_u64(seed.rotate_left(17));
-        DiscoveryTiming { draw, first, failed: 0, many: first > LEAST, response_timeout: SILENCE }
+    /// Timing for a discovery service that `aggregators` aggregators share.
+    pub fn shared_discovery(seed: u64, aggregators: u32) -> Self {
+        let base_delay = (BASE_DELAY_PER_AGGREGATOR * f64::from(aggregators)).max(MIN_BASE_DELAY);
+        DiscoveryTiming {
+            // Rotated, so that the delays do not correlate with other uses of the seed.
+            random: Pcg64Mcg::seed_from_u64(seed.rotate_left(17)),
+            base_delay,
+            consecutive_failures: 0,
+            large_fleet: base_delay > MIN_BASE_DELAY,
+            response_timeout: WATCH_TIMEOUT,
+        }
     }
 
-    /// For one of so many mixers, each of which has an agent of discovery to itself, which is pushed the lists.
-    pub fn local_agent(seed: u64, mixers: u32) -> Self {
-        DiscoveryTiming { first: LEAST, response_timeout: AT_ONCE, ..Self::shared_discovery(seed, mixers) }
+    /// Timing for a discovery agent on the aggregator's own machine, in a fleet of `aggregators` aggregators.
+    pub fn local_agent(seed: u64, aggregators: u32) -> Self {
+        DiscoveryTiming {
+            base_delay: MIN_BASE_DELAY,
+            response_timeout: LOCAL_AGENT_RESPONSE_TIMEOUT,
+            ..Self::shared_discovery(seed, aggregators)
+        }
     }
 
-    /// How long a call may stay without a word, its answer's first object included.
+    /// Timeout of a call until the first object of its response.
     pub fn response_timeout(&self) -> Millis {
         self.response_timeout
     }
 
-    /// How long a watch that has told something may.
+    /// Timeout between two lines of a watch that has delivered a list.
     pub fn watch_timeout(&self) -> Millis {
-        SILENCE
+        WATCH_TIMEOUT
     }
 
-    /// The wait before the first call after the start, when many mixers may be starting: spread, and short, since the
-    /// list known at the start may be old.
+    /// Delay before the first call after a start.
     pub fn initial_delay(&mut self) -> Millis {
-        let most = if self.many { SOON } else { 0.0 };
-        self.uniform() * most
+        let max_delay = if self.large_fleet { MAX_REFRESH_DELAY } else { 0.0 };
+        self.uniform() * max_delay
     }
 
-    /// The wait after a call or a watch that has ended; `told` if it had brought anything.
-    pub fn next_delay(&mut self, told: bool) -> Millis {
-        self.failed = if told { 0 } else { self.failed.saturating_add(1) };
-        if told {
-            return self.uniform() * SOON;
+    /// Delay after a call or watch that has ended; `received` says whether it had delivered a list.
+    pub fn next_delay(&mut self, received: bool) -> Millis {
+        if received {
+            self.consecutive_failures = 0;
+            return self.uniform() * MAX_REFRESH_DELAY;
         }
-        let times = 2f64.powi(self.failed.min(16) as i32).min(MOST);
-        let mean = (self.first * times).min(LONGEST / 1.5);
-        mean * (0.5 + self.uniform())
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
+        let exponent = self.consecutive_failures.min(MAX_BACKOFF_EXPONENT) as i32;
+        let factor = 2f64.powi(exponent).min(MAX_BACKOFF_FACTOR);
+        let mean = (self.base_delay * factor).min(MAX_DELAY / MAX_JITTER_FACTOR);
+        mean * (MIN_JITTER_FACTOR + self.uniform())
     }
 
+    /// A random number, uniform in 0..1.
     fn uniform(&mut self) -> f64 {
-        (self.draw.next_u64() >> 11) as f64 / (1u64 << 53) as f64
+        (self.random.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 }
--- a/src/endpoints/endpoint.rs
+++ b/src/endpoints/endpoint.rs
@@ -1,45 +1,45 @@
-//! A node and a list of nodes, as the core is told of them.
+//! An endpoint (one leaf server) and a list of them, as the aggregator receives them.
 
 use super::Millis;
 use std::sync::Arc;
 
-/// Whether a node takes work.
+/// Whether an endpoint accepts work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
     /// Serving.
     Ready,
-    /// Finishing its work: nothing new may go there.
+    /// Finishing its work in flight: it gets no new attempts.
     Draining,
-    /// Gone.
+    /// Removed from the list.
     Gone,
 }
 
-/// A node as the mixer goes by it.
+/// One leaf server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// The same at every mixer, and after a restart.
+    /// Its name: the same at every aggregator, and after a restart of the leaf server.
     pub name: Arc<str>,
-    /// Where it listens.
+    /// The address it listens at.
     pub address: Arc<str>,
-    /// Its zone.
+    /// Its zone; empty if unknown.
     pub zone: Arc<str>,
-    /// Its cell, which determines its shards.
+    /// Its cell, which determines the shards it holds (see [`Layout`](super::Layout)).
     pub cell: u32,
-    /// Its told size.
+    /// Its relative capacity.
     pub weight: f64,
-    /// Its state.
+    /// Whether it accepts work.
     pub state: EndpointState,
-    /// Unix time of its last start; 0 for long ago.
+    /// Unix time of its last start, in milliseconds; 0 if long ago or unknown.
     pub started_at_unix: Millis,
 }
 
-/// A list of nodes or of changes to it.
+/// A list of endpoints, or changes to it.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointList {
-    /// Its version.
+    /// Version of the list, as its source counts.
     pub generation: u64,
-    /// Whole: what is absent is gone.
+    /// True for a complete list: endpoints absent from it are gone. False for changes.
     pub complete: bool,
-    /// Its entries.
+    /// The endpoints.
     pub entries: Vec<Endpoint>,
 }
--- a/src/endpoints/file_polling.rs
+++ b/src/endpoints/file_polling.rs
@@ -1,103 +1,117 @@
-//! When a watched file is opened, when what was opened is whole, and what is told of it: decided from what each look
-//! finds, without opening anything. Times are the caller's.
+//! When a watched inventory file is opened, when its content is stable, and what is reported of it.
+//!
+//! The watching thread (`net::inventory_watch`) opens the files and reports what it found to a [`FilePoller`], which
+//! decides what to do. The poller itself opens nothing.
 
 use super::Millis;
 use std::sync::Arc;
 
-/// A file that is gone, or cannot be read, is told of after so long: tools that replace it leave none for a moment.
-const ABSENT: Millis = 500.0;
-/// Problems of one file are told at most that often: against a storm of broken files.
-const PROBLEMS_EVERY: Millis = 1000.0;
-/// A file changed within that time is read again: two writes may share one grain of a file's time.
-const YOUNG: Millis = 40.0;
-/// A confirmation waits so long for the list that it names.
-const CONFIRMATION: Millis = 5000.0;
+/// For how long a missing or unreadable file is not reported: tools that replace a file may remove it for a moment.
+const ABSENCE_TOLERANCE: Millis = 500.0;
+/// Least time between two reported problems of one file.
+const MIN_PROBLEM_INTERVAL: Millis = 1000.0;
+/// After how long a recently modified file is read again: two writes may share one modification time.
+const REREAD_DELAY: Millis = 40.0;
+/// How long a confirmation waits for the list that it names.
+const CONFIRMATION_TIMEOUT: Millis = 5000.0;
 
-/// What was found when the files were opened and looked at twice.
+/// What was found when the files were opened and read twice.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FileCheck {
-    /// They could not be.
+    /// They could not be read; the problem.
     Unreadable(String),
-    /// Somebody was writing.
+    /// They changed between the two reads.
     BeingWritten,
-    /// They stood still.
+    /// Both reads found the same.
     Stable {
-        /// Names the content.
+        /// Digest of the content.
         digest: Arc<str>,
-        /// Changed so lately that a further change may not show.
+        /// Modified so recently that a further change may not show in the modification time.
         recently_modified: bool,
     },
 }
 
-/// What is to be done about it.
+/// What the watching thread does next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PollDecision {
-    /// Nothing: it is as it was told, or may be there in a moment.
+    /// Nothing: the content is unchanged, or the file may be back in a moment.
     Nothing,
-    /// Open them again at once.
+    /// Open the files again at once.
     ReadAgain,
-    /// Read them: they hold what has not been told.
+    /// Parse the content and submit the list.
     Read,
-    /// Tell that they cannot be taken.
+    /// Report that the files cannot be used, and why.
     Reject(String),
 }
 
-/// One inventory under watch; `S` is what a look at its names finds, without content.
+/// A confirmation file found beside the inventory.
 #[derive(Clone, Debug)]
-pub struct FilePoller<S> {
-    seen: Option<S>,
-    told: Arc<str>,
-    again: Option<Millis>,
-    absent: Option<Millis>,
-    problem: String,
-    problem_at: Option<Millis>,
-    confirmation: Option<(Arc<str>, Millis)>,
+struct PendingConfirmation {
+    digest: Arc<str>,
+    found_at: Millis,
 }
 
-impl<S: PartialEq> FilePoller<S> {
-    /// An inventory whose content has been told.
-    pub fn new(told: Arc<str>) -> Self {
+/// Polling state of one inventory. `Signature` is what a check of its file names finds without reading content.
+#[derive(Clone, Debug)]
+pub struct FilePoller<Signature> {
+    /// As of the last check that found stable or persistently unreadable files.
+    last_signature: Option<Signature>,
+    /// Of the last submitted list; empty after a problem, so that the next list is submitted in any case.
+    submitted_digest: Arc<str>,
+    reread_at: Option<Millis>,
+    absent_since: Option<Millis>,
+    /// The last reported problem; empty if none.
+    reported_problem: String,
+    problem_reported_at: Option<Millis>,
+    pending_confirmation: Option<PendingConfirmation>,
+}
+
+impl<Signature: PartialEq> FilePoller<Signature> {
+    /// Polls an inventory whose content of digest `submitted_digest` was submitted at the start.
+    pub fn new(submitted_digest: Arc<str>) -> Self {
         FilePoller {
-            seen: None,
-            told,
-            again: None,
-            absent: None,
-            problem: String::new(),
-            problem_at: None,
-            confirmation: None,
+            last_signature: None,
+            submitted_digest,
+            reread_at: None,
+            absent_since: None,
+            reported_problem: String::new(),
+            problem_reported_at: None,
+            pending_confirmation: None,
         }
     }
 
-    /// Must the files be opened, where a look at their names finds this?
-    pub fn must_open(&mut self, now: Millis, found: &S) -> bool {
-        let due = self.again.is_some_and(|at| at <= now);
-        if due {
-            self.again = None;
+    /// Whether the files must be opened, given the signature found now.
+    pub fn must_open(&mut self, now: Millis, signature: &Signature) -> bool {
+        let reread_due = self.reread_at.is_some_and(|at| at <= now);
+        if reread_due {
+            self.reread_at = None;
         }
-        due || self.absent.is_some() || self.seen.as_ref() != Some(found)
+        reread_due || self.absent_since.is_some() || self.last_signature.as_ref() != Some(signature)
     }
 
-    /// They were opened after a look that found `found`.
-    pub fn opened(&mut self, now: Millis, found: S, opened: FileCheck) -> PollDecision {
-        match opened {
+    /// Takes the result of opening the files, with the signature found before.
+    pub fn opened(&mut self, now: Millis, signature: Signature, check: FileCheck) -> PollDecision {
+        match check {
             FileCheck::Unreadable(problem) => {
-                let since = *self.absent.get_or_insert(now);
-                if now - since < ABSENT {
+                let absent_since = *self.absent_since.get_or_insert(now);
+                if now - absent_since < ABSENCE_TOLERANCE {
                     return PollDecision::Nothing;
                 }
-                // Told once; they are opened again when a look finds them otherwise.
-                (self.seen, self.absent) = (Some(found), None);
+                // Reported once; the files are opened again when their signature changes.
+                self.last_signature = Some(signature);
+                self.absent_since = None;
                 self.refused(now, problem)
             }
             FileCheck::BeingWritten => {
-                self.absent = None;
+                self.absent_since = None;
                 PollDecision::ReadAgain
             }
-            FileCheck::Stable { digest, recently_modified: young } => {
-                (self.seen, self.absent) = (Some(found), None);
-                self.again = young.then_some(now + YOUNG);
-                if digest == self.told {
-                    self.problem.clear();
+            FileCheck::Stable { digest, recently_modified } => {
+                self.last_signature = Some(signature);
+                self.absent_since = None;
+                self.reread_at = recently_modified.then_some(now + REREAD_DELAY);
+                if digest == self.submitted_digest {
+                    self.reported_problem.clear();
                     return PollDecision::Nothing;
                 }
                 PollDecision::Read
@@ -105,47 +119,51 @@
         }
     }
 
-    /// They were read as a list, which is told now.
+    /// The content was parsed; its list is submitted now.
     pub fn read(&mut self, digest: Arc<str>) {
-        self.told = digest;
-        self.problem.clear();
+        self.submitted_digest = digest;
+        self.reported_problem.clear();
     }
 
-    /// They were read, and are no list.
+    /// The content could not be read or parsed. A repeated problem, or one that comes too soon after the last, is not
+    /// reported.
     pub fn refused(&mut self, now: Millis, problem: String) -> PollDecision {
-        // A list that comes back after a broken file is told again, so that a held one may be withdrawn.
-        self.told = "".into();
-        let lately = self.problem_at.is_some_and(|at| now - at < PROBLEMS_EVERY);
-        if problem == self.problem || lately {
+        // The next good list is submitted even if unchanged: it withdraws a list that is held back.
+        self.submitted_digest = "".into();
+        let reported_recently = self.problem_reported_at.is_some_and(|at| now - at < MIN_PROBLEM_INTERVAL);
+        if problem == self.reported_problem || reported_recently {
             return PollDecision::Nothing;
         }
-        self.problem.clone_from(&problem);
-        self.problem_at = Some(now);
+        self.reported_problem.clone_from(&problem);
+        self.problem_reported_at = Some(now);
         PollDecision::Reject(problem)
     }
 
-    /// A confirmation lies beside the files.
-    pub fn confirmation(&mut self, now: Millis, named: &str) {
-        if self.confirmation.is_none() {
-            self.confirmation = Some((named.into(), now));
+    /// A confirmation file that names a list's digest was found.
+    pub fn confirmation(&mut self, now: Millis, digest: &str) {
+        if self.pending_confirmation.is_none() {
+            self.pending_confirmation = Some(PendingConfirmation { digest: digest.into(), found_at: now });
         }
     }
 
-    /// The confirmation to pass on now: once the list that it names has been told, or has not come for long.
+    /// The digest to confirm now, once: when the list that it names was submitted, or has not appeared in time.
     pub fn confirmed(&mut self, now: Millis) -> Option<Arc<str>> {
-        let told = &self.told;
-        let due = |(named, since): &mut (Arc<str>, Millis)| named == told || now - *since >= CONFIRMATION;
-        self.confirmation.take_if(due).map(|(named, _)| named)
+        let submitted = &self.submitted_digest;
+        let due = self.pending_confirmation.take_if(|pending| {
+            pending.digest == *submitted || now - pending.found_at >= CONFIRMATION_TIMEOUT
+        })?;
+        Some(due.digest)
     }
 
-    /// How long until the next look, where one each `poll` is enough otherwise.
-    pub fn next_poll_after(&self, poll: Millis) -> Millis {
-        let soon = self.again.is_some() || self.absent.is_some() || self.confirmation.is_some();
-        if soon { poll.min(YOUNG) } else { poll }
+    /// Time until the next check, where `poll_interval` is the usual one.
+    pub fn next_poll_after(&self, poll_interval: Millis) -> Millis {
+        let check_soon =
+            self.reread_at.is_some() || self.absent_since.is_some() || self.pending_confirmation.is_some();
+        if check_soon { poll_interval.min(REREAD_DELAY) } else { poll_interval }
     }
 
-    /// For how long a change may hide in the grain of a file's time.
+    /// For how long after a modification a further one may leave the modification time unchanged.
     pub fn timestamp_granularity() -> Millis {
-        2.0 * YOUNG
+        2.0 * REREAD_DELAY
     }
 }
--- a/src/endpoints/guard.rs
+++ b/src/endpoints/guard.rs
@@ -1,32 +1,15 @@
-//! The guard of files: may a new list take effect, or is it held back until someone confirms it?
+//! The guard of inventory files: whether a new list takes effect or is held back until it is confirmed.
 
-use super::{Endpoint, EndpointState, Millis};
-use std::collections::HashMap;
+use super::Millis;
+use super::layout::{Holders, Layout};
 use std::fmt;
 
-/// Which shards a node of a cell holds: shard s is held by the cells (s + j) mod `cells`, j below `width`.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Layout {
-    /// Cells that there are.
-    pub cells: u32,
-    /// Cells that hold a shard, in a row.
-    pub width: u32,
-}
-
-impl Layout {
-    /// The cells that hold a shard.
-    pub fn holders(self, shard: u32) -> impl Iterator<Item = u32> {
-        let cells = self.cells.max(1);
-        (0..self.width.clamp(1, cells)).map(move |j| (shard % cells + j) % cells)
-    }
-}
-
-/// What the operators set about the guard.
+/// The operator's settings of the guard.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GuardSettings {
-    /// Share of the nodes that one step may lose at most; a single node may always go.
+    /// Largest fraction of the endpoints that one list may remove. Removing a single endpoint is always allowed.
     pub most_lost: f64,
-    /// A held list that stands unchanged for so long is confirmed; none: only a command confirms.
+    /// A list held back for this long without a change is confirmed; `None`: only by an operator's command.
     pub confirm_after: Option<Millis>,
 }
 
@@ -39,91 +22,82 @@
 /// Why a list is held back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HoldReason {
-    /// It names no node, or no node would be left.
+    /// The list is empty, or no endpoint would be left.
     Empty,
-    /// It loses too many nodes at once.
-    Share {
-        /// Nodes lost.
-        lost: usize,
-        /// Of so many.
-        of: usize,
+    /// It removes too many endpoints at once.
+    TooManyRemoved {
+        /// Endpoints that it removes.
+        removed: usize,
+        /// Endpoints in force.
+        total: usize,
     },
-    /// A shard would be without a node that takes work.
-    Shard(u32),
-    /// It ends within a line: its writer may not be done, or may have died.
-    Ragged,
+    /// This shard would be left without an endpoint that is ready.
+    ShardWithoutHolder(u32),
+    /// The file is truncated within a line: its writer has not finished, or has crashed.
+    TruncatedMidLine,
 }
 
 impl fmt::Display for HoldReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Empty => write!(f, "no node would be left"),
-            Self::Share { lost, of } => write!(f, "{lost} of {of} nodes would be lost at once"),
-            Self::Shard(shard) => write!(f, "shard {shard} would be left without a node"),
-            Self::Ragged => write!(f, "it ends within a line"),
-        }
-    }
-}
-
-/// Nodes that take work, by cell.
-#[derive(Clone, Debug, Default)]
-pub(super) struct Holders(HashMap<u32, u32>);
-
-impl Holders {
-    pub fn add(&mut self, entry: &Endpoint) {
-        if entry.state == EndpointState::Ready {
-            *self.0.entry(entry.cell).or_default() += 1;
-        }
-    }
-
-    pub fn remove(&mut self, entry: &Endpoint) {
-        if entry.state == EndpointState::Ready
-            && let Some(held) = self.0.get_mut(&entry.cell)
-        {
-            *held -= 1;
-            if *held == 0 {
-                self.0.remove(&entry.cell);
+            Self::TooManyRemoved { removed, total } => {
+                write!(f, "{removed} of {total} nodes would be lost at once")
             }
+            Self::ShardWithoutHolder(shard) => write!(f, "shard {shard} would be left without a node"),
+            Self::TruncatedMidLine => write!(f, "it ends within a line"),
         }
     }
-
-    pub fn of_cell(&self, cell: u32) -> u32 {
-        self.0.get(&cell).copied().unwrap_or(0)
-    }
-
-    pub fn of_shard(&self, layout: Layout, shard: u32) -> u32 {
-        layout.holders(shard).map(|cell| self.of_cell(cell)).sum()
-    }
 }
 
-/// What a step would lose.
+/// Numbers of endpoints before and after a list would take effect.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Loss {
-    /// Nodes before.
+    /// Endpoints before.
     pub before: usize,
-    /// Nodes after.
+    /// Endpoints after.
     pub after: usize,
-    /// Names that would be there no more.
+    /// Endpoints that are there before and not after.
     pub lost: usize,
 }
 
-/// Judges a step; `before` and `after` are the holders once the drains it brings have been taken, which are never
-/// held back, and once all of it has. `named` tells whether the list itself names any node.
-pub(super) fn judge(
-    settings: &GuardSettings,
-    layout: Layout,
-    loss: Loss,
-    named: bool,
-    (before, after): (&Holders, &Holders),
-) -> Option<HoldReason> {
-    if loss.before > 0 && (loss.after == 0 || !named && loss.lost > 0) {
-        return Some(HoldReason::Empty);
+/// What a list would change, as far as the guard needs to know.
+pub(super) struct ProposedChange<'a> {
+    pub loss: Loss,
+    /// The list names at least one endpoint, or is partial and need not name any.
+    pub names_endpoints: bool,
+    /// Ready endpoints once the draining states of the list are in effect, which are never held back.
+    pub holders_before: &'a Holders,
+    /// Ready endpoints once all of the list is in effect.
+    pub holders_after: &'a Holders,
+}
+
+/// Decides which lists are held back.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct ListGuard {
+    pub layout: Layout,
+    pub settings: GuardSettings,
+}
+
+impl ListGuard {
+    /// Why a change must be held back; `None` if it may take effect.
+    pub fn check(&self, change: &ProposedChange<'_>) -> Option<HoldReason> {
+        let Loss { before, after, lost } = change.loss;
+        let list_is_empty = !change.names_endpoints && lost > 0;
+        if before > 0 && (after == 0 || list_is_empty) {
+            return Some(HoldReason::Empty);
+        }
+        if lost > 1 && lost as f64 > self.settings.most_lost * before as f64 {
+            return Some(HoldReason::TooManyRemoved { removed: lost, total: before });
+        }
+        // One round over the cells is enough: shards that start at the same cell have the same holders.
+        (0..self.layout.cells)
+            .find(|shard| self.loses_last_holder(change, *shard))
+            .map(HoldReason::ShardWithoutHolder)
     }
-    if loss.lost > 1 && loss.lost as f64 > settings.most_lost * loss.before as f64 {
-        return Some(HoldReason::Share { lost: loss.lost, of: loss.before });
+
+    fn loses_last_holder(&self, change: &ProposedChange<'_>, shard: u32) -> bool {
+        change.holders_before.of_shard(self.layout, shard) > 0
+            && change.holders_after.of_shard(self.layout, shard) == 0
     }
-    // Shards that share their first cell share their holders.
-    (0..layout.cells)
-        .find(|s| before.of_shard(layout, *s) > 0 && after.of_shard(layout, *s) == 0)
-        .map(HoldReason::Shard)
 }
--- a/src/endpoints/history.rs
+++ b/src/endpoints/history.rs
@@ -1,117 +1,131 @@
-//! The last versions of the list of nodes, as changes, and the difference between any two of them.
+//! The last versions of the effective endpoint list, stored as changes, and the changes between any two of them.
 
 use super::{Endpoint, EndpointState, Millis, SourceId};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// Versions kept, and changes kept in all of them: against a list that is replaced whole all the time.
-const VERSIONS_MOST: usize = 64;
-const CHANGES_MOST: usize = 100_000;
+/// Most versions kept.
+const MAX_VERSIONS: usize = 64;
+/// Most changes kept over all versions, which bounds memory where large lists are replaced often.
+const MAX_CHANGES: usize = 100_000;
 
-/// One node in two versions.
+/// One endpoint in two versions.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
-    /// In the older one; none where it was not there.
+    /// In the older version; `None` if it was absent.
     pub before: Option<Endpoint>,
-    /// In the newer one.
+    /// In the newer version; `None` if it is absent.
     pub after: Option<Endpoint>,
 }
 
 /// A version of the list.
 #[derive(Clone, Debug)]
 pub struct Version {
-    /// Its number, from 1.
+    /// Its number, counted from 1.
     pub number: u64,
     /// When it took effect.
     pub at: Millis,
-    /// Who brought it.
+    /// The source whose list caused it.
     pub source: SourceId,
-    /// Nodes in it.
+    /// Number of endpoints in it.
     pub nodes: usize,
-    /// What it changed, by name.
+    /// What it changed, by endpoint name.
     pub changes: BTreeMap<Arc<str>, Change>,
 }
 
-/// What changed, in counts.
+/// Numbers of changed endpoints, by kind of change.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Difference {
-    /// Nodes that came.
+    /// Added endpoints.
     pub added: usize,
-    /// Nodes that went.
+    /// Removed endpoints.
     pub gone: usize,
-    /// Nodes that take no more work and are still there.
+    /// Endpoints that began draining.
     pub drained: usize,
-    /// Nodes that take work again.
+    /// Endpoints that stopped draining.
     pub readied: usize,
-    /// Nodes that moved, or changed otherwise.
+    /// Endpoints whose other fields changed.
     pub changed: usize,
 }
 
 impl Difference {
     /// Counts changes.
     pub fn of<'a>(changes: impl IntoIterator<Item = &'a Change>) -> Self {
-        let mut counts = Difference::default();
+        let mut difference = Difference::default();
         for change in changes {
-            let drains = |e: &Endpoint| e.state == EndpointState::Draining;
-            *match (&change.before, &change.after) {
-                (None, Some(_)) => &mut counts.added,
-                (Some(_), None) => &mut counts.gone,
-                (Some(a), Some(b)) if !drains(a) && drains(b) => &mut counts.drained,
-                (Some(a), Some(b)) if drains(a) && !drains(b) => &mut counts.readied,
-                _ => &mut counts.changed,
-            } += 1;
+            difference.count(change);
         }
-        counts
+        difference
     }
 
-    /// Nothing changed.
+    /// Whether nothing changed.
     pub fn is_empty(&self) -> bool {
         *self == Difference::default()
     }
+
+    fn count(&mut self, change: &Change) {
+        let is_draining = |endpoint: &Endpoint| endpoint.state == EndpointState::Draining;
+        match (&change.before, &change.after) {
+            (None, Some(_)) => self.added += 1,
+            (Some(_), None) => self.gone += 1,
+            (Some(before), Some(after)) if !is_draining(before) && is_draining(after) => self.drained += 1,
+            (Some(before), Some(after)) if is_draining(before) && !is_draining(after) => self.readied += 1,
+            _ => self.changed += 1,
+        }
+    }
 }
 
-/// The last versions, oldest first.
+/// The last versions, oldest first. Bounded: the oldest versions are dropped.
 #[derive(Clone, Debug, Default)]
 pub struct History {
     versions: VecDeque<Version>,
-    changes: usize,
+    /// Number of changes in all of `versions`.
+    total_changes: usize,
 }
 
 impl History {
-    /// Remembers a version.
+    /// Adds a version; the latest one is kept whatever its size.
     pub(super) fn push(&mut self, version: Version) {
-        self.changes += version.changes.len();
+        self.total_changes += version.changes.len();
         self.versions.push_back(version);
-        while self.versions.len() > VERSIONS_MOST || self.changes > CHANGES_MOST && self.versions.len() > 1 {
-            self.changes -= self.versions.pop_front().map_or(0, |v| v.changes.len());
+        while self.exceeds_bounds() {
+            let Some(oldest) = self.versions.pop_front() else { return };
+            self.total_changes -= oldest.changes.len();
         }
     }
 
-    /// The number of the latest version.
-    pub fn latest(&self) -> Option<u64> {
-        self.versions.back().map(|v| v.number)
+    fn exceeds_bounds(&self) -> bool {
+        let too_many_versions = self.versions.len() > MAX_VERSIONS;
+        let too_many_changes = self.total_changes > MAX_CHANGES && self.versions.len() > 1;
+        too_many_versions || too_many_changes
     }
 
-    /// The versions that are remembered, oldest first.
+    /// The versions kept, oldest first.
     pub fn versions(&self) -> impl DoubleEndedIterator<Item = &Version> {
         self.versions.iter()
     }
 
-    /// What changed after one version up to and with another; none where the steps between are forgotten.
+    /// The changes from version `from` to version `to`, by endpoint name; `None` if a version between them is no
+    /// longer kept, or if there is no such version.
     pub fn between(&self, from: u64, to: u64) -> Option<BTreeMap<Arc<str>, Change>> {
-        let first = self.versions.front()?.number;
-        let last = self.versions.back()?.number;
-        if from + 1 < first || to > last || from > to {
+        let oldest = self.versions.front()?.number;
+        let latest = self.versions.back()?.number;
+        if from + 1 < oldest || to > latest || from > to {
             return None;
         }
-        let mut all: BTreeMap<Arc<str>, Change> = BTreeMap::new();
-        for version in self.versions.iter().filter(|v| v.number > from && v.number <= to) {
+        let mut combined: BTreeMap<Arc<str>, Change> = BTreeMap::new();
+        for version in &self.versions {
+            if version.number <= from || version.number > to {
+                continue;
+            }
             for (name, change) in &version.changes {
-                let whole = all.entry(name.clone()).or_insert_with(|| change.clone());
-                whole.after = change.after.clone();
+                combined
+                    .entry(name.clone())
+                    .and_modify(|earlier| earlier.after.clone_from(&change.after))
+                    .or_insert_with(|| change.clone());
             }
         }
-        all.retain(|_, change| change.before != change.after);
-        Some(all)
+        combined.retain(|_, change| change.before != change.after);
+        Some(combined)
     }
 }
--- a/src/endpoints/merge.rs
+++ b/src/endpoints/merge.rs
@@ -1,192 +1,189 @@
-//! Precedence: one node from what all sources say of it, and where each field comes from.
+//! Precedence: merges what all sources state about one endpoint name.
 //!
-//! - Discovery's word that a node is gone stands over everything, until discovery lists it again.
-//! - A drain in any source drains.
-//! - Any other field comes from the strongest source that states it: discovery, then the list known at the start,
-//!   then the files from the last to the first.
-//! - A node needs an address and a cell from somewhere, and a source that is not partial to name it.
-
-use super::record::{EndpointRecord, FileList, SourceLocation};
-use super::{Endpoint, EndpointState, Millis, SourceId};
+//! The rules, in the order in which they apply:
+//!
+//! 1. An endpoint that discovery removed is gone, whatever the files state, until discovery lists it again
+//!    (applied by [`Sources`](super::sources::Sources), before merging).
+//! 2. An endpoint exists if discovery, the list known at the start, or a file that is not partial names it.
+//! 3. If any source, a list held back included, states that it is draining, it is draining.
+//! 4. Each other field comes from the source of highest precedence that states it: discovery, then the list known at
+//!    the start, then the files from the last to the first.
+//! 5. Without an address or a cell from any source there is no endpoint. A missing zone is empty, a missing weight 1,
+//!    a missing state ready, a missing start time 0.
+
+use super::record::{EndpointRecord, SourceLocation, Sourced};
+use super::{Endpoint, EndpointState, FieldName, Millis, Origin, Provenance, SourceId};
 use std::sync::Arc;
 
-/// A field of a node.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum FieldName {
-    /// Where it listens.
-    Address,
-    /// Its zone.
-    Zone,
-    /// Its cell.
-    Cell,
-    /// Its size.
-    Weight,
-    /// Its state.
-    State,
-    /// Its last start.
-    Started,
-}
-
-/// Where a value comes from.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Origin {
-    /// Who says it.
-    pub source: SourceId,
-    /// Where, if in a file.
-    pub location: SourceLocation,
-}
-
-/// The origin of each field that some source states.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct Provenance(pub Vec<(FieldName, Origin)>);
-
-impl Provenance {
-    /// Where a field comes from; none for a default.
-    pub fn of(&self, field: FieldName) -> Option<Origin> {
-        self.0.iter().find(|(name, _)| *name == field).map(|(_, origin)| *origin)
-    }
-}
-
-/// A node as all sources together give it.
+/// An endpoint as merged from all sources.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MergedEndpoint {
-    /// What the core goes by.
+    /// The endpoint.
     pub entry: Endpoint,
-    /// Why.
+    /// The origin of each of its fields.
     pub provenance: Provenance,
 }
 
-/// What a source has about one name.
+/// What one source states about an endpoint name.
 pub(super) enum Statement<'a> {
-    /// Discovery or the known list: a whole entry.
-    Whole(SourceId, &'a Endpoint),
-    /// A file that may name nodes.
-    File(u16, &'a EndpointRecord),
-    /// A file that only adds to nodes others name.
-    Partial(u16, &'a EndpointRecord),
-    /// A list that is held back: its drains count, nothing else does.
-    Held(u16, &'a EndpointRecord),
+    /// A complete entry, from discovery or the list known at the start.
+    Entry { source: SourceId, endpoint: &'a Endpoint },
+    /// A record of a file's applied list. A partial file only adds to endpoints that another source names.
+    Record { file: u16, record: &'a EndpointRecord, partial: bool },
+    /// A record of a file's list held back: only its draining state counts.
+    HeldBackRecord { file: u16, record: &'a EndpointRecord },
 }
 
-/// The statements that a file's taken and held lists make about a name.
-pub(super) fn of_file<'a>(
-    number: u16,
-    taken: Option<&'a FileList>,
-    held: Option<&'a FileList>,
-    name: &str,
-) -> impl Iterator<Item = Statement<'a>> {
-    let said = taken.and_then(|list| Some((list, list.get(name)?)));
-    let said = said.map(|(list, record)| match list.partial {
-        true => Statement::Partial(number, record),
-        false => Statement::File(number, record),
-    });
-    let held = held.and_then(|list| list.get(name)).map(|record| Statement::Held(number, record));
-    said.into_iter().chain(held)
+impl Statement<'_> {
+    fn names_endpoint(&self) -> bool {
+        match self {
+            Self::Entry { .. } => true,
+            Self::Record { partial, .. } => !partial,
+            Self::HeldBackRecord { .. } => false,
+        }
+    }
+
+    /// The origin of the draining state, if that is what it states.
+    fn draining_origin(&self) -> Option<Origin> {
+        match self {
+            Self::Entry { source, endpoint } => {
+                (endpoint.state == EndpointState::Draining).then_some(Origin::of_entry(*source))
+            }
+            Self::Record { file, record, .. } | Self::HeldBackRecord { file, record } => {
+                let state = record.state.as_ref().filter(|_| record.is_draining())?;
+                Some(Origin::in_file(*file, state.location))
+            }
+        }
+    }
+}
+
+impl Origin {
+    fn of_entry(source: SourceId) -> Self {
+        Origin { source, location: SourceLocation::default() }
+    }
+
+    fn in_file(file: u16, location: SourceLocation) -> Self {
+        Origin { source: SourceId::File(file), location }
+    }
 }
 
-/// One node from statements in rising precedence; none where nobody names it or it cannot be reached.
+/// Merges statements in ascending order of precedence; `None` if there is no such endpoint.
 pub(super) fn merge(name: &Arc<str>, statements: &[Statement<'_>]) -> Option<MergedEndpoint> {
-    if !statements.iter().any(|s| matches!(s, Statement::Whole(..) | Statement::File(..))) {
+    if !statements.iter().any(Statement::names_endpoint) {
         return None;
     }
     let mut fields = Fields::default();
-    let mut drained = None;
+    let mut draining_origin = None;
     for statement in statements {
         match statement {
-            Statement::Whole(source, e) => {
-                let origin = Origin { source: *source, location: SourceLocation::default() };
-                fields.address.set(Some(&e.address), origin);
-                // An empty zone says nothing.
-                fields.zone.set(Some(&e.zone).filter(|z| !z.is_empty()), origin);
-                fields.cell.set(Some(&e.cell), origin);
-                fields.weight.set(Some(&e.weight), origin);
-                fields.state.set(Some(&e.state), origin);
-                // 0 is long ago or unknown: a file may know better.
-                fields.started.set(Some(&e.started_at_unix).filter(|t| **t > 0.0), origin);
-                if e.state == EndpointState::Draining {
-                    drained = Some(origin);
-                }
-            }
-            Statement::File(file, r) | Statement::Partial(file, r) => {
-                let origin = |at: SourceLocation| Origin { source: SourceId::File(*file), location: at };
-                fields.address.take(&r.address, origin);
-                fields.zone.take(&r.zone, origin);
-                fields.cell.take(&r.cell, origin);
-                fields.weight.take(&r.weight, origin);
-                fields.state.take(&r.state, origin);
-                fields.started.take(&r.started_at_unix, origin);
-                if let Some(state) = r.state.as_ref().filter(|_| r.is_draining()) {
-                    drained = Some(origin(state.location));
-                }
-            }
-            Statement::Held(file, r) => {
-                if let Some(state) = r.state.as_ref().filter(|_| r.is_draining()) {
-                    drained = Some(Origin { source: SourceId::File(*file), location: state.location });
-                }
-            }
+            Statement::Entry { source, endpoint } => fields.set_from_entry(*source, endpoint),
+            Statement::Record { file, record, .. } => fields.set_from_record(*file, record),
+            Statement::HeldBackRecord { .. } => {}
         }
+        draining_origin = statement.draining_origin().or(draining_origin);
+    }
+    if let Some(origin) = draining_origin {
+        fields.state.set(&EndpointState::Draining, origin);
     }
-    if let Some(origin) = drained {
-        fields.state.0 = Some((EndpointState::Draining, origin));
-    }
-    let entry = Endpoint {
-        name: name.clone(),
-        address: fields.address.value()?,
-        zone: fields.zone.value().unwrap_or_else(|| "".into()),
-        cell: fields.cell.value()?,
-        weight: fields.weight.value().unwrap_or(1.0),
-        state: fields.state.value().unwrap_or(EndpointState::Ready),
-        started_at_unix: fields.started.value().unwrap_or(0.0),
-    };
-    let origins = [
-        (FieldName::Address, fields.address.origin()),
-        (FieldName::Zone, fields.zone.origin()),
-        (FieldName::Cell, fields.cell.origin()),
-        (FieldName::Weight, fields.weight.origin()),
-        (FieldName::State, fields.state.origin()),
-        (FieldName::Started, fields.started.origin()),
-    ];
-    let provenance = Provenance(origins.into_iter().filter_map(|(f, o)| Some((f, o?))).collect());
+    let provenance = fields.provenance();
+    let entry = fields.into_endpoint(name)?;
     Some(MergedEndpoint { entry, provenance })
 }
 
-/// The strongest value of a field so far.
-struct Strongest<T>(Option<(T, Origin)>);
+/// The fields of an endpoint, each as the statement of highest precedence so far gives it.
+#[derive(Default)]
+struct Fields {
+    address: Field<Arc<str>>,
+    zone: Field<Arc<str>>,
+    cell: Field<u32>,
+    weight: Field<f64>,
+    state: Field<EndpointState>,
+    started_at_unix: Field<Millis>,
+}
 
-impl<T> Default for Strongest<T> {
-    fn default() -> Self {
-        Strongest(None)
+impl Fields {
+    fn set_from_entry(&mut self, source: SourceId, endpoint: &Endpoint) {
+        let origin = Origin::of_entry(source);
+        self.address.set(&endpoint.address, origin);
+        // An empty zone is an unknown one.
+        if !endpoint.zone.is_empty() {
+            self.zone.set(&endpoint.zone, origin);
+        }
+        self.cell.set(&endpoint.cell, origin);
+        self.weight.set(&endpoint.weight, origin);
+        self.state.set(&endpoint.state, origin);
+        // 0 is long ago or unknown: a file may state the time.
+        if endpoint.started_at_unix > 0.0 {
+            self.started_at_unix.set(&endpoint.started_at_unix, origin);
+        }
+    }
+
+    fn set_from_record(&mut self, file: u16, record: &EndpointRecord) {
+        self.address.set_from_file(file, record.address.as_ref());
+        self.zone.set_from_file(file, record.zone.as_ref());
+        self.cell.set_from_file(file, record.cell.as_ref());
+        self.weight.set_from_file(file, record.weight.as_ref());
+        self.state.set_from_file(file, record.state.as_ref());
+        self.started_at_unix.set_from_file(file, record.started_at_unix.as_ref());
+    }
+
+    fn provenance(&self) -> Provenance {
+        let mut provenance = Provenance::default();
+        provenance.record(FieldName::Address, self.address.origin());
+        provenance.record(FieldName::Zone, self.zone.origin());
+        provenance.record(FieldName::Cell, self.cell.origin());
+        provenance.record(FieldName::Weight, self.weight.origin());
+        provenance.record(FieldName::State, self.state.origin());
+        provenance.record(FieldName::StartedAt, self.started_at_unix.origin());
+        provenance
+    }
+
+    /// The endpoint; `None` without an address or a cell.
+    fn into_endpoint(self, name: &Arc<str>) -> Option<Endpoint> {
+        Some(Endpoint {
+            name: name.clone(),
+            address: self.address.into_value()?,
+            zone: self.zone.into_value().unwrap_or_else(|| "".into()),
+            cell: self.cell.into_value()?,
+            weight: self.weight.into_value().unwrap_or(1.0),
+            state: self.state.into_value().unwrap_or(EndpointState::Ready),
+            started_at_unix: self.started_at_unix.into_value().unwrap_or(0.0),
+        })
     }
 }
 
-impl<T: Clone> Strongest<T> {
-    fn set(&mut self, value: Option<&T>, origin: Origin) {
-        if let Some(value) = value {
-            self.0 = Some((value.clone(), origin));
-        }
+/// A value and its origin, once some source states it; a later statement replaces an earlier one.
+struct Field<T> {
+    stated: Option<Stated<T>>,
+}
+
+struct Stated<T> {
+    value: T,
+    origin: Origin,
+}
+
+impl<T> Default for Field<T> {
+    fn default() -> Self {
+        Field { stated: None }
     }
+}
 
-    fn take(&mut self, said: &Option<super::Sourced<T>>, origin: impl Fn(SourceLocation) -> Origin) {
-        if let Some(said) = said {
-            self.0 = Some((said.value.clone(), origin(said.location)));
-        }
+impl<T: Clone> Field<T> {
+    fn set(&mut self, value: &T, origin: Origin) {
+        self.stated = Some(Stated { value: value.clone(), origin });
     }
 
-    fn value(&self) -> Option<T> {
-        self.0.as_ref().map(|(value, _)| value.clone())
+    fn set_from_file(&mut self, file: u16, sourced: Option<&Sourced<T>>) {
+        if let Some(sourced) = sourced {
+            self.set(&sourced.value, Origin::in_file(file, sourced.location));
+        }
     }
 
     fn origin(&self) -> Option<Origin> {
-        self.0.as_ref().map(|(_, origin)| *origin)
+        self.stated.as_ref().map(|stated| stated.origin)
     }
-}
 
-#[derive(Default)]
-struct Fields {
-    address: Strongest<Arc<str>>,
-    zone: Strongest<Arc<str>>,
-    cell: Strongest<u32>,
-    weight: Strongest<f64>,
-    state: Strongest<EndpointState>,
-    started: Strongest<Millis>,
+    fn into_value(self) -> Option<T> {
+        self.stated.map(|stated| stated.value)
+    }
 }
--- a/src/endpoints/mod.rs
+++ b/src/endpoints/mod.rs
@@ -1,38 +1,61 @@
-//! Membership: which nodes there are, by several sources, and when a new list may take effect. Sans-IO.
+//! Lists of leaf servers: where they come from, how they are merged, and when a new list takes effect. Sans-IO.
 //!
-//! It promises the core one list of nodes at any time, and to the operators the reason for each field of it. What
-//! discovery says takes effect at once, as the platform's rules want. What a file says passes the guard: a list
-//! that is empty, loses too much at once or ends within a line is held back, and the last good one stands until the
-//! new one is confirmed; its drains are taken all the same. It never reads a file, a socket or a clock.
+//! - [`EndpointRegistry`] holds all sources: the list known at the start, discovery, and the inventory files. The
+//!   aggregator feeds it [`Input`]s and carries out its [`Output`]s; the `inventory plan` command asks it for a
+//!   [`Plan`].
+//! - Discovery's lists take effect at once. A file's list passes the guard first: a list that is empty, removes too
+//!   many endpoints at once or is truncated within a line is held back. The applied list then stays in force until
+//!   the new one is confirmed; draining states of a list held back take effect all the same.
+//! - For each field of each endpoint the registry knows the source that gave it ([`Provenance`]).
+//! - [`FilePoller`] and [`DiscoveryTiming`] decide when a file is read and when discovery is asked. The threads and
+//!   tasks that do so live in `net`.
+//!
+//! Nothing here opens a file or a socket, and nothing reads a clock: times are arguments.
 
+mod audit;
+mod discovery_source;
 mod discovery_timing;
+mod effective;
 mod endpoint;
 mod file_polling;
+mod file_source;
 mod guard;
 mod history;
+mod input;
+mod layout;
 mod merge;
+mod output;
 mod overrides;
+mod plan;
+mod provenance;
 mod record;
-mod state;
+mod registry;
+mod sources;
 
+pub use audit::AuditEvent;
 pub use discovery_timing::DiscoveryTiming;
 pub use endpoint::{Endpoint, EndpointList, EndpointState};
 pub use file_polling::{FileCheck, FilePoller, PollDecision};
-pub use guard::{GuardSettings, HoldReason, Layout, Loss};
+pub use guard::{GuardSettings, HoldReason, Loss};
 pub use history::{Change, Difference, History, Version};
-pub use merge::{FieldName, MergedEndpoint, Origin, Provenance};
+pub use input::Input;
+pub use layout::Layout;
+pub use merge::MergedEndpoint;
+pub use output::Output;
 pub use overrides::Override;
+pub use plan::Plan;
+pub use provenance::{FieldName, Origin, Provenance};
 pub use record::{EndpointRecord, FileList, SourceLocation, Sourced, Summary, clashes};
-pub use state::{AuditEvent, EndpointRegistry, Input, Output, Plan};
+pub use registry::EndpointRegistry;
 
 pub use crate::clock::Millis;
 
-/// Who says something about nodes; a later one in this order stands over an earlier one.
+/// A source of endpoints, in ascending order of precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum SourceId {
-    /// An inventory file, by its place in the operator's list: later files stand over earlier ones.
+    /// An inventory file, by its index in the operator's list; later files take precedence over earlier ones.
     File(u16),
-    /// The list known at the start, until discovery has named the node.
+    /// The list known at the start, until discovery lists the endpoint.
     Known,
     /// Discovery.
     Discovery,
--- a/src/endpoints/record.rs
+++ b/src/endpoints/record.rs
@@ -1,54 +1,56 @@
-//! What one inventory file says about nodes: fields that may be absent, each with the place where it stands.
+//! What one inventory file states about endpoints: fields that may be absent, each with its place in the file.
 
 use super::{EndpointState, Millis};
+use std::cmp::Ordering;
 use std::collections::HashMap;
+use std::collections::hash_map::Entry;
 use std::sync::Arc;
 
-/// Where something stands.
+/// A place in an inventory.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SourceLocation {
-    /// The file, by its number in [`FileList::files`].
+    /// The file, as an index into [`FileList::files`].
     pub file: u16,
-    /// The line, from 1.
+    /// The line, counted from 1.
     pub line: u32,
 }
 
-/// A value and where it stands.
+/// A value and its place.
 #[derive(Clone, Debug)]
 pub struct Sourced<T> {
     /// The value.
     pub value: T,
-    /// Its place.
+    /// Where it is stated.
     pub location: SourceLocation,
 }
 
-/// What a file says about one node.
+/// What a file states about one endpoint.
 #[derive(Clone, Debug)]
 pub struct EndpointRecord {
-    /// The node's name.
+    /// The endpoint's name.
     pub name: Arc<str>,
     /// Where it is named.
     pub location: SourceLocation,
-    /// Where it listens, a Flight location included.
+    /// The address it listens at; may be a Flight location.
     pub address: Option<Sourced<Arc<str>>>,
     /// Its zone.
     pub zone: Option<Sourced<Arc<str>>>,
     /// Its cell.
     pub cell: Option<Sourced<u32>>,
-    /// Its size.
+    /// Its relative capacity.
     pub weight: Option<Sourced<f64>>,
-    /// Its state, ready or draining.
+    /// Its state: ready or draining, never gone.
     pub state: Option<Sourced<EndpointState>>,
-    /// Unix time of its last start.
+    /// Unix time of its last start, in milliseconds.
     pub started_at_unix: Option<Sourced<Millis>>,
 }
 
 impl EndpointRecord {
-    /// A record that names a node and says nothing else.
-    pub fn named(name: &str, at: SourceLocation) -> Self {
+    /// A record that names an endpoint and states nothing else.
+    pub fn named(name: &str, location: SourceLocation) -> Self {
         EndpointRecord {
             name: name.into(),
-            location: at,
+            location,
             address: None,
             zone: None,
             cell: None,
@@ -58,98 +60,110 @@
         }
     }
 
-    /// Does it say that the node drains?
+    /// Whether it states that the endpoint is draining.
     pub fn is_draining(&self) -> bool {
-        self.state.as_ref().is_some_and(|s| s.value == EndpointState::Draining)
+        self.state.as_ref().is_some_and(|state| state.value == EndpointState::Draining)
     }
 
-    /// Do both say the same, wherever it stands?
+    /// Whether both records state the same, wherever they stand.
     pub fn states_same_as(&self, other: &EndpointRecord) -> bool {
-        fn same<T: PartialEq>(a: &Option<Sourced<T>>, b: &Option<Sourced<T>>) -> bool {
-            a.as_ref().map(|s| &s.value) == b.as_ref().map(|s| &s.value)
-        }
         self.name == other.name
-            && same(&self.address, &other.address)
-            && same(&self.zone, &other.zone)
-            && same(&self.cell, &other.cell)
-            && same(&self.weight, &other.weight)
-            && same(&self.state, &other.state)
-            && same(&self.started_at_unix, &other.started_at_unix)
+            && same_value(&self.address, &other.address)
+            && same_value(&self.zone, &other.zone)
+            && same_value(&self.cell, &other.cell)
+            && same_value(&self.weight, &other.weight)
+            && same_value(&self.state, &other.state)
+            && same_value(&self.started_at_unix, &other.started_at_unix)
     }
 }
 
-/// An inventory as read whole: its records are sorted by name, each name once.
+fn same_value<T: PartialEq>(left: &Option<Sourced<T>>, right: &Option<Sourced<T>>) -> bool {
+    left.as_ref().map(|sourced| &sourced.value) == right.as_ref().map(|sourced| &sourced.value)
+}
+
+/// The list that one inventory gives; made by `inventory::read`.
 #[derive(Clone, Debug, Default)]
 pub struct FileList {
-    /// The records.
+    /// The records, sorted by name, with each name once.
     pub records: Vec<EndpointRecord>,
-    /// The files that were read for it, as operators know them.
+    /// The names of the files that were read for it, as operators know them.
     pub files: Vec<Arc<str>>,
-    /// Names the content: the start of a SHA-256 in hex over all files.
+    /// Digest of the content: the first digits, in hex, of a SHA-256 over all files.
     pub digest: Arc<str>,
-    /// It ends within a line: its writer may not be done.
+    /// The file is truncated within a line: its writer may not have finished.
     pub ragged: bool,
-    /// It only adds to nodes that another source names.
+    /// The list only adds to endpoints that another source names.
     pub partial: bool,
 }
 
 impl FileList {
-    /// The record of a name.
+    /// The record of an endpoint.
     pub fn get(&self, name: &str) -> Option<&EndpointRecord> {
-        self.records.binary_search_by(|r| r.name.as_ref().cmp(name)).ok().map(|i| &self.records[i])
+        let index = self.records.binary_search_by(|record| record.name.as_ref().cmp(name)).ok()?;
+        Some(&self.records[index])
     }
 
-    /// The names of records that differ between two lists, in order; both are walked once.
+    /// The names, in order, of the records that differ between two lists. Walks both lists once.
     pub fn differing(&self, other: &FileList) -> Vec<Arc<str>> {
-        let (mut a, mut b) = (self.records.iter().peekable(), other.records.iter().peekable());
+        let mut left = self.records.iter().peekable();
+        let mut right = other.records.iter().peekable();
         let mut names = Vec::new();
         loop {
-            let order = match (a.peek(), b.peek()) {
+            let order = match (left.peek(), right.peek()) {
                 (None, None) => return names,
-                (Some(_), None) => std::cmp::Ordering::Less,
-                (None, Some(_)) => std::cmp::Ordering::Greater,
-                (Some(a), Some(b)) => a.name.cmp(&b.name),
+                (Some(_), None) => Ordering::Less,
+                (None, Some(_)) => Ordering::Greater,
+                (Some(left), Some(right)) => left.name.cmp(&right.name),
             };
-            let (left, right) = (a.next_if(|_| order.is_le()), b.next_if(|_| order.is_ge()));
-            match (left, right) {
+            let from_left = left.next_if(|_| order.is_le());
+            let from_right = right.next_if(|_| order.is_ge());
+            match (from_left, from_right) {
                 (Some(left), Some(right)) if left.states_same_as(right) => {}
-                (Some(named), _) | (None, Some(named)) => names.push(named.name.clone()),
+                (Some(record), _) | (None, Some(record)) => names.push(record.name.clone()),
                 (None, None) => return names,
             }
         }
     }
 
-    /// How much it holds, for the log.
+    /// The names of the endpoints that it states to be draining.
+    pub(super) fn draining_names(&self) -> impl Iterator<Item = Arc<str>> {
+        self.records.iter().filter(|record| record.is_draining()).map(|record| record.name.clone())
+    }
+
+    /// Counts of the list, for the log and the command line.
     pub fn summary(&self) -> Summary {
-        let draining = self.records.iter().filter(|r| r.is_draining()).count();
+        let draining = self.records.iter().filter(|record| record.is_draining()).count();
         Summary { nodes: self.records.len(), draining }
     }
 
-    /// The file of a place.
-    pub fn file(&self, at: SourceLocation) -> &str {
-        self.files.get(usize::from(at.file)).map_or("", |f| f)
+    /// The name of the file of a place; empty if there is none.
+    pub fn file(&self, location: SourceLocation) -> &str {
+        self.files.get(usize::from(location.file)).map_or("", |file| file)
     }
 }
 
 /// Counts of a list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Summary {
-    /// Nodes named.
+    /// Endpoints named.
     pub nodes: usize,
-    /// Those that drain.
+    /// Those that are draining.
     pub draining: usize,
 }
 
-/// Pairs of records that give two names to one address: the load of one machine would be counted as that of two.
+/// Pairs of records that give one address under two names, where the load of one leaf server would count as that of
+/// two. Each pair has the first record of the address, then the later one.
 pub fn clashes(records: &[EndpointRecord]) -> Vec<(&EndpointRecord, &EndpointRecord)> {
-    let mut first: HashMap<&str, &EndpointRecord> = HashMap::with_capacity(records.len());
-    let mut found = Vec::new();
-    for r in records {
-        let Some(address) = &r.address else { continue };
-        match first.entry(&address.value) {
-            std::collections::hash_map::Entry::Occupied(held) => found.push((*held.get(), r)),
-            std::collections::hash_map::Entry::Vacant(free) => drop(free.insert(r)),
+    let mut first_by_address: HashMap<&str, &EndpointRecord> = HashMap::with_capacity(records.len());
+    let mut pairs = Vec::new();
+    for record in records {
+        let Some(address) = &record.address else { continue };
+        match first_by_address.entry(&address.value) {
+            Entry::Occupied(first) => pairs.push((*first.get(), record)),
+            Entry::Vacant(vacant) => {
+                vacant.insert(record);
+            }
         }
     }
-    found
+    pairs
 }
--- /dev/null
+++ b/src/endpoints/registry.rs
@@ -0,0 +1,325 @@
+//! The registry of endpoints: takes in what the sources report and decides which list is in force.
+
+use super::effective::EffectiveEndpoints;
+use super::file_source::FileSource;
+use super::guard::{GuardSettings, ListGuard};
+use super::history::{Change, Difference, History, Version};
+use super::layout::Layout;
+use super::merge::MergedEndpoint;
+use super::overrides::EndpointOverrides;
+use super::plan::{Plan, plan};
+use super::record::FileList;
+use super::sources::Sources;
+use super::{AuditEvent, Endpoint, EndpointList, EndpointState, Input, Millis, Output, Override, SourceId};
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
+
+/// The endpoints of all sources. Owned by the aggregator's state; also used by the command `inventory plan`.
+pub struct EndpointRegistry {
+    guard: ListGuard,
+    sources: Sources,
+    effective: EffectiveEndpoints,
+    history: History,
+    /// Number of the latest version in `history`; 0 before the first.
+    version: u64,
+    overrides: EndpointOverrides,
+}
+
+/// The endpoints that an input has changed.
+struct AppliedChanges {
+    /// As they are now, in order of names; removed ones with the state [`EndpointState::Gone`].
+    entries: Vec<Endpoint>,
+    difference: Difference,
+}
+
+impl EndpointRegistry {
+    /// A registry without sources, which come with [`Input::Started`].
+    pub fn new(layout: Layout, guard: GuardSettings) -> Self {
+        EndpointRegistry {
+            guard: ListGuard { layout, settings: guard },
+            sources: Sources::default(),
+            effective: EffectiveEndpoints::default(),
+            history: History::default(),
+            version: 0,
+            overrides: EndpointOverrides::default(),
+        }
+    }
+
+    /// Handles an input; appends its outputs in the order in which they are to be carried out.
+    pub fn handle(&mut self, now: Millis, input: Input, outputs: &mut Vec<Output>) {
+        let first_new = outputs.len();
+        match input {
+            Input::Started { known, files } => self.on_started(now, known, files, outputs),
+            Input::Discovery(list) => self.on_discovery(now, list, outputs),
+            Input::File(file, list) => self.on_file(now, file, list, outputs),
+            Input::FileRejected(file, problem) => {
+                let source = SourceId::File(file);
+                outputs.push(Output::Audit(AuditEvent::ListRejected { source, problem }));
+            }
+            Input::FileConfirmed(file, digest) => self.on_file_confirmed(now, file, digest, outputs),
+            Input::Layout(layout) => self.guard.layout = layout,
+            Input::Overrides(overrides) => self.on_overrides(overrides, outputs),
+            Input::Resend => outputs.push(Output::List(self.complete_list())),
+            Input::TimerFired => self.on_timer(now, outputs),
+        }
+        for output in &mut outputs[first_new..] {
+            if let Output::List(list) = output {
+                self.overrides.apply_to(&mut list.entries);
+            }
+        }
+    }
+
+    /// The endpoints in force, by name, without overrides.
+    pub fn endpoints(&self) -> BTreeMap<&Arc<str>, &MergedEndpoint> {
+        self.effective.sorted()
+    }
+
+    /// One endpoint in force, without overrides.
+    pub fn endpoint(&self, name: &str) -> Option<&MergedEndpoint> {
+        self.effective.get(name)
+    }
+
+    /// The last versions of the list.
+    pub fn history(&self) -> &History {
+        &self.history
+    }
+
+    /// The list held back for a file.
+    pub fn held_back(&self, file: u16) -> Option<&Arc<FileList>> {
+        self.sources.file(file)?.held_back()
+    }
+
+    /// What applying a list for a file would do; changes nothing.
+    pub fn plan(&self, file: u16, list: &FileList) -> Plan {
+        plan(&self.sources, &self.effective, &self.guard, file, list)
+    }
+
+    fn complete_list(&self) -> EndpointList {
+        let entries = self.endpoints().into_values().map(|merged| merged.entry.clone()).collect();
+        EndpointList { generation: self.version, complete: true, entries }
+    }
+
+    fn on_started(
+        &mut self,
+        now: Millis,
+        known: Option<EndpointList>,
+        files: Vec<Arc<FileList>>,
+        outputs: &mut Vec<Output>,
+    ) {
+        let source = if files.is_empty() { SourceId::Known } else { SourceId::File(0) };
+        let generation = known.as_ref().map_or(1, |list| list.generation);
+        self.sources.files = files.iter().cloned().map(FileSource::new).collect();
+        if let Some(known) = known {
+            self.sources.discovery.add_known(known.entries);
+        }
+        let mut names: BTreeSet<Arc<str>> = self.sources.discovery.names().cloned().collect();
+        for list in &files {
+            names.extend(list.records.iter().map(|record| record.name.clone()));
+        }
+        let applied = self.apply_sources(now, source, names, outputs);
+        for (index, list) in files.iter().enumerate() {
+            let summary = list.summary();
+            outputs.push(Output::Audit(AuditEvent::ListApplied {
+                source: SourceId::File(index as u16),
+                digest: list.digest.clone(),
+                summary,
+                difference: Difference { added: summary.nodes, ..Difference::default() },
+                confirmed: false,
+            }));
+        }
+        outputs.push(Output::List(EndpointList { generation, complete: true, entries: applied.entries }));
+    }
+
+    /// Discovery's lists are never held back: the platform counts a change from the moment it was announced.
+    fn on_discovery(&mut self, now: Millis, list: EndpointList, outputs: &mut Vec<Output>) {
+        let has_files = !self.sources.files.is_empty();
+        let names = self.sources.discovery.update(&list, has_files);
+        let applied = self.apply_sources(now, SourceId::Discovery, names, outputs);
+        outputs.push(Output::Audit(AuditEvent::DiscoveryApplied {
+            generation: list.generation,
+            complete: list.complete,
+            nodes: self.effective.len(),
+            difference: applied.difference,
+        }));
+        if !has_files {
+            // Discovery as the only source is passed on unchanged.
+            outputs.push(Output::List(list));
+        } else if !applied.entries.is_empty() {
+            let generation = list.generation;
+            outputs.push(Output::List(EndpointList {
+                generation,
+                complete: false,
+                entries: applied.entries,
+            }));
+        }
+    }
+
+    fn on_file(&mut self, now: Millis, file: u16, list: Arc<FileList>, outputs: &mut Vec<Output>) {
+        let source = SourceId::File(file);
+        let Some(file_source) = self.sources.file(file) else { return };
+        if file_source.held_back_with(&list.digest).is_some() {
+            return;
+        }
+        if file_source.applied().digest == list.digest {
+            self.withdraw_held_back(now, file, outputs);
+            return;
+        }
+        if let Some(problem) = cell_out_of_range(&list, self.guard.layout.cells) {
+            outputs.push(Output::Audit(AuditEvent::ListRejected { source, problem }));
+            return;
+        }
+        let plan = self.plan(file, &list);
+        let Some(reason) = plan.hold else {
+            self.apply_list(now, file, list, plan, false, outputs);
+            return;
+        };
+        let digest = list.digest.clone();
+        if let Some(file_source) = self.sources.file_mut(file) {
+            file_source.hold_back(list, now);
+        }
+        self.send_changes(now, source, plan.changed_names, outputs);
+        let difference = plan.difference;
+        outputs.push(Output::Audit(AuditEvent::ListHeldBack { source, digest, reason, difference }));
+        if let Some(confirm_after) = self.guard.settings.confirm_after {
+            outputs.push(Output::SetTimer(now + confirm_after));
+        }
+    }
+
+    fn withdraw_held_back(&mut self, now: Millis, file: u16, outputs: &mut Vec<Output>) {
+        let source = SourceId::File(file);
+        let Some(list) = self.sources.file_mut(file).and_then(FileSource::withdraw) else { return };
+        self.send_changes(now, source, list.draining_names().collect(), outputs);
+        outputs.push(Output::Audit(AuditEvent::HeldListWithdrawn { source }));
+    }
+
+    fn apply_list(
+        &mut self,
+        now: Millis,
+        file: u16,
+        list: Arc<FileList>,
+        plan: Plan,
+        confirmed: bool,
+        outputs: &mut Vec<Output>,
+    ) {
+        let source = SourceId::File(file);
+        let digest = list.digest.clone();
+        let summary = list.summary();
+        if let Some(file_source) = self.sources.file_mut(file) {
+            file_source.apply(list);
+        }
+        self.send_changes(now, source, plan.changed_names, outputs);
+        let difference = plan.difference;
+        outputs.push(Output::Audit(AuditEvent::ListApplied {
+            source,
+            digest,
+            summary,
+            difference,
+            confirmed,
+        }));
+    }
+
+    fn on_file_confirmed(&mut self, now: Millis, file: u16, digest: Arc<str>, outputs: &mut Vec<Output>) {
+        let held_back = self.sources.file(file).and_then(|source| source.held_back_with(&digest)).cloned();
+        let Some(list) = held_back else {
+            let source = SourceId::File(file);
+            outputs.push(Output::Audit(AuditEvent::ConfirmationUnmatched { source, digest }));
+            return;
+        };
+        let plan = self.plan(file, &list);
+        self.apply_list(now, file, list, plan, true, outputs);
+    }
+
+    fn on_timer(&mut self, now: Millis, outputs: &mut Vec<Output>) {
+        let Some(confirm_after) = self.guard.settings.confirm_after else { return };
+        for index in 0..self.sources.files.len() {
+            let due = self.sources.files[index].held_back_for(confirm_after, now);
+            if let Some(digest) = due.map(|list| list.digest.clone()) {
+                self.on_file_confirmed(now, index as u16, digest, outputs);
+            }
+        }
+    }
+
+    fn on_overrides(&mut self, overrides: BTreeMap<Arc<str>, Override>, outputs: &mut Vec<Output>) {
+        let mut entries = Vec::new();
+        for change in self.overrides.replace(overrides) {
+            entries.extend(self.effective.get(&change.name).map(|merged| merged.entry.clone()));
+            if change.was_active != change.is_active {
+                let (name, active) = (change.name, change.is_active);
+                outputs.push(Output::Audit(AuditEvent::OverrideChanged { name, active }));
+            }
+        }
+        self.push_changes(entries, outputs);
+    }
+
+    /// Merges some names again and sends what has changed.
+    fn send_changes(
+        &mut self,
+        now: Millis,
+        source: SourceId,
+        names: BTreeSet<Arc<str>>,
+        outputs: &mut Vec<Output>,
+    ) {
+        let applied = self.apply_sources(now, source, names, outputs);
+        self.push_changes(applied.entries, outputs);
+    }
+
+    fn push_changes(&self, entries: Vec<Endpoint>, outputs: &mut Vec<Output>) {
+        if !entries.is_empty() {
+            outputs.push(Output::List(EndpointList { generation: self.version, complete: false, entries }));
+        }
+    }
+
+    /// Merges some names again; if an endpoint has changed, that is a new version of the list.
+    fn apply_sources(
+        &mut self,
+        now: Millis,
+        source: SourceId,
+        names: BTreeSet<Arc<str>>,
+        outputs: &mut Vec<Output>,
+    ) -> AppliedChanges {
+        let mut entries = Vec::new();
+        let mut changes = BTreeMap::new();
+        for name in names {
+            let merged = self.sources.merged(&name);
+            let after = merged.as_ref().map(|merged| merged.entry.clone());
+            let replaced = self.effective.replace(&name, merged);
+            if let Some(endpoint) = &after
+                && replaced.joined_shared_address
+                && !self.sources.files.is_empty()
+            {
+                let address = endpoint.address.clone();
+                outputs.push(Output::Audit(AuditEvent::SharedAddress { address, name: name.clone() }));
+            }
+            let before = replaced.before.map(|merged| merged.entry);
+            if before == after {
+                continue;
+            }
+            if let Some(endpoint) = &after {
+                entries.push(endpoint.clone());
+            } else if let Some(endpoint) = &before {
+                entries.push(Endpoint { state: EndpointState::Gone, ..endpoint.clone() });
+            }
+            changes.insert(name, Change { before, after });
+        }
+        let difference = Difference::of(changes.values());
+        if !changes.is_empty() {
+            self.version += 1;
+            let nodes = self.effective.len();
+            self.history.push(Version { number: self.version, at: now, source, nodes, changes });
+        }
+        AppliedChanges { entries, difference }
+    }
+}
+
+/// The problem of the first record whose cell does not exist.
+fn cell_out_of_range(list: &FileList, cells: u32) -> Option<String> {
+    for record in &list.records {
+        let Some(cell) = &record.cell else { continue };
+        if cell.value >= cells {
+            let file = list.file(cell.location);
+            let line = cell.location.line;
+            return Some(format!("{file}:{line}: {}.cell: {} is not below {cells}", record.name, cell.value));
+        }
+    }
+    None
+}
--- a/src/hot_restart/overrides.rs
+++ b/src/hot_restart/overrides.rs
@@ -1,5 +1,5 @@
-//! The operators' orders as records that merge: of each subject the later order stands, at the same time the one that
-//! takes it out. So it does not matter which process wrote what when, or how often it is read.
+//! Operators' overrides as records that merge without conflicts: for each subject the later override wins; of two
+//! given at the same time, the active one. The order and the number of merges between processes do not matter.
 
 use crate::clock::Millis;
 use crate::endpoints::Override;
@@ -8,19 +8,23 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Subjects under an order, at most: against a script that orders ever new names out.
+/// Most subjects with an override, which bounds the effect of a faulty script.
 pub const MAX_OVERRIDES: usize = 4096;
 
-/// What an order is about.
+/// Least time between two overrides of one subject, so that the later one wins although the clock may have stepped
+/// back between them.
+const MIN_OVERRIDE_INTERVAL: Millis = 1.0;
+
+/// What an override applies to.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum OverrideSubject {
-    /// The mixer: out is drained.
+    /// The aggregator itself: while active, it is draining.
     Aggregator,
-    /// An index node by its name: out is given nothing more.
+    /// A leaf server, by name: while active, it gets no new attempts.
     LeafServer(Arc<str>),
 }
 
-/// There are as many orders as there may be.
+/// The error of adding an override beyond [`MAX_OVERRIDES`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TooManyOverrides;
 
@@ -32,109 +36,113 @@
 
 impl std::error::Error for TooManyOverrides {}
 
-/// All orders that stand, by subject.
+/// All overrides, by subject.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Overrides {
-    records: BTreeMap<OverrideSubject, Override>,
+    by_subject: BTreeMap<OverrideSubject, Override>,
 }
 
 impl Overrides {
-    /// Takes an operator's order; whether it changes anything. An order to what it finds already is no change: two
-    /// calls out need one back. A later call stands over an earlier one whatever the clock did between them.
+    /// Records an operator's command at `now` (Unix milliseconds); returns whether it changes anything. A command that
+    /// asks for the present state changes nothing. A later command wins over an earlier one, even if the clock stepped
+    /// back between them.
     ///
     /// # Errors
-    /// No room for another subject.
+    /// [`TooManyOverrides`] if the subject is new and there is no space for it.
     pub fn give(
         &mut self,
         subject: OverrideSubject,
-        out: bool,
+        active: bool,
         now: Millis,
     ) -> Result<bool, TooManyOverrides> {
-        let full = self.records.len() >= MAX_OVERRIDES;
-        match self.records.entry(subject) {
-            Entry::Occupied(mut old) => {
-                let before = *old.get();
-                if before.active == out {
+        let full = self.is_full();
+        match self.by_subject.entry(subject) {
+            Entry::Occupied(mut occupied) => {
+                let previous = *occupied.get();
+                if previous.active == active {
                     return Ok(false);
                 }
-                let at = now.max(before.given_at + 1.0);
-                old.insert(Override {
-                    active: out,
-                    given_at: at,
-                    since: if out { at } else { before.since },
-                });
+                let given_at = now.max(previous.given_at + MIN_OVERRIDE_INTERVAL);
+                let since = if active { given_at } else { previous.since };
+                occupied.insert(Override { active, given_at, since });
                 Ok(true)
             }
-            Entry::Vacant(_) if !out => Ok(false),
+            Entry::Vacant(_) if !active => Ok(false),
             Entry::Vacant(_) if full => Err(TooManyOverrides),
-            Entry::Vacant(free) => {
-                free.insert(Override { active: out, given_at: now, since: now });
+            Entry::Vacant(vacant) => {
+                vacant.insert(Override { active, given_at: now, since: now });
                 Ok(true)
             }
         }
     }
 
-    /// Takes over what stands over the own orders; whether anything did. Beyond the bound the rest is left.
+    /// Adopts the overrides of another process that supersede the own ones; returns whether there were any. New
+    /// subjects beyond [`MAX_OVERRIDES`] are ignored.
     pub fn merge(&mut self, other: &Overrides) -> bool {
         let mut changed = false;
-        for (subject, order) in &other.records {
-            let full = self.records.len() >= MAX_OVERRIDES;
-            match self.records.entry(subject.clone()) {
-                Entry::Occupied(mut own) if order.stands_over(own.get()) => {
-                    own.insert(*order);
-                    changed = true;
-                }
-                Entry::Vacant(free) if !full => {
-                    free.insert(*order);
-                    changed = true;
-                }
-                _ => {}
-            }
+        for (subject, record) in &other.by_subject {
+            changed |= self.merge_one(subject, record);
         }
         changed
     }
 
-    /// Lets go of what has been back since before a time: nobody needs to know any more.
-    pub fn forget_before(&mut self, time: Millis) {
-        self.records.retain(|_, o| o.active || o.given_at >= time);
+    fn merge_one(&mut self, subject: &OverrideSubject, record: &Override) -> bool {
+        let full = self.is_full();
+        match self.by_subject.entry(subject.clone()) {
+            Entry::Occupied(mut own) if record.supersedes(own.get()) => {
+                own.insert(*record);
+                true
+            }
+            Entry::Vacant(vacant) if !full => {
+                vacant.insert(*record);
+                true
+            }
+            _ => false,
+        }
+    }
+
+    fn is_full(&self) -> bool {
+        self.by_subject.len() >= MAX_OVERRIDES
     }
 
-    /// The earliest time at which something now back was ordered so.
-    pub fn oldest_cancelled(&self) -> Option<Millis> {
-        self.records.values().filter(|o| !o.active).map(|o| o.given_at).reduce(f64::min)
+    /// Removes the inactive overrides given before a time: every process has seen them by then.
+    pub fn forget_before(&mut self, time: Millis) {
+        self.by_subject.retain(|_, record| record.active || record.given_at >= time);
     }
 
-    /// The order that stands for a subject.
+    /// The override of a subject.
     pub fn get(&self, subject: &OverrideSubject) -> Option<&Override> {
-        self.records.get(subject)
+        self.by_subject.get(subject)
     }
 
-    /// Is it out?
+    /// Whether a subject has an active override.
     pub fn is_active(&self, subject: &OverrideSubject) -> bool {
-        self.get(subject).is_some_and(|o| o.active)
+        self.get(subject).is_some_and(|record| record.active)
     }
 
-    /// All of them.
+    /// All overrides, in order of subjects.
     pub fn iter(&self) -> impl Iterator<Item = (&OverrideSubject, &Override)> {
-        self.records.iter()
+        self.by_subject.iter()
     }
 
-    /// Those about nodes.
+    /// The overrides of leaf servers, by name.
     pub fn leaf_servers(&self) -> BTreeMap<Arc<str>, Override> {
-        let node = |(subject, order): (&OverrideSubject, &Override)| match subject {
-            OverrideSubject::LeafServer(name) => Some((name.clone(), *order)),
-            OverrideSubject::Aggregator => None,
-        };
-        self.records.iter().filter_map(node).collect()
+        let mut by_name = BTreeMap::new();
+        for (subject, record) in &self.by_subject {
+            if let OverrideSubject::LeafServer(name) = subject {
+                by_name.insert(name.clone(), *record);
+            }
+        }
+        by_name
     }
 }
 
 impl FromIterator<(OverrideSubject, Override)> for Overrides {
-    fn from_iter<I: IntoIterator<Item = (OverrideSubject, Override)>>(all: I) -> Self {
-        let mut orders = Overrides::default();
-        for (subject, order) in all {
-            orders.merge(&Overrides { records: BTreeMap::from([(subject, order)]) });
+    fn from_iter<I: IntoIterator<Item = (OverrideSubject, Override)>>(items: I) -> Self {
+        let mut overrides = Overrides::default();
+        for (subject, record) in items {
+            overrides.merge_one(&subject, &record);
         }
-        orders
+        overrides
     }
 }
