--- a/src/hot_restart/mod.rs
+++ b/src/hot_restart/mod.rs
@@ -1,14 +1,19 @@
-//! What the processes of one mixer share while a new version takes over from the old one: the operators' orders, and
-//! who is there. It promises that an order answered yes holds in every process of the mixer and in the next one, and
-//! that a file that is torn, foreign or of a later version is told and moved aside, never believed and never lost.
-//! It never passes on load, health or latencies, which are found anew within a second and are wrong when old.
+//! What the processes of one aggregator share, so that a new version can take over from the old one: operators'
+//! overrides, and which processes are running.
 //!
-//! [`Orders`] and [`snapshot`] are sans-IO; [`Folder`] and [`Seat`] are the half that touches the disk.
+//! Promises: an override that was acknowledged holds in every process of the aggregator and in the next one. A stored
+//! file that is truncated, foreign or of a later version is reported and moved aside, never used and never deleted.
+//! Load, health and latencies are never passed on: they are measured anew within a second, and wrong when old.
+//!
+//! [`Overrides`] and [`snapshot`] are sans-IO; [`SharedDirectory`] and [`ProcessSlot`] access the disk. The caller is
+//! the thread in `net::hot_restart`; the aggregator keeps [`Overrides`] in its state.
 
 mod overrides;
+mod process_slots;
 mod shared_directory;
 pub mod snapshot;
 
 pub use crate::endpoints::Override;
 pub use overrides::{MAX_OVERRIDES, OverrideSubject, Overrides, TooManyOverrides};
-pub use shared_directory::{ProcessSlot, ProcessStatus, SharedDirectory, Sibling, StoredOverrides};
+pub use process_slots::{ProcessSlot, ProcessStatus, Sibling};
+pub use shared_directory::{SharedDirectory, StoredOverrides};
--- a/src/hot_restart/shared_directory.rs
+++ b/src/hot_restart/shared_directory.rs
@@ -1,190 +1,139 @@
-//! The folder that the processes of one mixer share: a file of orders, and a seat for each process.
+//! The directory that the processes of one aggregator share: the stored overrides, and the process slots.
 
+use super::process_slots::{self, ProcessSlot, Sibling};
 use super::{Overrides, snapshot};
 use crate::clock::Millis;
-use serde::{Deserialize, Serialize};
-use std::fs::{self, File, OpenOptions, TryLockError};
-use std::io::{self, Read, Seek, SeekFrom, Write};
+use std::fs::{self, File, OpenOptions};
+use std::io::{self, Read};
 use std::os::unix::fs::{DirBuilderExt, MetadataExt};
 use std::path::{Path, PathBuf};
 
-/// Processes of one mixer at a time, at most: the old one, the new one, and a crash or two that nobody has noticed.
-const SEATS: usize = 4;
-/// A seat's words are no longer.
-const WORDS_MOST: u64 = 256;
+/// The stored overrides, as a [`snapshot`].
+const OVERRIDES_FILE: &str = "orders";
+/// The overrides while they are being written, before the rename.
+const TEMPORARY_FILE: &str = "orders.new";
+/// Where stored overrides go that cannot be used.
+const UNUSABLE_FILE: &str = "orders.unusable";
+/// Locked while a process reads, merges and writes the overrides.
+const LOCK_FILE: &str = "lock";
 
-/// What a process says of itself in its seat.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ProcessStatus {
-    /// It could serve.
-    pub ready: bool,
-    /// Digest of the overrides in force in that process; `orders` in the stored form.
-    #[serde(rename = "orders")]
-    pub overrides_digest: u32,
-}
-
-/// Another process of this mixer that lives.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Sibling {
-    /// Its seat.
-    pub slot: usize,
-    /// What it says, once it has said something whole.
-    pub status: Option<ProcessStatus>,
-}
+/// Access rights of the directory: the owner only.
+const DIRECTORY_MODE: u32 = 0o700;
 
-/// What the file of orders holds.
+/// What was found as stored overrides.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StoredOverrides {
-    /// No file.
+    /// There is no file.
     Missing,
-    /// Orders.
+    /// The overrides in the file.
     Present(Overrides),
-    /// It was not to be believed and was moved aside, to where, and why.
+    /// The file could not be used and was moved to this path, for this reason.
     MovedAside(PathBuf, snapshot::SnapshotError),
 }
 
-/// The shared folder.
+/// The shared directory.
 #[derive(Clone, Debug)]
 pub struct SharedDirectory {
-    dir: PathBuf,
+    path: PathBuf,
 }
 
 impl SharedDirectory {
-    /// The folder of a mixer below another one, made if there is none. Mixers that share the outer folder are told
-    /// apart by name and address.
+    /// Opens the directory of an aggregator below `parent`, and creates it if needed. Aggregators that share the
+    /// parent are distinguished by name and listen address.
     ///
     /// # Errors
-    /// It cannot be made.
-    pub fn open(below: &Path, mixer: &str, listen: &str) -> io::Result<Self> {
-        let key = crc32fast::hash(format!("{mixer}\n{listen}").as_bytes());
-        let dir = below.join(format!("sailmux-{key:08x}"));
-        fs::DirBuilder::new().recursive(true).mode(0o700).create(&dir)?;
-        Ok(SharedDirectory { dir })
-    }
-
-    fn file(&self) -> PathBuf {
-        self.dir.join("orders")
+    /// Those of creating the directory.
+    pub fn open(parent: &Path, aggregator: &str, listen_address: &str) -> io::Result<Self> {
+        let key = crc32fast::hash(format!("{aggregator}\n{listen_address}").as_bytes());
+        let path = parent.join(format!("sailmux-{key:08x}"));
+        fs::DirBuilder::new().recursive(true).mode(DIRECTORY_MODE).create(&path)?;
+        Ok(SharedDirectory { path })
     }
 
-    /// What tells one state of the folder from the next by one look: the orders are renamed into it, and whoever takes a
-    /// seat leaves a trace in it. Who leaves does not.
+    /// Changes whenever overrides are stored or a process acquires a slot, but not when a process ends: the
+    /// modification time of the directory, as seconds and nanoseconds. `None` if it cannot be read.
     pub fn change_marker(&self) -> Option<(i64, i64)> {
-        let m = fs::metadata(&self.dir).ok()?;
-        Some((m.mtime(), m.mtime_nsec()))
+        let metadata = fs::metadata(&self.path).ok()?;
+        Some((metadata.mtime(), metadata.mtime_nsec()))
     }
 
-    /// Reads the orders. What is not to be believed is moved aside.
+    /// Reads the stored overrides. A file that cannot be used is moved aside.
     ///
     /// # Errors
-    /// The disk's own.
+    /// Those of reading or moving the file.
     pub fn read_overrides(&self) -> io::Result<StoredOverrides> {
-        let path = self.file();
-        let mut bytes = Vec::new();
-        match File::open(&path) {
-            Ok(file) => file.take(snapshot::LENGTH_MOST as u64 + 1).read_to_end(&mut bytes)?,
-            Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(StoredOverrides::Missing),
-            Err(e) => return Err(e),
-        };
+        let path = self.path.join(OVERRIDES_FILE);
+        let Some(bytes) = read_if_present(&path)? else { return Ok(StoredOverrides::Missing) };
         match snapshot::decode(&bytes) {
-            Ok(orders) => Ok(StoredOverrides::Present(orders)),
-            Err(why) => {
-                let aside = self.dir.join("orders.unusable");
-                fs::rename(&path, &aside)?;
-                Ok(StoredOverrides::MovedAside(aside, why))
+            Ok(overrides) => Ok(StoredOverrides::Present(overrides)),
+            Err(reason) => {
+                let moved_to = self.path.join(UNUSABLE_FILE);
+                fs::rename(&path, &moved_to)?;
+                Ok(StoredOverrides::MovedAside(moved_to, reason))
             }
         }
     }
 
-    /// Merges orders into the file, alone, and lets go of what has been back since before a time; what it holds then,
-    /// and what was found.
+    /// Merges overrides into the stored ones, under the lock, and removes inactive ones given before `forget_before`.
+    /// Returns the overrides now stored, and what was found before.
     ///
     /// # Errors
-    /// The disk's own; the file is then as it was.
+    /// Those of reading, writing or locking the files; the stored overrides are then unchanged.
     pub fn merge_overrides(
         &self,
         own: &Overrides,
         forget_before: Millis,
     ) -> io::Result<(Overrides, StoredOverrides)> {
-        let lock = OpenOptions::new().create(true).truncate(false).write(true).open(self.dir.join("lock"))?;
+        // Held until the end of the function.
+        let lock =
+            OpenOptions::new().create(true).truncate(false).write(true).open(self.path.join(LOCK_FILE))?;
         lock.lock()?;
         let found = self.read_overrides()?;
-        let mut orders = match &found {
-            StoredOverrides::Present(orders) => orders.clone(),
-            _ => Overrides::default(),
+        let (mut merged, found_usable) = match &found {
+            StoredOverrides::Present(overrides) => (overrides.clone(), true),
+            StoredOverrides::Missing | StoredOverrides::MovedAside(..) => (Overrides::default(), false),
         };
-        if orders.merge(own) || !matches!(found, StoredOverrides::Present(_)) {
-            orders.forget_before(forget_before);
-            let fresh = self.dir.join("orders.new");
-            let written = fs::write(&fresh, snapshot::encode(&orders));
-            if let Err(e) = written.and_then(|()| fs::rename(&fresh, self.file())) {
-                let _ = fs::remove_file(&fresh);
-                return Err(e);
-            }
+        let changed = merged.merge(own);
+        if changed || !found_usable {
+            merged.forget_before(forget_before);
+            self.write_overrides(&merged)?;
         }
-        Ok((orders, found))
+        Ok((merged, found))
     }
 
-    /// Takes a free seat; none where all are taken.
-    ///
-    /// # Errors
-    /// The disk's own.
-    pub fn acquire_slot(&self) -> io::Result<Option<ProcessSlot>> {
-        for number in 0..SEATS {
-            let path = self.seat(number);
-            let file = OpenOptions::new().create(true).truncate(false).write(true).open(path)?;
-            if file.try_lock().is_ok() {
-                file.set_len(0)?;
-                // The trace by which others see that somebody has come.
-                let trace = self.dir.join(format!("came-{number}"));
-                fs::write(&trace, "")?;
-                fs::remove_file(&trace)?;
-                return Ok(Some(ProcessSlot { number, file }));
-            }
+    /// Replaces the stored overrides atomically.
+    fn write_overrides(&self, overrides: &Overrides) -> io::Result<()> {
+        let temporary = self.path.join(TEMPORARY_FILE);
+        let written = fs::write(&temporary, snapshot::encode(overrides))
+            .and_then(|()| fs::rename(&temporary, self.path.join(OVERRIDES_FILE)));
+        if written.is_err() {
+            let _ = fs::remove_file(&temporary);
         }
-        Ok(None)
+        written
     }
 
-    fn seat(&self, number: usize) -> PathBuf {
-        self.dir.join(format!("seat-{number}"))
+    /// Acquires a free process slot; `None` if all are in use.
+    ///
+    /// # Errors
+    /// Those of creating the slot's file.
+    pub fn acquire_slot(&self) -> io::Result<Option<ProcessSlot>> {
+        ProcessSlot::acquire(&self.path)
     }
 
-    /// The other processes that live: their seats are locked.
+    /// The other running processes of this aggregator, for a process in the slot `own` or in none.
     pub fn siblings(&self, own: Option<usize>) -> Vec<Sibling> {
-        let taken = |number: &usize| {
-            own.is_none_or(|seat| seat != *number)
-                && File::open(self.seat(*number))
-                    .is_ok_and(|f| matches!(f.try_lock_shared(), Err(TryLockError::WouldBlock)))
-        };
-        let word = |number| {
-            let mut text = String::new();
-            File::open(self.seat(number)).ok()?.take(WORDS_MOST).read_to_string(&mut text).ok()?;
-            serde_json::from_str(text.trim_end()).ok()
-        };
-        (0..SEATS).filter(taken).map(|seat| Sibling { slot: seat, status: word(seat) }).collect()
+        process_slots::siblings(&self.path, own)
     }
 }
 
-/// A process's place in the folder, for as long as it lives: the kernel frees it however the process ends.
-#[derive(Debug)]
-pub struct ProcessSlot {
-    number: usize,
-    file: File,
-}
-
-impl ProcessSlot {
-    /// Its number.
-    pub fn number(&self) -> usize {
-        self.number
-    }
-
-    /// Says something new. A reader that sees half of it sees nothing.
-    ///
-    /// # Errors
-    /// The disk's own.
-    pub fn publish(&mut self, word: &ProcessStatus) -> io::Result<()> {
-        let text = serde_json::to_string(word)?;
-        self.file.seek(SeekFrom::Start(0))?;
-        // Padded, so that no end of longer words is left.
-        self.file.write_all(format!("{text:<64}\n").as_bytes())
-    }
+/// The content of a file, up to one byte more than a snapshot may have; `None` if there is no file.
+fn read_if_present(path: &Path) -> io::Result<Option<Vec<u8>>> {
+    let file = match File::open(path) {
+        Ok(file) => file,
+        Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
+        Err(error) => return Err(error),
+    };
+    let mut bytes = Vec::new();
+    file.take(snapshot::MAX_BYTES as u64 + 1).read_to_end(&mut bytes)?;
+    Ok(Some(bytes))
 }
--- a/src/hot_restart/snapshot.rs
+++ b/src/hot_restart/snapshot.rs
@@ -1,44 +1,54 @@
-//! Orders as bytes: a line of head (`sailmux-orders FORMAT LENGTH CRC32`), then a body of JSON.
+//! The stored form of overrides: a header line `sailmux-orders VERSION LENGTH CRC32`, then LENGTH bytes of JSON.
+//!
+//! The names in the file are older than those in the code, and are part of the format. A file of another format
+//! version is refused; it is never interpreted by guesses.
 
 use super::{Override, OverrideSubject, Overrides};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The format that is written. One that is later is not guessed at.
-pub const FORMAT: u32 = 1;
-/// What the head begins with.
+/// The format version that is written and read.
+pub const FORMAT_VERSION: u32 = 1;
+/// The first word of the header.
 const MAGIC: &str = "sailmux-orders";
-/// No file is longer: the most orders there may be, with names of 512 bytes.
-pub const LENGTH_MOST: usize = 4 << 20;
+/// Upper limit of a file's length: enough for [`MAX_OVERRIDES`](super::MAX_OVERRIDES) names of 512 bytes.
+pub const MAX_BYTES: usize = 4 << 20;
 
-/// Why bytes are no orders.
+/// Why bytes are not a usable snapshot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SnapshotError {
-    /// They begin as something else does.
-    Foreign,
-    /// Written by a later version of the program.
-    Later(u32),
-    /// The body is shorter or longer than the head says.
-    Torn {
-        /// As the head says.
-        told: usize,
-        /// As it is.
+    /// They do not begin with the header of a snapshot.
+    NotASnapshot,
+    /// They have this format version, which this program does not read.
+    UnsupportedVersion(u32),
+    /// The body is shorter or longer than the header states.
+    LengthMismatch {
+        /// Bytes, as the header states.
+        expected: usize,
+        /// Bytes of the body.
         found: usize,
     },
-    /// The body is not the one that was written.
-    Changed,
-    /// The body cannot be read, and why.
-    Unreadable(String),
+    /// The body does not match the checksum in the header.
+    ChecksumMismatch,
+    /// The body is not the expected JSON; the parser's message.
+    InvalidJson(String),
+    /// A time in the body is negative or not finite.
+    InvalidTime,
 }
 
 impl fmt::Display for SnapshotError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Foreign => write!(f, "is no file of orders"),
-            Self::Later(format) => write!(f, "has format {format}, this program knows {FORMAT}"),
-            Self::Torn { told, found } => write!(f, "is torn: {found} bytes in place of {told}"),
-            Self::Changed => write!(f, "does not match its checksum"),
-            Self::Unreadable(why) => write!(f, "cannot be read: {why}"),
+            Self::NotASnapshot => write!(f, "is no file of orders"),
+            Self::UnsupportedVersion(version) => {
+                write!(f, "has format {version}, this program knows {FORMAT_VERSION}")
+            }
+            Self::LengthMismatch { expected, found } => {
+                write!(f, "is torn: {found} bytes in place of {expected}")
+            }
+            Self::ChecksumMismatch => write!(f, "does not match its checksum"),
+            Self::InvalidJson(message) => write!(f, "cannot be read: {message}"),
+            Self::InvalidTime => write!(f, "cannot be read: a time that makes no sense"),
         }
     }
 }
@@ -46,71 +56,106 @@
 impl std::error::Error for SnapshotError {}
 
 #[derive(Serialize, Deserialize)]
-struct Body {
-    orders: Vec<Record>,
+struct StoredBody {
+    #[serde(rename = "orders")]
+    overrides: Vec<StoredOverride>,
 }
 
 #[derive(Serialize, Deserialize)]
-struct Record {
-    /// None for the mixer itself.
-    node: Option<String>,
-    out: bool,
-    at: f64,
+struct StoredOverride {
+    /// The leaf server's name; `None` for the aggregator itself.
+    #[serde(rename = "node")]
+    leaf_server: Option<String>,
+    #[serde(rename = "out")]
+    active: bool,
+    #[serde(rename = "at")]
+    given_at: f64,
+    #[serde(rename = "since")]
     since: f64,
 }
 
-/// The bytes of a file.
-pub fn encode(orders: &Overrides) -> Vec<u8> {
-    let record = |(subject, o): (&OverrideSubject, &Override)| {
-        let node = match subject {
+impl StoredOverride {
+    fn new(subject: &OverrideSubject, record: &Override) -> Self {
+        let leaf_server = match subject {
             OverrideSubject::Aggregator => None,
             OverrideSubject::LeafServer(name) => Some(name.to_string()),
         };
-        Record { node, out: o.active, at: o.given_at, since: o.since }
-    };
-    let body = Body { orders: orders.iter().map(record).collect() };
+        StoredOverride { leaf_server, active: record.active, given_at: record.given_at, since: record.since }
+    }
+
+    fn has_valid_times(&self) -> bool {
+        is_valid_time(self.given_at) && is_valid_time(self.since)
+    }
+
+    fn into_subject_and_override(self) -> (OverrideSubject, Override) {
+        let subject = match self.leaf_server {
+            None => OverrideSubject::Aggregator,
+            Some(name) => OverrideSubject::LeafServer(name.into()),
+        };
+        (subject, Override { active: self.active, given_at: self.given_at, since: self.since })
+    }
+}
+
+fn is_valid_time(time: f64) -> bool {
+    time.is_finite() && time >= 0.0
+}
+
+/// Encodes overrides as a snapshot.
+pub fn encode(overrides: &Overrides) -> Vec<u8> {
+    let stored = overrides.iter().map(|(subject, record)| StoredOverride::new(subject, record));
+    let body = StoredBody { overrides: stored.collect() };
+    // Serializing these types to memory does not fail.
     let body = serde_json::to_vec(&body).unwrap_or_default();
-    let head = format!("{MAGIC} {FORMAT} {} {:08x}\n", body.len(), crc32fast::hash(&body));
-    [head.as_bytes(), &body].concat()
+    let header = format!("{MAGIC} {FORMAT_VERSION} {} {:08x}\n", body.len(), crc32fast::hash(&body));
+    [header.as_bytes(), &body].concat()
 }
 
-/// What a file's bytes say.
+/// Decodes a snapshot.
 ///
 /// # Errors
-/// Why they are not to be believed.
+/// Why the bytes cannot be used; nothing of them is returned then.
 pub fn decode(bytes: &[u8]) -> Result<Overrides, SnapshotError> {
-    let end = bytes.iter().position(|b| *b == b'\n').ok_or(SnapshotError::Foreign)?;
-    let head = std::str::from_utf8(&bytes[..end]).map_err(|_| SnapshotError::Foreign)?;
-    let mut words = head.split(' ');
-    if words.next() != Some(MAGIC) {
-        return Err(SnapshotError::Foreign);
-    }
-    let format: u32 = words.next().and_then(|w| w.parse().ok()).ok_or(SnapshotError::Foreign)?;
-    if format != FORMAT {
-        return Err(SnapshotError::Later(format));
+    let header_end = bytes.iter().position(|byte| *byte == b'\n').ok_or(SnapshotError::NotASnapshot)?;
+    let header = Header::parse(&bytes[..header_end])?;
+    let body = &bytes[header_end + 1..];
+    if body.len() != header.body_length {
+        return Err(SnapshotError::LengthMismatch { expected: header.body_length, found: body.len() });
     }
-    let told: usize = words.next().and_then(|w| w.parse().ok()).ok_or(SnapshotError::Foreign)?;
-    let sum = words.next().and_then(|w| u32::from_str_radix(w, 16).ok()).ok_or(SnapshotError::Foreign)?;
-    let body = &bytes[end + 1..];
-    if body.len() != told {
-        return Err(SnapshotError::Torn { told, found: body.len() });
+    if crc32fast::hash(body) != header.checksum {
+        return Err(SnapshotError::ChecksumMismatch);
     }
-    if crc32fast::hash(body) != sum {
-        return Err(SnapshotError::Changed);
+    let body: StoredBody =
+        serde_json::from_slice(body).map_err(|error| SnapshotError::InvalidJson(error.to_string()))?;
+    if !body.overrides.iter().all(StoredOverride::has_valid_times) {
+        return Err(SnapshotError::InvalidTime);
     }
-    let body: Body = serde_json::from_slice(body).map_err(|e| SnapshotError::Unreadable(e.to_string()))?;
-    let sound = |r: &Record| [r.at, r.since].iter().all(|t| t.is_finite() && *t >= 0.0);
-    if !body.orders.iter().all(sound) {
-        return Err(SnapshotError::Unreadable("a time that makes no sense".to_owned()));
+    Ok(body.overrides.into_iter().map(StoredOverride::into_subject_and_override).collect())
+}
+
+struct Header {
+    body_length: usize,
+    checksum: u32,
+}
+
+impl Header {
+    fn parse(line: &[u8]) -> Result<Self, SnapshotError> {
+        let line = std::str::from_utf8(line).map_err(|_| SnapshotError::NotASnapshot)?;
+        let mut words = line.split(' ');
+        let mut next_word = || words.next().ok_or(SnapshotError::NotASnapshot);
+        if next_word()? != MAGIC {
+            return Err(SnapshotError::NotASnapshot);
+        }
+        let version: u32 = next_word()?.parse().map_err(|_| SnapshotError::NotASnapshot)?;
+        if version != FORMAT_VERSION {
+            return Err(SnapshotError::UnsupportedVersion(version));
+        }
+        let body_length = next_word()?.parse().map_err(|_| SnapshotError::NotASnapshot)?;
+        let checksum = u32::from_str_radix(next_word()?, 16).map_err(|_| SnapshotError::NotASnapshot)?;
+        Ok(Header { body_length, checksum })
     }
-    let subject = |node: Option<String>| {
-        node.map_or(OverrideSubject::Aggregator, |name| OverrideSubject::LeafServer(name.into()))
-    };
-    let order = |r: &Record| Override { active: r.out, given_at: r.at, since: r.since };
-    Ok(body.orders.into_iter().map(|r| (order(&r), subject(r.node))).map(|(o, s)| (s, o)).collect())
 }
 
-/// A short name for orders: equal for equal ones.
-pub fn digest(orders: &Overrides) -> u32 {
-    crc32fast::hash(&encode(orders))
+/// A digest of overrides, equal for equal ones, by which processes compare what is in force.
+pub fn digest(overrides: &Overrides) -> u32 {
+    crc32fast::hash(&encode(overrides))
 }
