--- /dev/null
+++ b/tests/endpoints/precedence.rs
@@ -0,0 +1,194 @@
+//! Precedence, against a model that keeps the last statement of each source and asks all of them each time.
+
+use crate::harness::{Harness, entry, list, record, sourced};
+use proptest::prelude::*;
+use sailmux::endpoints::*;
+use std::collections::BTreeMap;
+use std::sync::Arc;
+
+/// What discovery states about an endpoint, or a file about its state.
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum StatedState {
+    Ready,
+    Draining,
+    Absent,
+}
+
+fn stated_state() -> impl Strategy<Value = StatedState> {
+    prop_oneof![Just(StatedState::Ready), Just(StatedState::Draining), Just(StatedState::Absent)]
+}
+
+/// What a file states about an endpoint.
+#[derive(Clone, Copy, Debug)]
+struct FileRow {
+    cell: Option<u8>,
+    weight: Option<u8>,
+    state: StatedState,
+}
+
+/// An update of a source; endpoints are numbered.
+#[derive(Clone, Debug)]
+enum Update {
+    /// An absent state is a removal.
+    Discovery { complete: bool, rows: BTreeMap<u8, StatedState> },
+    /// An absent state states nothing.
+    File { file: u8, rows: BTreeMap<u8, FileRow> },
+}
+
+fn updates() -> impl Strategy<Value = Vec<Update>> {
+    let discovery = (any::<bool>(), prop::collection::vec((0..5u8, stated_state()), 0..4))
+        .prop_map(|(complete, rows)| Update::Discovery { complete, rows: rows.into_iter().collect() });
+    let row = (prop::option::of(0..3u8), prop::option::of(0..4u8), stated_state())
+        .prop_map(|(cell, weight, state)| FileRow { cell, weight, state });
+    let file = (0..2u8, prop::collection::vec((0..5u8, row), 0..5))
+        .prop_map(|(file, rows)| Update::File { file, rows: rows.into_iter().collect() });
+    prop::collection::vec(prop_oneof![discovery, file], 1..24)
+}
+
+fn endpoint_name(number: u8) -> String {
+    format!("n{number}")
+}
+
+/// The fields of an endpoint that the model covers.
+#[derive(Clone, Copy, Debug, PartialEq)]
+struct Expected {
+    cell: u32,
+    weight: f64,
+    draining: bool,
+}
+
+impl Expected {
+    fn of(endpoint: &Endpoint) -> Self {
+        let draining = endpoint.state == EndpointState::Draining;
+        Expected { cell: endpoint.cell, weight: endpoint.weight, draining }
+    }
+}
+
+/// The last statement of each source, and what discovery removed.
+#[derive(Default)]
+struct Model {
+    discovery: BTreeMap<u8, StatedState>,
+    removed: Vec<u8>,
+    files: [BTreeMap<u8, FileRow>; 2],
+}
+
+impl Model {
+    fn update(&mut self, update: &Update) {
+        match update {
+            Update::Discovery { complete, rows } => {
+                if *complete {
+                    let missing: Vec<u8> =
+                        self.discovery.keys().filter(|number| !rows.contains_key(number)).copied().collect();
+                    missing.into_iter().for_each(|number| self.remove(number));
+                }
+                for (number, state) in rows {
+                    self.removed.retain(|removed| removed != number);
+                    if *state == StatedState::Absent {
+                        self.remove(*number);
+                    } else {
+                        self.discovery.insert(*number, *state);
+                    }
+                }
+            }
+            Update::File { file, rows } => self.files[usize::from(*file)].clone_from(rows),
+        }
+    }
+
+    fn remove(&mut self, number: u8) {
+        self.discovery.remove(&number);
+        self.removed.push(number);
+    }
+
+    fn endpoint(&self, number: u8) -> Option<Expected> {
+        if self.removed.contains(&number) {
+            return None;
+        }
+        let discovered = self.discovery.get(&number);
+        let rows: Vec<&FileRow> = self.files.iter().filter_map(|file| file.get(&number)).collect();
+        let cell_of_files = rows.iter().rev().find_map(|row| row.cell).map(u32::from);
+        let weight_of_files = rows.iter().rev().find_map(|row| row.weight).map(f64::from);
+        Some(Expected {
+            cell: discovered.map(|_| 1).or(cell_of_files)?,
+            weight: discovered.map(|_| 1.0).or(weight_of_files).unwrap_or(1.0),
+            draining: discovered == Some(&StatedState::Draining)
+                || rows.iter().any(|row| row.state == StatedState::Draining),
+        })
+    }
+}
+
+fn discovery_input(generation: u64, complete: bool, rows: &BTreeMap<u8, StatedState>) -> Input {
+    let entries = rows.iter().map(|(number, state)| {
+        let state = match state {
+            StatedState::Ready => EndpointState::Ready,
+            StatedState::Draining => EndpointState::Draining,
+            StatedState::Absent => EndpointState::Gone,
+        };
+        entry(&endpoint_name(*number), 1, state)
+    });
+    Input::Discovery(EndpointList { generation, complete, entries: entries.collect() })
+}
+
+fn file_input(digest: &str, file: u8, rows: &BTreeMap<u8, FileRow>) -> Input {
+    let records = rows.iter().map(|(number, row)| EndpointRecord {
+        cell: row.cell.map(u32::from).and_then(sourced),
+        weight: row.weight.map(f64::from).and_then(sourced),
+        state: match row.state {
+            StatedState::Ready => sourced(EndpointState::Ready),
+            StatedState::Draining => sourced(EndpointState::Draining),
+            StatedState::Absent => None,
+        },
+        ..record(&endpoint_name(*number), 0, None)
+    });
+    Input::File(u16::from(file), list(digest, records.collect()))
+}
+
+/// Carries out the lists among some outputs, as the aggregator does.
+fn apply_lists(endpoints: &mut BTreeMap<Arc<str>, Endpoint>, outputs: Vec<Output>) {
+    for output in outputs {
+        let Output::List(list) = output else { continue };
+        if list.complete {
+            endpoints.clear();
+        }
+        for endpoint in list.entries {
+            if endpoint.state == EndpointState::Gone {
+                endpoints.remove(&endpoint.name);
+            } else {
+                endpoints.insert(endpoint.name.clone(), endpoint);
+            }
+        }
+    }
+}
+
+proptest! {
+    #![proptest_config(ProptestConfig { cases: 400, ..ProptestConfig::default() })]
+
+    #[test]
+    fn precedence_agrees_with_the_model(updates in updates()) {
+        // A guard that holds back only empty lists, and confirms them at once.
+        let guard = GuardSettings { most_lost: 1.0, confirm_after: Some(0.0) };
+        let empty = || list("empty", vec![]);
+        let mut harness =
+            Harness::with_guard(guard, Some(EndpointList::default()), vec![empty(), empty()]);
+        let mut model = Model::default();
+        let mut aggregator: BTreeMap<Arc<str>, Endpoint> = BTreeMap::new();
+        for (step, update) in updates.into_iter().enumerate() {
+            model.update(&update);
+            let input = match &update {
+                Update::Discovery { complete, rows } => discovery_input(step as u64, *complete, rows),
+                Update::File { file, rows } => file_input(&format!("d{step}"), *file, rows),
+            };
+            let mut outputs = Vec::new();
+            harness.registry.handle(step as Millis, input, &mut outputs);
+            harness.registry.handle(step as Millis, Input::TimerFired, &mut outputs);
+            apply_lists(&mut aggregator, outputs);
+            for number in 0..5u8 {
+                let name = endpoint_name(number);
+                let expected = model.endpoint(number);
+                let merged = harness.registry.endpoint(&name).map(|merged| Expected::of(&merged.entry));
+                prop_assert_eq!(merged, expected, "{} after step {}", name, step);
+                let received = aggregator.get(name.as_str()).map(Expected::of);
+                prop_assert_eq!(received, expected, "the aggregator's {} after step {}", name, step);
+            }
+        }
+    }
+}
