--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,54 +1,70 @@
-//! The one clock: milliseconds as `f64`, monotonic, on the scale of Unix time, so that a start time told by
-//! discovery needs no second scale. Tests set it.
+//! The process's clock: monotonic, in milliseconds as `f64`, on the scale of Unix time, so that start times from
+//! discovery can be compared with it. Tests use a clock that they set.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Milliseconds, as a point on the one clock or as a span.
+/// Milliseconds: a point on the process's clock, or a span.
 pub type Millis = f64;
 
-/// Where the program reads the time. Only this object asks the system for it.
+const MILLIS_PER_SECOND: f64 = 1e3;
+
+/// Stands for a wait that `Duration` cannot hold.
+const LONGEST_WAIT: Duration = Duration::from_secs(3600);
+
+/// The clock of a process; nothing else asks the system for the time of an event.
 #[derive(Clone, Debug)]
 pub struct Clock {
     started: Instant,
-    /// Unix time at the start: what the monotonic time is counted from.
-    base: Millis,
-    set: Cell<Option<Millis>>,
+    /// Unix time at the start, to which the monotonic time is added.
+    unix_time_at_start: Millis,
+    /// The time that stands still, of a clock that is set.
+    fixed: Cell<Option<Millis>>,
 }
 
 impl Clock {
-    /// A clock that follows the system's.
+    /// A clock that follows the system's monotonic clock.
     pub fn system() -> Self {
-        Clock { started: Instant::now(), base: unix_now(), set: Cell::new(None) }
+        Clock { started: Instant::now(), unix_time_at_start: unix_now(), fixed: Cell::new(None) }
     }
 
-    /// A clock that stands at a time until it is set again.
+    /// A clock that stands still until it is set, for tests.
     pub fn at(now: Millis) -> Self {
-        Clock { started: Instant::now(), base: now, set: Cell::new(Some(now)) }
+        Clock { started: Instant::now(), unix_time_at_start: now, fixed: Cell::new(Some(now)) }
     }
 
-    /// Puts a clock made by [`Clock::at`] to another time.
+    /// Sets the clock; from then on it stands still until it is set again.
     pub fn set(&self, now: Millis) {
-        self.set.set(Some(now));
+        self.fixed.set(Some(now));
     }
 
     /// The time now; it never runs backwards.
     pub fn now(&self) -> Millis {
-        self.set.get().unwrap_or_else(|| self.base + self.started.elapsed().as_secs_f64() * 1e3)
+        if let Some(fixed) = self.fixed.get() {
+            return fixed;
+        }
+        self.unix_time_at_start + self.started.elapsed().as_secs_f64() * MILLIS_PER_SECOND
     }
 
-    /// How far the wall clock is ahead of this one: 0 but for steps of the wall clock since the start.
+    /// How far the system's wall clock is ahead of this one; other than 0 if it has been stepped since the start.
     pub fn wall_ahead(&self) -> Millis {
-        if self.set.get().is_some() { 0.0 } else { unix_now() - self.now() }
+        match self.fixed.get() {
+            Some(_) => 0.0,
+            None => unix_now() - self.now(),
+        }
     }
 
-    /// When a point of this clock comes, for timers; a point in the past has come.
+    /// The instant of a point on this clock, for timers; now, if the point has passed.
     pub fn instant(&self, at: Millis) -> Instant {
-        let wait = Duration::try_from_secs_f64((at - self.now()).max(0.0) / 1e3);
-        Instant::now() + wait.unwrap_or(Duration::from_secs(3600))
+        let wait_millis = (at - self.now()).max(0.0);
+        let wait = Duration::try_from_secs_f64(wait_millis / MILLIS_PER_SECOND).unwrap_or(LONGEST_WAIT);
+        Instant::now() + wait
     }
 }
 
 fn unix_now() -> Millis {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |d| d.as_secs_f64() * 1e3)
+    match SystemTime::now().duration_since(UNIX_EPOCH) {
+        Ok(since_epoch) => since_epoch.as_secs_f64() * MILLIS_PER_SECOND,
+        Err(_) => 0.0,
+    }
 }
--- a/src/diagnostic.rs
+++ b/src/diagnostic.rs
@@ -1,13 +1,15 @@
-//! A problem with a file of the operators': which file, which line, which field, and what is wrong.
+//! Diagnostics of files that operators write: which file, which line, which field, and what is wrong.
+//!
+//! Made by `config::operator` and `inventory`, printed by `cli` and logged by `net`.
 
 use std::fmt;
 
-/// One problem. All of a file's problems are told at once.
+/// One thing that is wrong with a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Diagnostic {
-    /// The file.
+    /// The file's path.
     pub file: String,
-    /// The line, from 1, where one is to blame.
+    /// The line, from 1; `None` if no single line is at fault.
     pub line: Option<u32>,
     /// The field, as `inventory.files[0].path` or `s3.cell`; empty for the whole file.
     pub field: String,
@@ -16,14 +18,14 @@
 }
 
 impl Diagnostic {
-    /// A problem of a whole file.
-    pub fn whole(file: &str, problem: impl Into<String>) -> Self {
-        Diagnostic { file: file.to_owned(), line: None, field: String::new(), message: problem.into() }
+    /// A diagnostic of a whole file.
+    pub fn whole(file: &str, message: impl Into<String>) -> Self {
+        Diagnostic { file: file.to_owned(), line: None, field: String::new(), message: message.into() }
     }
 
-    /// A problem at a line.
-    pub fn at(file: &str, line: u32, field: impl Into<String>, problem: impl Into<String>) -> Self {
-        Diagnostic { file: file.to_owned(), line: Some(line), field: field.into(), message: problem.into() }
+    /// A diagnostic of a field at a line, counted from 1.
+    pub fn at(file: &str, line: u32, field: impl Into<String>, message: impl Into<String>) -> Self {
+        Diagnostic { file: file.to_owned(), line: Some(line), field: field.into(), message: message.into() }
     }
 }
 
@@ -40,14 +42,19 @@
     }
 }
 
-/// All problems of a file or of several, never none.
+impl std::error::Error for Diagnostic {}
+
+/// Everything that is wrong with one or several files; never empty. Displayed one to a line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Diagnostics(pub Vec<Diagnostic>);
 
 impl fmt::Display for Diagnostics {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (i, problem) in self.0.iter().enumerate() {
-            write!(f, "{}{problem}", if i > 0 { "\n" } else { "" })?;
+        for (index, diagnostic) in self.0.iter().enumerate() {
+            if index > 0 {
+                writeln!(f)?;
+            }
+            write!(f, "{diagnostic}")?;
         }
         Ok(())
     }
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,4 +1,7 @@
 //! The log: structured events on standard error, as text or as a JSON object a line.
+//!
+//! The other modules hand over typed events; their names in the log are given here alone. Operators search for these
+//! messages and fields (`docs/operate/`), so both are kept stable.
 
 use crate::aggregator::LogEvent;
 use crate::balancer;
@@ -13,66 +16,74 @@
 use tracing_subscriber::util::SubscriberInitExt;
 use tracing_subscriber::{Layer, fmt, registry};
 
-/// Starts the log; a second start changes nothing. Of libraries only warnings are written.
+/// The earlier name of [`endpoint_event`].
+pub use self::endpoint_event as notice;
+
+/// Starts the log for the whole process; a second start changes nothing. Libraries log warnings and errors only.
 pub fn start(record: &LogRecord) {
-    let level = match record.level {
+    let level = level_filter(record.level);
+    let targets = Targets::new().with_target("sailmux", level).with_default(level.min(LevelFilter::WARN));
+    let layer = fmt::layer().with_writer(io::stderr).with_target(false).with_ansi(false);
+    let started = match record.format {
+        LogFormat::Text => registry().with(layer.with_filter(targets)).try_init(),
+        LogFormat::Json => {
+            let layer = layer.json().flatten_event(true);
+            registry().with(layer.with_filter(targets)).try_init()
+        }
+    };
+    // Fails only if the log has been started before.
+    drop(started);
+}
+
+fn level_filter(level: LogLevel) -> LevelFilter {
+    match level {
         LogLevel::Error => LevelFilter::ERROR,
         LogLevel::Warn => LevelFilter::WARN,
         LogLevel::Info => LevelFilter::INFO,
         LogLevel::Debug => LevelFilter::DEBUG,
         LogLevel::Trace => LevelFilter::TRACE,
-    };
-    let targets = Targets::new().with_target("sailmux", level).with_default(level.min(LevelFilter::WARN));
-    let to = fmt::layer().with_writer(io::stderr).with_target(false).with_ansi(false);
-    let started = match record.format {
-        LogFormat::Text => registry().with(to.with_filter(targets)).try_init(),
-        LogFormat::Json => registry().with(to.json().flatten_event(true).with_filter(targets)).try_init(),
-    };
-    drop(started);
+    }
 }
 
-/// Writes what membership tells the operators; `files` are the paths of the inventories, in order.
-pub fn notice(notice: &AuditEvent, files: &[Arc<str>]) {
-    let file = |source: &SourceId| match source {
-        SourceId::File(number) => files.get(usize::from(*number)).map_or("", |f| f),
-        SourceId::Known => "known",
-        SourceId::Discovery => "discovery",
-    };
-    match notice {
-        AuditEvent::ListApplied { source, digest, summary, difference: d, confirmed } => info!(
+/// Logs a change of the endpoint lists. `inventory_files` are the paths of the inventories, by the number of their
+/// source.
+pub fn endpoint_event(event: &AuditEvent, inventory_files: &[Arc<str>]) {
+    let file = |source: &SourceId| source_name(source, inventory_files);
+    match event {
+        AuditEvent::ListApplied { source, digest, summary, difference, confirmed } => info!(
             file = file(source),
             digest = &**digest,
             nodes = summary.nodes,
             draining = summary.draining,
-            added = d.added,
-            gone = d.gone,
-            drained = d.drained,
-            readied = d.readied,
-            changed = d.changed,
+            added = difference.added,
+            gone = difference.gone,
+            drained = difference.drained,
+            readied = difference.readied,
+            changed = difference.changed,
             confirmed,
             "list taken"
         ),
-        // On the platform these come all the time.
-        AuditEvent::DiscoveryApplied { generation, complete, nodes, difference: d } => debug!(
+        // Debug, since discovery sends lists all the time.
+        AuditEvent::DiscoveryApplied { generation, complete, nodes, difference } => debug!(
             generation,
             complete,
             nodes,
-            added = d.added,
-            gone = d.gone,
-            drained = d.drained,
-            readied = d.readied,
-            changed = d.changed,
+            added = difference.added,
+            gone = difference.gone,
+            drained = difference.drained,
+            readied = difference.readied,
+            changed = difference.changed,
             "discovery's list taken"
         ),
-        AuditEvent::ListHeldBack { source, digest, reason, difference: d } => warn!(
+        AuditEvent::ListHeldBack { source, digest, reason, difference } => warn!(
             file = file(source),
             digest = &**digest,
             reason = %reason,
-            added = d.added,
-            gone = d.gone,
-            drained = d.drained,
-            readied = d.readied,
-            changed = d.changed,
+            added = difference.added,
+            gone = difference.gone,
+            drained = difference.drained,
+            readied = difference.readied,
+            changed = difference.changed,
             "list held back, its drains are taken; confirm it by: sailmux inventory confirm {}",
             file(source)
         ),
@@ -95,7 +106,19 @@
     }
 }
 
-/// Writes a change of the aggregator's state.
+/// The path of an inventory, or the word for another source.
+fn source_name<'a>(source: &SourceId, inventory_files: &'a [Arc<str>]) -> &'a str {
+    match source {
+        SourceId::File(number) => match inventory_files.get(usize::from(*number)) {
+            Some(path) => path,
+            None => "",
+        },
+        SourceId::Known => "known",
+        SourceId::Discovery => "discovery",
+    }
+}
+
+/// Logs a change of the aggregator's state.
 pub fn aggregator_event(event: &LogEvent) {
     match event {
         LogEvent::Balancer(event) => balancer_event(*event),
--- a/src/yaml.rs
+++ b/src/yaml.rs
@@ -1,17 +1,24 @@
-//! YAML as a tree that knows its lines. Aliases share what they name, so that a tree never takes more memory than
-//! its text earns; a tree that would be huge if written out, as an alias bomb is, is turned down unexpanded.
+//! YAML as a tree of values that know their lines, so that diagnostics can name them.
+//!
+//! Used for the operator's file and for inventories. Aliases share the node that they refer to, so a tree takes no more
+//! memory than its text justifies. A tree that would be huge with its aliases expanded, as that of an alias bomb, is
+//! rejected without being expanded.
 
 use std::collections::HashMap;
+use std::fmt;
 use std::rc::Rc;
 use yaml_rust2::parser::{Event, Parser, Tag};
 use yaml_rust2::scanner::TScalarStyle;
 
-/// What a text may hold at most.
+/// The key under which YAML 1.1 merges other maps into a map.
+const MERGE_KEY: &str = "<<";
+
+/// What a document may hold at most.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Values within values.
+    /// Depth of nesting.
     pub depth: usize,
-    /// Values, with aliases written out.
+    /// Values, with aliases expanded.
     pub values: u64,
 }
 
@@ -21,7 +28,7 @@
     }
 }
 
-/// What is wrong with a text, and where.
+/// Why a document is rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct YamlError {
     /// The line, from 1.
@@ -30,14 +37,28 @@
     pub problem: String,
 }
 
+impl YamlError {
+    fn at(line: u32, message: impl Into<String>) -> Self {
+        YamlError { line, problem: message.into() }
+    }
+}
+
+impl fmt::Display for YamlError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "line {}: {}", self.line, self.problem)
+    }
+}
+
+impl std::error::Error for YamlError {}
+
 /// A value and its line.
 #[derive(Clone, Debug)]
 pub struct Node {
     /// The line, from 1.
     pub line: u32,
-    /// Its tag's suffix, as `vault`; empty for none.
+    /// The suffix of its tag, as `vault`; empty for none.
     pub tag: String,
-    /// Values in it and itself, with aliases written out.
+    /// Number of values in it, itself included, with aliases expanded.
     pub size: u64,
     /// The value.
     pub kind: Kind,
@@ -46,40 +67,45 @@
 /// A value.
 #[derive(Clone, Debug)]
 pub enum Kind {
-    /// Text, and whether it stands plain, so that it may be a number, a truth value or nothing.
+    /// A scalar's text, and whether it is plain (unquoted), so that it may stand for a number, a truth value or null.
     Scalar(String, bool),
     /// A list.
     List(Vec<Rc<Node>>),
-    /// Fields in order, merge keys resolved; each name once, with the line of the name.
+    /// A map, in order, with merge keys resolved; each name occurs once.
     Map(Vec<Entry>),
 }
 
-/// A field of a map.
+/// An entry of a map.
 #[derive(Clone, Debug)]
 pub struct Entry {
     /// Its name.
     pub name: String,
-    /// The line of the name.
+    /// The line of the name, from 1.
     pub line: u32,
     /// Its value.
     pub value: Rc<Node>,
 }
 
 impl Node {
-    /// Nothing: left out, `~` or `null`.
+    fn plain_null(line: u32) -> Self {
+        Node { line, tag: String::new(), size: 1, kind: Kind::Scalar(String::new(), true) }
+    }
+
+    /// Whether it is null: left out, `~` or `null`.
     pub fn is_null(&self) -> bool {
-        matches!(&self.kind, Kind::Scalar(s, true) if matches!(s.as_str(), "" | "~" | "null" | "Null" | "NULL"))
+        let Kind::Scalar(text, true) = &self.kind else { return false };
+        matches!(text.as_str(), "" | "~" | "null" | "Null" | "NULL")
     }
 
-    /// A single value's text as written.
+    /// A scalar's text as written; `None` for null, lists and maps.
     pub fn text(&self) -> Option<&str> {
         match &self.kind {
-            Kind::Scalar(s, _) if !self.is_null() => Some(s),
+            Kind::Scalar(text, _) if !self.is_null() => Some(text),
             _ => None,
         }
     }
 
-    /// The fields of a map.
+    /// The entries of a map.
     pub fn map(&self) -> Option<&[Entry]> {
         match &self.kind {
             Kind::Map(entries) => Some(entries),
@@ -95,9 +121,10 @@
         }
     }
 
-    /// A field of a map.
+    /// The value of that name in a map.
     pub fn get(&self, name: &str) -> Option<&Rc<Node>> {
-        self.map()?.iter().find(|e| e.name == name).map(|e| &e.value)
+        let entry = self.map()?.iter().find(|entry| entry.name == name)?;
+        Some(&entry.value)
     }
 
     /// A truth value, in the words of YAML 1.1 that configuration tools use.
@@ -110,10 +137,10 @@
         }
     }
 
-    /// What it is, for messages.
+    /// What kind of value it is, for error messages.
     pub fn what(&self) -> &'static str {
         match &self.kind {
-            _ if self.is_null() => "nothing",
+            Kind::Scalar(..) if self.is_null() => "nothing",
             Kind::Scalar(..) => "a single value",
             Kind::List(_) => "a list",
             Kind::Map(_) => "fields by name",
@@ -121,180 +148,236 @@
     }
 }
 
-/// Reads the one document of a text; nothing where there is none.
+/// Parses a text of at most one document; a text without one is null.
 ///
 /// # Errors
-/// Why it is no YAML, or what in it goes beyond the bounds.
+/// The text is not YAML, has more than one document, or goes beyond the bounds.
 pub fn parse(text: &str, bounds: &Bounds) -> Result<Rc<Node>, YamlError> {
-    let mut build = Build { bounds, stack: Vec::new(), anchors: HashMap::new(), root: None, made: 0 };
+    let mut builder = TreeBuilder::new(bounds);
     let mut parser = Parser::new_from_str(text);
     loop {
-        let (event, mark) = parser.next_token().map_err(|e| YamlError {
-            line: e.marker().line().max(1) as u32,
-            problem: format!("is not YAML: {}", e.info()),
+        let (event, mark) = parser.next_token().map_err(|error| {
+            YamlError::at(line_of(error.marker().line()), format!("is not YAML: {}", error.info()))
         })?;
-        let line = mark.line().max(1) as u32;
+        let line = line_of(mark.line());
         match event {
             Event::StreamEnd => break,
-            Event::DocumentStart if build.root.is_some() => return Err(wrong(line, "a second document")),
-            event => build.event(event, line)?,
+            Event::DocumentStart if builder.root.is_some() => {
+                return Err(YamlError::at(line, "a second document"));
+            }
+            event => builder.handle(event, line)?,
         }
     }
-    Ok(build.root.unwrap_or_else(|| scalar("", true, 1)))
+    Ok(builder.root.unwrap_or_else(|| Rc::new(Node::plain_null(1))))
 }
 
-fn wrong(line: u32, problem: impl Into<String>) -> YamlError {
-    YamlError { line, problem: problem.into() }
+fn line_of(parser_line: usize) -> u32 {
+    parser_line.max(1) as u32
 }
 
-fn scalar(text: &str, plain: bool, line: u32) -> Rc<Node> {
-    Rc::new(Node { line, tag: String::new(), size: 1, kind: Kind::Scalar(text.to_owned(), plain) })
-}
+/// An anchor's number in the parser; 0 for none.
+type AnchorId = usize;
 
-/// A list or a map that is not closed yet.
-struct Open {
+/// A list or a map whose end has not come yet.
+struct OpenCollection {
     line: u32,
-    anchor: usize,
+    anchor: AnchorId,
     tag: String,
     children: Children,
 }
 
 enum Children {
     List(Vec<Rc<Node>>),
-    Map { entries: Vec<Entry>, merges: Vec<Rc<Node>>, key: Option<(String, u32)>, seen: HashMap<String, u32> },
+    Map(OpenMap),
 }
 
-struct Build<'a> {
+#[derive(Default)]
+struct OpenMap {
+    entries: Vec<Entry>,
+    /// Values of merge keys, in order.
+    merges: Vec<Rc<Node>>,
+    /// The key whose value comes next.
+    key: Option<Key>,
+    /// The line of each name.
+    lines_by_name: HashMap<String, u32>,
+}
+
+struct Key {
+    name: String,
+    line: u32,
+}
+
+/// Builds the tree from the parser's events.
+struct TreeBuilder<'a> {
     bounds: &'a Bounds,
-    stack: Vec<Open>,
-    anchors: HashMap<usize, Rc<Node>>,
+    open: Vec<OpenCollection>,
+    anchors: HashMap<AnchorId, Rc<Node>>,
     root: Option<Rc<Node>>,
-    /// Values made so far, merged fields included: what bounds the memory.
-    made: u64,
+    /// Values made so far, merged entries included; bounds the memory.
+    values_made: u64,
 }
 
-impl Build<'_> {
-    fn event(&mut self, event: Event, line: u32) -> Result<(), YamlError> {
-        let suffix = |tag: Option<Tag>| tag.map(|t| t.suffix).unwrap_or_default();
+impl<'a> TreeBuilder<'a> {
+    fn new(bounds: &'a Bounds) -> Self {
+        TreeBuilder { bounds, open: Vec::new(), anchors: HashMap::new(), root: None, values_made: 0 }
+    }
+
+    fn handle(&mut self, event: Event, line: u32) -> Result<(), YamlError> {
         match event {
             Event::Scalar(text, style, anchor, tag) => {
-                let tag = suffix(tag);
-                let plain = style == TScalarStyle::Plain && (tag.is_empty() || tag != "str");
-                let node = Node { line, tag, size: 1, kind: Kind::Scalar(text, plain) };
-                self.put(Rc::new(node), anchor)
+                let tag = tag_suffix(tag);
+                let is_plain = style == TScalarStyle::Plain && tag != "str";
+                let node = Node { line, tag, size: 1, kind: Kind::Scalar(text, is_plain) };
+                self.add(Rc::new(node), anchor)
             }
             Event::SequenceStart(anchor, tag) => {
-                self.open(line, anchor, suffix(tag), Children::List(Vec::new()))
+                let children = Children::List(Vec::new());
+                self.open(OpenCollection { line, anchor, tag: tag_suffix(tag), children })
             }
             Event::MappingStart(anchor, tag) => {
-                let children = Children::Map {
-                    entries: Vec::new(),
-                    merges: Vec::new(),
-                    key: None,
-                    seen: HashMap::new(),
-                };
-                self.open(line, anchor, suffix(tag), children)
+                let children = Children::Map(OpenMap::default());
+                self.open(OpenCollection { line, anchor, tag: tag_suffix(tag), children })
             }
             Event::SequenceEnd | Event::MappingEnd => self.close(),
-            Event::Alias(id) => {
-                let Some(node) = self.anchors.get(&id).cloned() else {
-                    return Err(wrong(line, "an alias for what is not complete"));
-                };
-                self.put(node, 0)
-            }
+            Event::Alias(anchor) => match self.anchors.get(&anchor).cloned() {
+                Some(node) => self.add(node, 0),
+                None => Err(YamlError::at(line, "an alias for what is not complete")),
+            },
             _ => Ok(()),
         }
     }
 
-    fn open(&mut self, line: u32, anchor: usize, tag: String, children: Children) -> Result<(), YamlError> {
-        if self.stack.len() >= self.bounds.depth {
-            return Err(wrong(line, format!("lies deeper than {}", self.bounds.depth)));
+    fn open(&mut self, collection: OpenCollection) -> Result<(), YamlError> {
+        let line = collection.line;
+        if self.open.len() >= self.bounds.depth {
+            return Err(YamlError::at(line, format!("lies deeper than {}", self.bounds.depth)));
         }
-        if matches!(self.stack.last(), Some(Open { children: Children::Map { key: None, .. }, .. })) {
-            return Err(wrong(line, "a field whose name is no text"));
+        if let Some(OpenCollection { children: Children::Map(OpenMap { key: None, .. }), .. }) =
+            self.open.last()
+        {
+            return Err(YamlError::at(line, "a field whose name is no text"));
         }
-        self.stack.push(Open { line, anchor, tag, children });
+        self.open.push(collection);
         Ok(())
     }
 
     fn close(&mut self) -> Result<(), YamlError> {
-        let Some(Open { line, anchor, tag, children }) = self.stack.pop() else { return Ok(()) };
+        let Some(OpenCollection { line, anchor, tag, children }) = self.open.pop() else { return Ok(()) };
         let kind = match children {
             Children::List(entries) => Kind::List(entries),
-            Children::Map { mut entries, merges, mut seen, .. } => {
-                // What stands in the map itself goes before what is merged in, and an earlier merge before a later.
-                for merged in merges {
-                    let maps: Vec<Rc<Node>> = match &merged.kind {
-                        Kind::List(list) => list.clone(),
-                        _ => vec![merged],
-                    };
-                    for map in maps {
-                        let fields = map.map().ok_or_else(|| wrong(map.line, "a merge of what is no map"))?;
-                        for field in fields {
-                            if seen.insert(field.name.clone(), field.line).is_none() {
-                                entries.push(field.clone());
-                                self.made += 1;
-                            }
-                        }
-                        if self.made > self.bounds.values {
-                            return Err(self.too_many(line));
-                        }
-                    }
-                }
-                Kind::Map(entries)
-            }
+            Children::Map(map) => Kind::Map(self.merge(map, line)?),
         };
-        let children: u64 = match &kind {
-            Kind::List(list) => list.iter().fold(0, |sum, n| sum.saturating_add(n.size)),
-            Kind::Map(entries) => entries.iter().fold(0, |sum, e| sum.saturating_add(1 + e.value.size)),
-            Kind::Scalar(..) => 0,
-        };
-        let size = children.saturating_add(1);
+        let size = expanded_size(&kind);
         if size > self.bounds.values {
-            return Err(self.too_many(line));
+            return Err(self.too_many_values(line));
         }
-        self.put(Rc::new(Node { line, tag, size, kind }), anchor)
+        self.add(Rc::new(Node { line, tag, size, kind }), anchor)
     }
 
-    fn too_many(&self, line: u32) -> YamlError {
-        wrong(line, format!("holds more than {} values once its aliases are written out", self.bounds.values))
+    /// The entries of a map with merge keys resolved: its own take precedence over merged ones, and an earlier merge over
+    /// a later one.
+    fn merge(&mut self, map: OpenMap, line: u32) -> Result<Vec<Entry>, YamlError> {
+        let OpenMap { mut entries, merges, mut lines_by_name, .. } = map;
+        for merge in merges {
+            let sources = match &merge.kind {
+                Kind::List(list) => list.as_slice(),
+                _ => std::slice::from_ref(&merge),
+            };
+            for source in sources {
+                let Some(merged) = source.map() else {
+                    return Err(YamlError::at(source.line, "a merge of what is no map"));
+                };
+                for entry in merged {
+                    let earlier = lines_by_name.insert(entry.name.clone(), entry.line);
+                    if earlier.is_none() {
+                        entries.push(entry.clone());
+                        self.values_made += 1;
+                    }
+                }
+                if self.values_made > self.bounds.values {
+                    return Err(self.too_many_values(line));
+                }
+            }
+        }
+        Ok(entries)
     }
 
-    fn put(&mut self, node: Rc<Node>, anchor: usize) -> Result<(), YamlError> {
-        self.made += 1;
-        if self.made > self.bounds.values {
-            return Err(self.too_many(node.line));
+    /// Adds a complete node to the collection that is open, or makes it the root.
+    fn add(&mut self, node: Rc<Node>, anchor: AnchorId) -> Result<(), YamlError> {
+        self.values_made += 1;
+        if self.values_made > self.bounds.values {
+            return Err(self.too_many_values(node.line));
         }
         if anchor > 0 {
             self.anchors.insert(anchor, node.clone());
         }
-        let Some(open) = self.stack.last_mut() else {
+        let Some(parent) = self.open.last_mut() else {
             self.root = Some(node);
             return Ok(());
         };
-        match &mut open.children {
+        match &mut parent.children {
             Children::List(list) => list.push(node),
-            Children::Map { entries, merges, key, seen } => match key.take() {
-                None => {
-                    let Kind::Scalar(text, plain) = &node.kind else {
-                        return Err(wrong(node.line, "a field whose name is no text"));
-                    };
-                    let name = if *plain && text == "<<" { "<<".to_owned() } else { text.clone() };
-                    if name != "<<" {
-                        if let Some(first) = seen.get(&name) {
-                            return Err(wrong(
-                                node.line,
-                                format!("{name} is there twice, first on line {first}"),
-                            ));
-                        }
-                        seen.insert(name.clone(), node.line);
-                    }
-                    *key = Some((name, node.line));
-                }
-                Some((name, _)) if name == "<<" => merges.push(node),
-                Some((name, line)) => entries.push(Entry { name, line, value: node }),
-            },
+            Children::Map(map) => map.add(node)?,
         }
         Ok(())
     }
+
+    fn too_many_values(&self, line: u32) -> YamlError {
+        let bound = self.bounds.values;
+        YamlError::at(line, format!("holds more than {bound} values once its aliases are written out"))
+    }
+}
+
+impl OpenMap {
+    /// Adds a key or, if a key is there, its value.
+    fn add(&mut self, node: Rc<Node>) -> Result<(), YamlError> {
+        match self.key.take() {
+            None => self.add_key(&node),
+            Some(key) if key.name == MERGE_KEY => {
+                self.merges.push(node);
+                Ok(())
+            }
+            Some(Key { name, line }) => {
+                self.entries.push(Entry { name, line, value: node });
+                Ok(())
+            }
+        }
+    }
+
+    fn add_key(&mut self, node: &Node) -> Result<(), YamlError> {
+        let line = node.line;
+        let Kind::Scalar(name, _) = &node.kind else {
+            return Err(YamlError::at(line, "a field whose name is no text"));
+        };
+        if name != MERGE_KEY
+            && let Some(first) = self.lines_by_name.insert(name.clone(), line)
+        {
+            return Err(YamlError::at(line, format!("{name} is there twice, first on line {first}")));
+        }
+        self.key = Some(Key { name: name.clone(), line });
+        Ok(())
+    }
+}
+
+fn tag_suffix(tag: Option<Tag>) -> String {
+    tag.map(|tag| tag.suffix).unwrap_or_default()
+}
+
+/// The number of values in a node of that kind, itself included, with aliases expanded.
+fn expanded_size(kind: &Kind) -> u64 {
+    let mut size: u64 = 1;
+    match kind {
+        Kind::Scalar(..) => {}
+        Kind::List(list) => {
+            for node in list {
+                size = size.saturating_add(node.size);
+            }
+        }
+        Kind::Map(entries) => {
+            for entry in entries {
+                size = size.saturating_add(1).saturating_add(entry.value.size);
+            }
+        }
+    }
+    size
 }
