--- a/src/net/chunked.rs
+++ b/src/net/chunked.rs
@@ -1,62 +1,128 @@
-//! Bodies that arrive in chunks.
+//! Decodes HTTP/1.1 bodies in chunked transfer encoding. Clients' requests and discovery's answers use it.
 
 use bytes::{Buf, BytesMut};
+use std::fmt;
 
-/// A body that is not chunked as it should be.
+/// Longest line of trailers or of a chunk's size, in bytes.
+const MAX_LINE_BYTES: usize = 4096;
+
+/// A body that violates the chunked transfer encoding.
 #[derive(Debug)]
-pub struct Malformed;
+pub(super) struct MalformedChunk;
 
-/// Takes chunks apart as they arrive.
-#[derive(Debug, Default)]
-pub struct Chunks {
-    /// Bytes left of the chunk under way.
-    left: u64,
-    /// The line break after a chunk is still to come.
-    after: bool,
-    /// The last chunk has come; trailers may follow.
-    last: bool,
+impl fmt::Display for MalformedChunk {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str("a bad chunk")
+    }
 }
 
-/// A line of trailers or of a chunk's size is no longer than that.
-const LINE_MOST: usize = 4096;
+impl std::error::Error for MalformedChunk {}
+
+/// Whether a body has ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum BodyState {
+    /// More is to come.
+    Incomplete,
+    /// The last chunk and its trailers are in.
+    Complete,
+}
+
+/// What the decoder expects next.
+#[derive(Clone, Copy, Debug, Default)]
+enum Expected {
+    /// A chunk's size.
+    #[default]
+    Size,
+    /// Data of a chunk, so many bytes of it.
+    Data { remaining_bytes: u64 },
+    /// The line break after a chunk.
+    LineBreak,
+    /// Trailers, up to an empty line.
+    Trailers,
+}
 
-impl Chunks {
-    /// Moves what is in of the body from `raw` to `body`; true once the body has ended.
-    pub fn take(&mut self, raw: &mut BytesMut, body: &mut BytesMut) -> Result<bool, Malformed> {
+/// Decodes one body as it arrives.
+#[derive(Debug, Default)]
+pub(super) struct ChunkDecoder {
+    expected: Expected,
+}
+
+impl ChunkDecoder {
+    /// Moves what has arrived of the body from `raw` to `body`.
+    ///
+    /// # Errors
+    /// What arrived is not chunked transfer encoding.
+    pub fn decode(&mut self, raw: &mut BytesMut, body: &mut BytesMut) -> Result<BodyState, MalformedChunk> {
         loop {
-            if self.left > 0 {
-                let n = raw.len().min(usize::try_from(self.left).unwrap_or(usize::MAX));
-                if n == 0 {
-                    return Ok(false);
-                }
-                body.extend_from_slice(&raw.split_to(n));
-                self.left -= n as u64;
-                self.after = self.left == 0;
-            } else if self.after {
-                match raw.get(..2) {
-                    Some(b"\r\n") => raw.advance(2),
-                    Some(_) => return Err(Malformed),
-                    None => return Ok(false),
-                }
-                self.after = false;
-            } else if self.last {
-                let Some(end) = raw.iter().position(|b| *b == b'\n') else {
-                    return if raw.len() > LINE_MOST { Err(Malformed) } else { Ok(false) };
+            let progress = match self.expected {
+                Expected::Size => self.read_size(raw)?,
+                Expected::Data { remaining_bytes } => self.read_data(remaining_bytes, raw, body),
+                Expected::LineBreak => self.read_line_break(raw)?,
+                Expected::Trailers => read_trailer(raw)?,
+            };
+            match progress {
+                Progress::Advanced => {}
+                Progress::NeedsInput => return Ok(BodyState::Incomplete),
+                Progress::BodyEnded => return Ok(BodyState::Complete),
+            }
+        }
+    }
+
+    fn read_size(&mut self, raw: &mut BytesMut) -> Result<Progress, MalformedChunk> {
+        match httparse::parse_chunk_size(raw) {
+            Ok(httparse::Status::Complete((used_bytes, size))) => {
+                raw.advance(used_bytes);
+                self.expected = match size {
+                    0 => Expected::Trailers,
+                    size => Expected::Data { remaining_bytes: size },
                 };
-                let line = raw.split_to(end + 1);
-                if line.as_ref() == b"\r\n" || line.as_ref() == b"\n" {
-                    return Ok(true);
-                }
-            } else {
-                match httparse::parse_chunk_size(raw) {
-                    Ok(httparse::Status::Complete((used, size))) => {
-                        raw.advance(used);
-                        (self.left, self.last) = (size, size == 0);
-                    }
-                    Ok(httparse::Status::Partial) if raw.len() <= LINE_MOST => return Ok(false),
-                    _ => return Err(Malformed),
-                }
+                Ok(Progress::Advanced)
             }
+            Ok(httparse::Status::Partial) if raw.len() <= MAX_LINE_BYTES => Ok(Progress::NeedsInput),
+            _ => Err(MalformedChunk),
+        }
+    }
+
+    fn read_data(&mut self, remaining_bytes: u64, raw: &mut BytesMut, body: &mut BytesMut) -> Progress {
+        let taken = raw.len().min(usize::try_from(remaining_bytes).unwrap_or(usize::MAX));
+        if taken == 0 {
+            return Progress::NeedsInput;
         }
+        body.extend_from_slice(&raw.split_to(taken));
+        self.expected = match remaining_bytes - taken as u64 {
+            0 => Expected::LineBreak,
+            remaining_bytes => Expected::Data { remaining_bytes },
+        };
+        Progress::Advanced
+    }
+
+    fn read_line_break(&mut self, raw: &mut BytesMut) -> Result<Progress, MalformedChunk> {
+        match raw.get(..2) {
+            Some(b"\r\n") => {
+                raw.advance(2);
+                self.expected = Expected::Size;
+                Ok(Progress::Advanced)
+            }
+            Some(_) => Err(MalformedChunk),
+            None => Ok(Progress::NeedsInput),
+        }
+    }
+}
+
+/// What one step of the decoder came to.
+enum Progress {
+    Advanced,
+    NeedsInput,
+    BodyEnded,
+}
+
+fn read_trailer(raw: &mut BytesMut) -> Result<Progress, MalformedChunk> {
+    let Some(end) = raw.iter().position(|byte| *byte == b'\n') else {
+        return if raw.len() > MAX_LINE_BYTES { Err(MalformedChunk) } else { Ok(Progress::NeedsInput) };
+    };
+    let line = raw.split_to(end + 1);
+    if line.as_ref() == b"\r\n" || line.as_ref() == b"\n" {
+        return Ok(Progress::BodyEnded);
     }
+    Ok(Progress::Advanced)
 }
--- a/src/net/discovery_watch.rs
+++ b/src/net/discovery_watch.rs
@@ -1,166 +1,358 @@
-//! The watch of discovery's list: one chunked answer of JSON lines, asked for anew whenever it ends.
+//! Watches discovery's endpoint list: one chunked answer of JSON lines, requested again with backoff whenever it ends.
+//! The event loop starts it; each list becomes an event for the aggregator.
 
-use super::chunked::Chunks;
-use super::{Input, ToCore};
+use super::chunked::{BodyState, ChunkDecoder, MalformedChunk};
+use super::messages::{AggregatorStopped, EventSender};
 use crate::aggregator::Event;
-use crate::clock::Clock;
-use crate::clock::Millis;
-use crate::config::node_list;
+use crate::clock::{Clock, Millis};
+use crate::config::{SiteSettings, node_list};
 use crate::endpoints::{DiscoveryTiming, EndpointList};
-use crate::json::{Field, Object};
+use crate::json::{Field, FieldError, Object};
 use bytes::BytesMut;
 use miniserde::json::Value;
 use std::cell::Cell;
-use std::io;
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
+use std::{fmt, io};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
+use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 use tracing::warn;
 
-/// An object that has begun is in by then: against an answer that trickles, on which no silence falls.
-const LINE_WITHIN: Duration = Duration::from_secs(3);
-/// The agent is on this machine: a dial that takes longer is lost.
-const DIAL: Duration = Duration::from_secs(1);
-/// A list is no longer than that: against an answer that never ends a line.
-const LINE_MOST: usize = 4 << 20;
-/// An answer's head is no longer than that.
-const HEAD_MOST: usize = 16 << 10;
-
-/// Watches for as long as the program runs.
-/// The version of the list is kept outside, for a watch at another address that follows this one.
-pub(crate) async fn watch(
+/// A JSON line that has begun is in so long after: against an answer that trickles.
+const LINE_TIMEOUT: Duration = Duration::from_secs(3);
+/// The agent is on this machine: a connection that takes longer is lost.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Longest line: against an answer that never ends one.
+const MAX_LINE_BYTES: usize = 4 << 20;
+/// Longest head of an answer.
+const MAX_HEAD_BYTES: usize = 16 << 10;
+/// Most headers of an answer.
+const MAX_HEADERS: usize = 64;
+
+/// What every watch of one program shares.
+pub(super) struct DiscoverySource {
+    /// The generation of the list that was taken last; a watch at another address goes on from it.
+    pub generation: Rc<Cell<u64>>,
+    /// For jitter.
+    pub seed: u64,
+    pub events: EventSender,
+    pub clock: Rc<Clock>,
+}
+
+/// A running watch; it ends when this is dropped.
+pub(super) struct DiscoveryWatchHandle {
     address: Arc<str>,
-    generation: Rc<Cell<u64>>,
-    mut pace: DiscoveryTiming,
-    to_core: ToCore,
-    clock: Rc<Clock>,
-) {
-    let mut said = String::new();
-    sleep(millis(pace.initial_delay())).await;
-    loop {
-        let mut told = false;
-        if to_core.send(Input::Event(Event::DiscoveryPolled)).await.is_err() {
+    source: DiscoverySource,
+    task: JoinHandle<()>,
+}
+
+impl DiscoveryWatchHandle {
+    /// Starts a watch of discovery at an address.
+    pub fn start(address: Arc<str>, source: DiscoverySource, settings: &SiteSettings) -> Self {
+        let task = source.spawn_watch(address.clone(), settings);
+        DiscoveryWatchHandle { address, source, task }
+    }
+
+    /// Moves the watch to another address; one that stays where it is goes on undisturbed.
+    pub fn follow(&mut self, address: Arc<str>, settings: &SiteSettings) {
+        if address == self.address {
             return;
         }
-        let (end, unreadable) =
-            match watch_once(&address, &generation, &pace, &mut told, &to_core, &clock).await {
-                Ok(()) => ("the watch has ended".to_owned(), false),
-                Err(e) => (e.to_string(), e.kind() == io::ErrorKind::InvalidData),
-            };
-        if end != said {
-            warn!("discovery: {end}");
-            said = end;
+        let task = self.source.spawn_watch(address.clone(), settings);
+        let previous = std::mem::replace(&mut self.task, task);
+        previous.abort();
+        self.address = address;
+    }
+}
+
+impl Drop for DiscoveryWatchHandle {
+    fn drop(&mut self) {
+        self.task.abort();
+    }
+}
+
+impl DiscoverySource {
+    fn spawn_watch(&self, address: Arc<str>, settings: &SiteSettings) -> JoinHandle<()> {
+        let balancer = &settings.balancer;
+        let timing = if balancer.discovery_is_polled {
+            DiscoveryTiming::shared_discovery(self.seed, balancer.aggregators)
+        } else {
+            DiscoveryTiming::local_agent(self.seed, balancer.aggregators)
+        };
+        let watch = DiscoveryWatch {
+            address,
+            generation: self.generation.clone(),
+            timing,
+            events: self.events.clone(),
+            clock: self.clock.clone(),
+        };
+        tokio::task::spawn_local(async move {
+            let Err(AggregatorStopped) = watch.run().await;
+        })
+    }
+}
+
+/// Why a watch has ended before its answer did.
+#[derive(Debug)]
+enum WatchError {
+    Io(io::Error),
+    ConnectTimeout,
+    /// Nothing has arrived for too long, or a line did not end in time.
+    Silent,
+    Status(u16),
+    Malformed(MalformedAnswer),
+    Stopped(AggregatorStopped),
+}
+
+/// What in discovery's answer cannot be read; the last good list stands.
+#[derive(Debug)]
+enum MalformedAnswer {
+    Head(httparse::Error),
+    HeadTooLong,
+    Chunk(MalformedChunk),
+    LineTooLong,
+    Line(&'static str),
+    NotText(std::str::Utf8Error),
+    NotJson,
+    List(FieldError),
+}
+
+impl fmt::Display for WatchError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Io(error) => error.fmt(f),
+            Self::ConnectTimeout => f.write_str("the connection was not up in time"),
+            Self::Silent => f.write_str("the watch has fallen silent"),
+            Self::Status(code) => write!(f, "answered {code}"),
+            Self::Malformed(problem) => problem.fmt(f),
+            Self::Stopped(error) => error.fmt(f),
         }
-        if to_core.send(Input::Event(Event::DiscoveryWatchLost { unreadable })).await.is_err() {
-            return;
+    }
+}
+
+impl fmt::Display for MalformedAnswer {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Head(error) => error.fmt(f),
+            Self::HeadTooLong => f.write_str("a head without an end"),
+            Self::Chunk(error) => error.fmt(f),
+            Self::LineTooLong => f.write_str("a line without an end"),
+            Self::Line(problem) => f.write_str(problem),
+            Self::NotText(error) => error.fmt(f),
+            Self::NotJson => f.write_str("a line that is not JSON"),
+            Self::List(error) => error.fmt(f),
         }
-        sleep(millis(pace.next_delay(told))).await;
     }
 }
 
-fn millis(time: Millis) -> Duration {
-    Duration::from_secs_f64(time / 1e3)
+impl std::error::Error for WatchError {}
+impl std::error::Error for MalformedAnswer {}
+
+impl From<io::Error> for WatchError {
+    fn from(error: io::Error) -> Self {
+        Self::Io(error)
+    }
 }
 
-fn malformed(what: impl Into<Box<dyn std::error::Error + Send + Sync>>) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, what)
-}
-
-async fn watch_once(
-    address: &str,
-    generation: &Cell<u64>,
-    pace: &DiscoveryTiming,
-    told: &mut bool,
-    to_core: &ToCore,
-    clock: &Clock,
-) -> io::Result<()> {
-    let mut stream = timeout(DIAL, TcpStream::connect(address)).await??;
-    let after = generation.get();
-    let request = format!(
-        "GET /v1/servers?watch=1&after={after} HTTP/1.1\r\nHost: {address}\r\nAccept: application/json\r\n\r\n"
-    );
-    stream.write_all(request.as_bytes()).await?;
-    let (mut raw, mut body) = (BytesMut::new(), BytesMut::new());
-    // All of it within one silence: an overbooked discovery may trickle.
-    let by = Instant::now() + millis(pace.response_timeout());
-    let mut chunks = loop {
-        if let Some(chunks) = head(&mut raw)? {
-            break chunks;
-        }
-        read(&mut stream, &mut raw, by).await?;
-    };
-    let (mut begun, mut object) = (None, Object::default());
-    loop {
-        let ended = match &mut chunks {
-            Some(chunks) => chunks.take(&mut raw, &mut body).map_err(|_| malformed("a bad chunk"))?,
-            None => {
-                body.unsplit(raw.split());
-                false
+impl From<MalformedAnswer> for WatchError {
+    fn from(problem: MalformedAnswer) -> Self {
+        Self::Malformed(problem)
+    }
+}
+
+impl From<AggregatorStopped> for WatchError {
+    fn from(error: AggregatorStopped) -> Self {
+        Self::Stopped(error)
+    }
+}
+
+struct DiscoveryWatch {
+    address: Arc<str>,
+    generation: Rc<Cell<u64>>,
+    timing: DiscoveryTiming,
+    events: EventSender,
+    clock: Rc<Clock>,
+}
+
+impl DiscoveryWatch {
+    /// Watches for as long as the program runs.
+    async fn run(mut self) -> Result<std::convert::Infallible, AggregatorStopped> {
+        let mut last_logged = String::new();
+        sleep(duration(self.timing.initial_delay())).await;
+        loop {
+            self.events.send(Event::DiscoveryPolled).await?;
+            let mut has_answered = false;
+            let result = self.watch_once(&mut has_answered).await;
+            let unreadable = matches!(result, Err(WatchError::Malformed(_)));
+            let reason = match result {
+                Ok(()) => "the watch has ended".to_owned(),
+                Err(error) => error.to_string(),
+            };
+            if reason != last_logged {
+                warn!("discovery: {reason}");
+                last_logged = reason;
             }
-        };
-        while let Some(end) = object.end(&body).map_err(malformed)? {
-            let list = parse(&body.split_to(end))?;
-            object = Object::default();
-            // Kept for the next watch only once the list has been taken.
-            let next = list.generation;
-            let event = Event::EndpointList { list, wall_ahead: clock.wall_ahead() };
-            to_core.send(Input::Event(event)).await.map_err(io::Error::other)?;
-            generation.set(next);
-            *told = true;
+            self.events.send(Event::DiscoveryWatchLost { unreadable }).await?;
+            sleep(duration(self.timing.next_delay(has_answered))).await;
         }
-        if object.is_outside() {
-            // A line that is empty says that the watch lives.
-            *told |= !body.is_empty();
-            (object, body) = (Object::default(), BytesMut::new());
+    }
+
+    /// One request and its answer; `has_answered` is set once anything of the answer's body has arrived.
+    async fn watch_once(&self, has_answered: &mut bool) -> Result<(), WatchError> {
+        let mut stream = self.request().await?;
+        let mut raw = BytesMut::new();
+        // One timeout for all of the head: an overloaded discovery may trickle.
+        let deadline = Instant::now() + duration(self.timing.response_timeout());
+        let decoder = read_head(&mut stream, &mut raw, deadline).await?;
+        let mut body = BodyReader { decoder, body: BytesMut::new(), object: Object::default() };
+        let mut line_begun: Option<Instant> = None;
+        loop {
+            let state = body.decode(&mut raw)?;
+            while let Some(list) = body.next_list()? {
+                self.send_list(list).await?;
+                *has_answered = true;
+            }
+            *has_answered |= body.skip_empty_lines();
+            if state == BodyState::Complete {
+                return Ok(());
+            }
+            if body.body.len() > MAX_LINE_BYTES {
+                return Err(MalformedAnswer::LineTooLong.into());
+            }
+            let now = Instant::now();
+            if body.object.is_outside() && raw.is_empty() {
+                line_begun = None;
+            } else {
+                line_begun.get_or_insert(now);
+            }
+            let silence =
+                if *has_answered { self.timing.watch_timeout() } else { self.timing.response_timeout() };
+            let silent_at = now + duration(silence);
+            let deadline = line_begun.map_or(silent_at, |begun| silent_at.min(begun + LINE_TIMEOUT));
+            read(&mut stream, &mut raw, deadline).await?;
         }
-        if ended {
-            return Ok(());
+    }
+
+    async fn request(&self) -> Result<TcpStream, WatchError> {
+        let address = &*self.address;
+        let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
+        let mut stream = connected.map_err(|_| WatchError::ConnectTimeout)??;
+        let generation = self.generation.get();
+        let request = format!(
+            "GET /v1/servers?watch=1&after={generation} HTTP/1.1\r\nHost: {address}\r\nAccept: application/json\r\n\r\n"
+        );
+        stream.write_all(request.as_bytes()).await?;
+        Ok(stream)
+    }
+
+    /// The generation is kept for the next watch only once the aggregator has the list.
+    async fn send_list(&self, list: EndpointList) -> Result<(), AggregatorStopped> {
+        let generation = list.generation;
+        let wall_ahead = self.clock.wall_ahead();
+        self.events.send(Event::EndpointList { list, wall_ahead }).await?;
+        self.generation.set(generation);
+        Ok(())
+    }
+}
+
+/// Takes lists out of the answer's body as it arrives.
+struct BodyReader {
+    /// None where the body comes without chunks and ends with the connection.
+    decoder: Option<ChunkDecoder>,
+    body: BytesMut,
+    object: Object,
+}
+
+impl BodyReader {
+    /// Moves what has arrived into the body.
+    fn decode(&mut self, raw: &mut BytesMut) -> Result<BodyState, MalformedAnswer> {
+        match &mut self.decoder {
+            Some(decoder) => decoder.decode(raw, &mut self.body).map_err(MalformedAnswer::Chunk),
+            None => {
+                self.body.unsplit(raw.split());
+                Ok(BodyState::Incomplete)
+            }
         }
-        if body.len() > LINE_MOST {
-            return Err(malformed("a line without an end"));
+    }
+
+    fn next_list(&mut self) -> Result<Option<EndpointList>, MalformedAnswer> {
+        let Some(end) = self.object.end(&self.body).map_err(MalformedAnswer::Line)? else { return Ok(None) };
+        let list = parse_list(&self.body.split_to(end))?;
+        self.object = Object::default();
+        Ok(Some(list))
+    }
+
+    /// Drops what is outside of objects; whether there was any. Discovery sends empty lines as a heartbeat.
+    fn skip_empty_lines(&mut self) -> bool {
+        if !self.object.is_outside() {
+            return false;
         }
-        let now = Instant::now();
-        begun = if object.is_outside() && raw.is_empty() { None } else { begun.or(Some(now)) };
-        let silent = now + millis(if *told { pace.watch_timeout() } else { pace.response_timeout() });
-        let by = begun.map_or(silent, |begun| (begun + LINE_WITHIN).min(silent));
-        read(&mut stream, &mut raw, by).await?;
+        let has_skipped = !self.body.is_empty();
+        self.object = Object::default();
+        self.body = BytesMut::new();
+        has_skipped
+    }
+}
+
+fn duration(time: Millis) -> Duration {
+    Duration::from_secs_f64(time / 1e3)
+}
+
+async fn read(stream: &mut TcpStream, raw: &mut BytesMut, deadline: Instant) -> Result<(), WatchError> {
+    match timeout_at(deadline, stream.read_buf(raw)).await {
+        Ok(Ok(0)) => Err(io::Error::from(io::ErrorKind::UnexpectedEof).into()),
+        Ok(Ok(_)) => Ok(()),
+        Ok(Err(error)) => Err(error.into()),
+        Err(_) => Err(WatchError::Silent),
     }
 }
 
-async fn read(stream: &mut TcpStream, raw: &mut BytesMut, by: Instant) -> io::Result<()> {
-    match timeout_at(by, stream.read_buf(raw)).await {
-        Ok(Ok(0)) => Err(io::ErrorKind::UnexpectedEof.into()),
-        Ok(read) => read.map(drop),
-        Err(_) => Err(io::Error::new(io::ErrorKind::TimedOut, "the watch has fallen silent")),
+/// Reads the answer's head, and gives the decoder of its body where it comes in chunks.
+async fn read_head(
+    stream: &mut TcpStream,
+    raw: &mut BytesMut,
+    deadline: Instant,
+) -> Result<Option<ChunkDecoder>, WatchError> {
+    loop {
+        if let Some(head) = parse_head(raw)? {
+            return Ok(head.is_chunked.then(ChunkDecoder::default));
+        }
+        read(stream, raw, deadline).await?;
     }
 }
 
-/// Takes the answer's head off the input once it is in: how the body comes.
-fn head(raw: &mut BytesMut) -> io::Result<Option<Option<Chunks>>> {
-    let mut headers = [httparse::EMPTY_HEADER; 64];
+/// The head of an answer with status 200.
+struct AnswerHead {
+    is_chunked: bool,
+}
+
+/// Takes the answer's head off the input once it is in.
+fn parse_head(raw: &mut BytesMut) -> Result<Option<AnswerHead>, WatchError> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
-    match response.parse(raw).map_err(malformed)? {
-        httparse::Status::Partial if raw.len() > HEAD_MOST => Err(malformed("a head without an end")),
-        httparse::Status::Partial => Ok(None),
-        httparse::Status::Complete(used) => {
-            let code = response.code.unwrap_or(0);
-            if code != 200 {
-                return Err(io::Error::other(format!("answered {code}")));
-            }
-            let chunked = response.headers.iter().any(|h| {
-                h.name.eq_ignore_ascii_case("transfer-encoding") && h.value.eq_ignore_ascii_case(b"chunked")
-            });
-            drop(raw.split_to(used));
-            Ok(Some(chunked.then(Chunks::default)))
+    let head_bytes = match response.parse(raw).map_err(MalformedAnswer::Head)? {
+        httparse::Status::Complete(head_bytes) => head_bytes,
+        httparse::Status::Partial if raw.len() > MAX_HEAD_BYTES => {
+            return Err(MalformedAnswer::HeadTooLong.into());
         }
+        httparse::Status::Partial => return Ok(None),
+    };
+    let code = response.code.unwrap_or(0);
+    if code != 200 {
+        return Err(WatchError::Status(code));
     }
+    let is_chunked = response.headers.iter().any(|header| {
+        header.name.eq_ignore_ascii_case("transfer-encoding") && header.value.eq_ignore_ascii_case(b"chunked")
+    });
+    drop(raw.split_to(head_bytes));
+    Ok(Some(AnswerHead { is_chunked }))
 }
 
-fn parse(line: &[u8]) -> io::Result<EndpointList> {
-    let text = std::str::from_utf8(line).map_err(malformed)?;
-    let value: Value = miniserde::json::from_str(text).map_err(|_| malformed("a line that is not JSON"))?;
-    node_list(&Field::root(&value)).map_err(malformed)
+fn parse_list(line: &[u8]) -> Result<EndpointList, MalformedAnswer> {
+    let text = std::str::from_utf8(line).map_err(MalformedAnswer::NotText)?;
+    let value: Value = miniserde::json::from_str(text).map_err(|_| MalformedAnswer::NotJson)?;
+    node_list(&Field::root(&value)).map_err(MalformedAnswer::List)
 }
--- /dev/null
+++ b/src/net/effects.rs
@@ -0,0 +1,243 @@
+//! Carries out the aggregator's effects: sends replies to clients, messages to leaf connections, overrides to the
+//! store. It waits for nobody and decides nothing.
+
+use super::flight;
+use super::hot_restart::HotRestartHandle;
+use super::http::ClientCapacity;
+use super::leaf_connection;
+use super::ledger_writer::{LedgerWriter, PendingReply};
+use super::messages::{ClientMessage, EventSender, LEAF_QUEUE_LENGTH, LeafMessage};
+use crate::aggregator::{AdminCallId, AdminOutcome, ClientId, ConnectionId, Effect, Siblings};
+use crate::clock::Millis;
+use crate::hot_restart::Overrides;
+use crate::ledger::{Entry, LedgerEvent};
+use crate::logging;
+use std::collections::HashMap;
+use std::ops::ControlFlow;
+use std::sync::Arc;
+use tokio::sync::{mpsc, oneshot};
+use tracing::info;
+
+/// Where effects go. The event loop owns it.
+pub(super) struct EffectDispatcher {
+    events: EventSender,
+    clients: HashMap<ClientId, mpsc::Sender<ClientMessage>>,
+    leaf_connections: HashMap<ConnectionId, mpsc::Sender<LeafMessage>>,
+    /// Dropped to stop accepting clients.
+    stop_accepting: Option<oneshot::Sender<()>>,
+    /// Dropped to stop the Flight server, where there is one.
+    stop_flight: Option<oneshot::Sender<()>>,
+    client_capacity: ClientCapacity,
+    /// Admin calls that wait for their answer.
+    admin_calls: HashMap<AdminCallId, oneshot::Sender<AdminOutcome>>,
+    next_admin_call: u64,
+    hot_restart: Option<HotRestartHandle>,
+    ledger: Option<LedgerWriter>,
+    /// Paths of the inventories, for the log.
+    inventory_paths: Vec<Arc<str>>,
+}
+
+/// What an [`EffectDispatcher`] is made of.
+pub(super) struct EffectTargets {
+    pub events: EventSender,
+    pub stop_accepting: oneshot::Sender<()>,
+    pub client_capacity: ClientCapacity,
+    pub hot_restart: Option<HotRestartHandle>,
+    pub ledger: Option<LedgerWriter>,
+    pub inventory_paths: Vec<Arc<str>>,
+}
+
+impl EffectDispatcher {
+    pub fn new(targets: EffectTargets) -> Self {
+        EffectDispatcher {
+            events: targets.events,
+            clients: HashMap::new(),
+            leaf_connections: HashMap::new(),
+            stop_accepting: Some(targets.stop_accepting),
+            stop_flight: None,
+            client_capacity: targets.client_capacity,
+            admin_calls: HashMap::new(),
+            next_admin_call: 0,
+            hot_restart: targets.hot_restart,
+            ledger: targets.ledger,
+            inventory_paths: targets.inventory_paths,
+        }
+    }
+
+    /// Carries out effects in order; breaks at [`Effect::Exit`].
+    pub fn dispatch(&mut self, effects: Vec<Effect>) -> ControlFlow<()> {
+        for effect in effects {
+            self.dispatch_one(effect)?;
+        }
+        ControlFlow::Continue(())
+    }
+
+    fn dispatch_one(&mut self, effect: Effect) -> ControlFlow<()> {
+        match effect {
+            Effect::Reply { client, reply, close } => self.reply(PendingReply { client, reply, close }),
+            Effect::LedgerEntry(client, entry) => self.record_entry(client, entry),
+            Effect::CloseClient(client) => self.close_client(client),
+            Effect::Connect(connection, address) => self.connect(connection, address),
+            Effect::SendCall(connection, parts) => self.send_to_leaf(connection, LeafMessage::Call(parts)),
+            Effect::SendCancellation(connection, attempt) => {
+                self.send_to_leaf(connection, LeafMessage::Cancel(attempt));
+            }
+            Effect::SendHealthCheck(connection) => self.send_to_leaf(connection, LeafMessage::HealthCheck),
+            Effect::CloseConnection(connection) => self.remove_leaf_connection(connection),
+            Effect::StopAccepting => self.stop_accepting(),
+            Effect::SetClientCapacity(connections) => self.client_capacity.resize(connections),
+            Effect::AnswerAdmin(call, outcome) => self.answer_admin(call, outcome),
+            Effect::StoreOverrides(call, overrides) => self.store_overrides(call, overrides),
+            Effect::OverridesApplied(digest) => self.overrides_applied(digest),
+            Effect::LifecycleChanged { from, to, ready } => self.lifecycle_changed(from, to, ready),
+            Effect::Log(event) => logging::aggregator_event(&event),
+            Effect::EndpointAudit(event) => logging::notice(&event, &self.inventory_paths),
+            Effect::Exit => return ControlFlow::Break(()),
+        }
+        ControlFlow::Continue(())
+    }
+
+    /// Registers a client; its replies go to `messages`.
+    pub fn client_opened(&mut self, client: ClientId, messages: mpsc::Sender<ClientMessage>) {
+        self.clients.insert(client, messages);
+    }
+
+    /// Forgets a client whose connection has ended.
+    pub fn client_closed(&mut self, client: ClientId) {
+        self.clients.remove(&client);
+    }
+
+    /// Drops the connection's message queue, at which its task closes the connection and reports its end.
+    pub fn remove_leaf_connection(&mut self, connection: ConnectionId) {
+        self.leaf_connections.remove(&connection);
+    }
+
+    /// Registers an admin call that waits for its answer.
+    pub fn admin_called(&mut self, reply: oneshot::Sender<AdminOutcome>) -> AdminCallId {
+        let call = AdminCallId(self.next_admin_call);
+        self.next_admin_call += 1;
+        self.admin_calls.insert(call, reply);
+        call
+    }
+
+    /// Has the Flight server stop when the clients' listener does.
+    pub fn set_flight_stop(&mut self, stop: oneshot::Sender<()>) {
+        self.stop_flight = Some(stop);
+    }
+
+    /// The other processes of this aggregator at this moment; none where no directory is shared with any.
+    pub fn current_siblings(&self) -> Option<Siblings> {
+        self.hot_restart.as_ref().map(HotRestartHandle::current_siblings)
+    }
+
+    /// Takes note of what the ledger has made durable, and sends the replies that waited for it.
+    pub fn ledger_event(&mut self, event: &LedgerEvent, now: Millis) {
+        if let Some(ledger) = &mut self.ledger {
+            ledger.record_event(event);
+        }
+        self.release_replies(now);
+    }
+
+    /// When the next reply has waited for the ledger long enough.
+    pub fn next_reply_due(&self) -> Option<Millis> {
+        self.ledger.as_ref().and_then(LedgerWriter::next_due)
+    }
+
+    /// Sends the replies whose ledger entries are durable, or that have waited long enough.
+    pub fn release_replies(&mut self, now: Millis) {
+        let Some(ledger) = &mut self.ledger else { return };
+        for reply in ledger.release(now) {
+            self.send_reply(reply);
+        }
+    }
+
+    /// Lets the ledger's thread write what it holds, for a bounded time.
+    pub fn finish_ledger(&mut self) {
+        if let Some(ledger) = self.ledger.take() {
+            ledger.finish();
+        }
+    }
+
+    fn reply(&mut self, reply: PendingReply) {
+        let ready = match &mut self.ledger {
+            Some(ledger) => ledger.hold(reply),
+            None => Some(reply),
+        };
+        if let Some(reply) = ready {
+            self.send_reply(reply);
+        }
+    }
+
+    fn send_reply(&self, PendingReply { client, reply, close }: PendingReply) {
+        if let Some(messages) = self.clients.get(&client) {
+            // A client awaits one reply at a time: its queue has a place for it, or its task has ended.
+            let _ = messages.try_send(ClientMessage::Reply { reply, close });
+        }
+    }
+
+    fn record_entry(&mut self, client: ClientId, entry: Entry) {
+        if let Some(ledger) = &mut self.ledger {
+            ledger.record(client, entry);
+        }
+    }
+
+    fn close_client(&self, client: ClientId) {
+        if let Some(messages) = self.clients.get(&client) {
+            let _ = messages.try_send(ClientMessage::Close);
+        }
+    }
+
+    fn connect(&mut self, connection: ConnectionId, address: Arc<str>) {
+        let (sender, messages) = mpsc::channel(LEAF_QUEUE_LENGTH);
+        self.leaf_connections.insert(connection, sender);
+        let events = self.events.clone();
+        match flight::location(&address) {
+            Some(location) => {
+                tokio::task::spawn_local(flight::leaf_client::run(connection, location, messages, events));
+            }
+            None => {
+                tokio::task::spawn_local(leaf_connection::run(connection, address, messages, events));
+            }
+        }
+    }
+
+    /// A task that takes no more messages has ended, or is to: the aggregator is told of its end.
+    fn send_to_leaf(&mut self, connection: ConnectionId, message: LeafMessage) {
+        let Some(messages) = self.leaf_connections.get(&connection) else { return };
+        if messages.try_send(message).is_err() {
+            self.leaf_connections.remove(&connection);
+        }
+    }
+
+    fn stop_accepting(&mut self) {
+        self.stop_accepting = None;
+        self.stop_flight = None;
+    }
+
+    fn answer_admin(&mut self, call: AdminCallId, outcome: AdminOutcome) {
+        if let Some(reply) = self.admin_calls.remove(&call) {
+            let _ = reply.send(outcome);
+        }
+    }
+
+    fn store_overrides(&mut self, call: AdminCallId, overrides: Overrides) {
+        let Some(reply) = self.admin_calls.remove(&call) else { return };
+        match &self.hot_restart {
+            Some(handle) => handle.store(overrides, reply),
+            None => drop(reply.send(AdminOutcome::Accepted)),
+        }
+    }
+
+    fn overrides_applied(&self, digest: u32) {
+        if let Some(handle) = &self.hot_restart {
+            handle.overrides_applied(digest);
+        }
+    }
+
+    fn lifecycle_changed(&self, from: &str, to: &str, ready: bool) {
+        info!(from, to, "lifecycle changed");
+        if let Some(handle) = &self.hot_restart {
+            handle.set_ready(ready);
+        }
+    }
+}
--- a/src/net/flight/mod.rs
+++ b/src/net/flight/mod.rs
@@ -1,11 +1,15 @@
-//! Arrow Flight on both sides: gateways that pull an answer as a stream, and nodes that answer a part as one.
+//! Arrow Flight on both sides: gateways that pull an answer as a stream, and leaf servers that answer a part as one.
 
-pub(super) mod front;
-pub(super) mod node;
-mod socket;
+mod answer;
+mod http2_channel;
+pub(super) mod leaf_client;
+mod observed_socket;
+pub(super) mod server;
+mod ticket;
+mod write_progress;
 
-/// The host and port of a node that answers by Flight, where its address is a Flight location.
+/// Host and port of a leaf server that answers by Flight; none where its address is no Flight location.
 pub(super) fn location(address: &str) -> Option<String> {
-    let rest = address.strip_prefix("grpc+tcp://").or_else(|| address.strip_prefix("grpc://"))?;
-    Some(rest.to_owned())
+    let authority = address.strip_prefix("grpc+tcp://").or_else(|| address.strip_prefix("grpc://"))?;
+    Some(authority.to_owned())
 }
--- a/src/net/flight/socket.rs
+++ b/src/net/flight/observed_socket.rs
@@ -1,4 +1,4 @@
-//! A socket that carries something along for as long as it is open, and lets it see what becomes of writes.
+//! A socket that owns an observer for as long as it is open, and shows it what becomes of writes.
 
 use std::io;
 use std::pin::Pin;
@@ -7,25 +7,25 @@
 use tokio::net::TcpStream;
 use tonic::transport::server::Connected;
 
-/// What a socket carries.
-pub(super) trait Carried: Unpin {
-    /// A write has come to this.
-    fn written(&self, _poll: &Poll<io::Result<usize>>) {}
+/// Observes a socket's writes.
+pub(super) trait WriteObserver: Unpin {
+    /// A write has had this result.
+    fn on_write(&self, _result: &Poll<io::Result<usize>>) {}
 }
 
-/// A socket and what it carries.
-pub(super) struct Socket<C> {
+/// A socket and its observer, which is dropped when the socket closes.
+pub(super) struct ObservedSocket<O> {
     pub stream: TcpStream,
-    pub carried: C,
+    pub observer: O,
 }
 
-impl<C: Carried> Connected for Socket<C> {
+impl<O: WriteObserver> Connected for ObservedSocket<O> {
     type ConnectInfo = ();
 
     fn connect_info(&self) {}
 }
 
-impl<C: Carried> AsyncRead for Socket<C> {
+impl<O: WriteObserver> AsyncRead for ObservedSocket<O> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -35,15 +35,15 @@
     }
 }
 
-impl<C: Carried> AsyncWrite for Socket<C> {
+impl<O: WriteObserver> AsyncWrite for ObservedSocket<O> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        let poll = Pin::new(&mut self.stream).poll_write(context, bytes);
-        self.carried.written(&poll);
-        poll
+        let result = Pin::new(&mut self.stream).poll_write(context, bytes);
+        self.observer.on_write(&result);
+        result
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
--- /dev/null
+++ b/src/net/flight/server.rs
@@ -0,0 +1,211 @@
+//! The Flight server for gateways: `DoGet` with a ticket that carries the query, `GetFlightInfo` for that ticket.
+
+use super::answer::{self, FlightStream};
+use super::observed_socket::{ObservedSocket, WriteObserver};
+use super::ticket::{self, MAX_TICKET_BYTES, QueryTicket};
+use crate::aggregator::{ClientId, Event, Limits, NewQuery};
+use crate::net::listener::ACCEPT_RETRY_DELAY;
+use crate::net::messages::{AggregatorStopped, CLIENT_QUEUE_LENGTH, ClientMessage, EventSender};
+use arrow_flight::flight_service_server::{FlightService, FlightServiceServer};
+use arrow_flight::{
+    Action, ActionType, Criteria, Empty, FlightData, FlightDescriptor, FlightEndpoint, FlightInfo,
+    HandshakeRequest, HandshakeResponse, PollInfo, PutResult, Result as ActionResult, SchemaAsIpc,
+    SchemaResult, Ticket,
+};
+use futures_util::stream::{self, BoxStream, Stream};
+use std::io;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicU64, Ordering};
+use tokio::net::TcpListener;
+use tokio::sync::{OwnedSemaphorePermit, Semaphore, mpsc, oneshot};
+use tokio::time::sleep;
+use tonic::transport::Server;
+use tonic::{Request, Response, Status, Streaming};
+use tracing::warn;
+
+/// Calls are numbered from here on; the HTTP server numbers its clients below it.
+const FIRST_CLIENT: u64 = 1 << 63;
+/// Most connections of gateways; they come on top of the HTTP server's.
+const MAX_GATEWAY_CONNECTIONS: usize = 16;
+/// The share of gateways' connections: one for so many of the HTTP server's.
+const CLIENTS_PER_GATEWAY: usize = 8;
+/// Calls that may be in flight on one connection.
+const MAX_CALLS_PER_CONNECTION: u32 = 256;
+/// Longest message, with room for what gRPC adds to a ticket.
+const MAX_MESSAGE_BYTES: usize = 2 * MAX_TICKET_BYTES;
+
+type GatewaySocket = ObservedSocket<OwnedSemaphorePermit>;
+
+/// Serves gateways until the sender of `stopped` is dropped.
+pub(crate) async fn serve(
+    listener: TcpListener,
+    events: EventSender,
+    limits: Limits,
+    stopped: oneshot::Receiver<()>,
+) {
+    let connections = (limits.client_connections / CLIENTS_PER_GATEWAY).clamp(1, MAX_GATEWAY_CONNECTIONS);
+    let incoming = accept_gateways(listener, connections);
+    let service =
+        FlightServiceServer::new(QueryService { events, next_client: AtomicU64::new(FIRST_CLIENT) })
+            .max_decoding_message_size(MAX_MESSAGE_BYTES);
+    let server = Server::builder().max_concurrent_streams(MAX_CALLS_PER_CONNECTION).add_service(service);
+    let stopped = async { drop(stopped.await) };
+    if let Err(error) = server.serve_with_incoming_shutdown(incoming, stopped).await {
+        warn!("flight: {error}");
+    }
+}
+
+/// Gateways' connections. Descriptors are bounded: further gateways wait in the listener's queue.
+fn accept_gateways(
+    listener: TcpListener,
+    connections: usize,
+) -> impl Stream<Item = io::Result<GatewaySocket>> {
+    let permits = Arc::new(Semaphore::new(connections));
+    stream::unfold((listener, permits), |(listener, permits)| async {
+        let permit = permits.clone().acquire_owned().await.ok()?;
+        let accepted = match listener.accept().await {
+            Ok((stream, _)) => {
+                let _ = stream.set_nodelay(true);
+                Ok(ObservedSocket { stream, observer: permit })
+            }
+            Err(error) => {
+                sleep(ACCEPT_RETRY_DELAY).await;
+                Err(error)
+            }
+        };
+        Some((accepted, (listener, permits)))
+    })
+}
+
+/// A permit is returned when its connection ends; it observes nothing.
+impl WriteObserver for OwnedSemaphorePermit {}
+
+struct QueryService {
+    events: EventSender,
+    next_client: AtomicU64,
+}
+
+/// A call in flight. The aggregator hears of its end whichever way it comes, a cancellation too.
+struct Call {
+    client: ClientId,
+    events: EventSender,
+    messages: mpsc::Receiver<ClientMessage>,
+}
+
+impl Drop for Call {
+    fn drop(&mut self) {
+        let client = self.client;
+        let events = self.events.clone();
+        tokio::spawn(async move { events.send(Event::ClientClosed(client)).await });
+    }
+}
+
+impl From<AggregatorStopped> for Status {
+    fn from(_: AggregatorStopped) -> Self {
+        Status::unavailable("ending")
+    }
+}
+
+impl QueryService {
+    /// Counts a call that is rejected before the aggregator sees it.
+    async fn reject(&self, status: Status) -> Status {
+        let _ = self.events.send(Event::RequestMalformed(None)).await;
+        status
+    }
+
+    async fn open_call(&self) -> Result<Call, AggregatorStopped> {
+        let client = ClientId(self.next_client.fetch_add(1, Ordering::Relaxed));
+        let (sender, messages) = mpsc::channel(CLIENT_QUEUE_LENGTH);
+        self.events.open_client(client, sender).await?;
+        Ok(Call { client, events: self.events.clone(), messages })
+    }
+}
+
+fn read_query(request: &Request<Ticket>) -> Result<NewQuery, Status> {
+    let time_left = ticket::time_left(request.metadata())?;
+    let ticket = QueryTicket::parse(&request.get_ref().ticket)?;
+    Ok(ticket.into_query(time_left))
+}
+
+#[tonic::async_trait]
+impl FlightService for QueryService {
+    type HandshakeStream = BoxStream<'static, Result<HandshakeResponse, Status>>;
+    type ListFlightsStream = BoxStream<'static, Result<FlightInfo, Status>>;
+    type DoGetStream = FlightStream;
+    type DoPutStream = BoxStream<'static, Result<PutResult, Status>>;
+    type DoExchangeStream = FlightStream;
+    type DoActionStream = BoxStream<'static, Result<ActionResult, Status>>;
+    type ListActionsStream = BoxStream<'static, Result<ActionType, Status>>;
+
+    async fn do_get(&self, request: Request<Ticket>) -> Result<Response<FlightStream>, Status> {
+        let query = match read_query(&request) {
+            Ok(query) => query,
+            Err(status) => return Err(self.reject(status).await),
+        };
+        let mut call = self.open_call().await?;
+        self.events.send(Event::QueryReceived(call.client, query)).await?;
+        loop {
+            match call.messages.recv().await {
+                Some(ClientMessage::Reply { reply, .. }) => return answer::response(reply),
+                // A call ends with its answer in any case.
+                Some(ClientMessage::Close) => {}
+                None => return Err(AggregatorStopped.into()),
+            }
+        }
+    }
+
+    async fn get_flight_info(
+        &self,
+        request: Request<FlightDescriptor>,
+    ) -> Result<Response<FlightInfo>, Status> {
+        let descriptor = request.into_inner();
+        if let Err(error) = QueryTicket::parse(&descriptor.cmd) {
+            return Err(self.reject(error.into()).await);
+        }
+        let ticket = Ticket { ticket: descriptor.cmd.clone() };
+        let info = FlightInfo::new()
+            .try_with_schema(&answer::schema(true))
+            .map_err(|error| Status::internal(error.to_string()))?;
+        let endpoint = FlightEndpoint::new().with_ticket(ticket);
+        Ok(Response::new(info.with_descriptor(descriptor).with_endpoint(endpoint)))
+    }
+
+    async fn get_schema(&self, _: Request<FlightDescriptor>) -> Result<Response<SchemaResult>, Status> {
+        let options = arrow_ipc::writer::IpcWriteOptions::default();
+        let result = SchemaAsIpc::new(&answer::schema(true), &options).try_into();
+        result
+            .map(Response::new)
+            .map_err(|error: arrow_schema::ArrowError| Status::internal(error.to_string()))
+    }
+
+    async fn handshake(
+        &self,
+        _: Request<Streaming<HandshakeRequest>>,
+    ) -> Result<Response<Self::HandshakeStream>, Status> {
+        Err(Status::unimplemented("handshake"))
+    }
+
+    async fn list_flights(&self, _: Request<Criteria>) -> Result<Response<Self::ListFlightsStream>, Status> {
+        Err(Status::unimplemented("list_flights"))
+    }
+
+    async fn poll_flight_info(&self, _: Request<FlightDescriptor>) -> Result<Response<PollInfo>, Status> {
+        Err(Status::unimplemented("poll_flight_info"))
+    }
+
+    async fn do_put(&self, _: Request<Streaming<FlightData>>) -> Result<Response<Self::DoPutStream>, Status> {
+        Err(Status::unimplemented("do_put"))
+    }
+
+    async fn do_exchange(&self, _: Request<Streaming<FlightData>>) -> Result<Response<FlightStream>, Status> {
+        Err(Status::unimplemented("do_exchange"))
+    }
+
+    async fn do_action(&self, _: Request<Action>) -> Result<Response<Self::DoActionStream>, Status> {
+        Err(Status::unimplemented("do_action"))
+    }
+
+    async fn list_actions(&self, _: Request<Empty>) -> Result<Response<Self::ListActionsStream>, Status> {
+        Err(Status::unimplemented("list_actions"))
+    }
+}
--- a/src/net/hot_restart.rs
+++ b/src/net/hot_restart.rs
@@ -1,13 +1,11 @@
-//! Keeps the operators' orders where all processes of this mixer find them, and looks who they are: a thread beside
-//! the event loop, which never waits for a disk. What is kept and shared is up to [`crate::hot_restart`].
+//! Shares overrides and readiness with the other processes of this aggregator, on a thread beside the event loop, which
+//! never waits for a disk. What is stored and shared, and how, is up to [`crate::hot_restart`].
 
-use super::{Input, ToCore};
+use super::messages::{AggregatorStopped, EventSender};
 use crate::aggregator::{AdminOutcome, Event, Siblings};
-use crate::balancer::Millis;
-use crate::clock::Clock;
+use crate::clock::{Clock, Millis};
 use crate::hot_restart::{
-    Override, OverrideSubject, Overrides, ProcessSlot, ProcessStatus, SharedDirectory, Sibling,
-    StoredOverrides, snapshot,
+    Overrides, ProcessSlot, ProcessStatus, SharedDirectory, Sibling, StoredOverrides, snapshot,
 };
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
@@ -18,235 +16,272 @@
 use tokio::sync::oneshot;
 use tracing::{debug, error, info, warn};
 
-/// The folder is looked at so often on average, by one call to the system while nothing changes: often enough for an
-/// order to hold everywhere within a second, and no load where hundreds of mixers share a machine's cores.
-const LOOK: Duration = Duration::from_millis(200);
-/// And so often while there are other processes, and while a call waits for them.
-const LOOK_BESIDE: Duration = Duration::from_millis(40);
-const LOOK_WAITING: Duration = Duration::from_millis(5);
-/// A call waits for the other processes for so long: an answer is owed within 1 s, and the order counts from then on.
-const OTHERS_WITHIN: Duration = Duration::from_millis(600);
-/// What has been back for so long is let go of in the file; every process has read it hundreds of times.
-const REMEMBERED: Millis = 600_000.0;
-
-/// What the thread is told.
-enum ToKeeper {
-    /// Keep these, then answer.
-    Keep(Overrides, oneshot::Sender<AdminOutcome>),
-    /// The kept orders of a digest are in force.
-    InForce(u32),
+/// Mean interval between polls of the shared directory: one system call while nothing changes, and overrides hold in
+/// every process within a second.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// Mean interval while there are other processes.
+const POLL_INTERVAL_WITH_SIBLINGS: Duration = Duration::from_millis(40);
+/// Interval while an admin call waits for other processes.
+const POLL_INTERVAL_WITH_CALLS: Duration = Duration::from_millis(5);
+/// An admin call waits so long for the other processes, and is answered then: the override is stored already.
+const SIBLINGS_TIMEOUT: Duration = Duration::from_millis(600);
+/// Overrides that were cancelled so long ago are dropped from the file; every process has read it by then.
+const CANCELLED_RETENTION: Millis = 600_000.0;
+
+/// A command for the store's thread.
+enum StoreCommand {
+    /// Store these, then answer.
+    Store { overrides: Overrides, reply: oneshot::Sender<AdminOutcome> },
+    /// The overrides of this digest are in force here.
+    OverridesApplied { digest: u32 },
     /// Whether this process could serve.
-    Ready(bool),
+    SetReady { ready: bool },
 }
 
-/// The way to the thread.
-pub(crate) struct Keeper {
-    to: Sender<ToKeeper>,
-    folder: SharedDirectory,
-    seat: Option<usize>,
+/// The event loop's end of the store.
+pub(super) struct HotRestartHandle {
+    commands: Sender<StoreCommand>,
+    directory: SharedDirectory,
+    slot: Option<usize>,
 }
 
-impl Keeper {
-    /// Starts the thread on a folder; what is kept there comes first, for the time before any client.
+impl HotRestartHandle {
+    /// Starts the thread on a directory, and gives the overrides that are stored there: they are to be in force before
+    /// any client is served.
+    ///
+    /// # Errors
+    /// The directory cannot be read, or the thread cannot be started.
     pub fn start(
-        folder: SharedDirectory,
+        directory: SharedDirectory,
         seed: u64,
-        to_core: ToCore,
+        events: EventSender,
         clock: Clock,
     ) -> io::Result<(Self, Overrides)> {
-        let orders = told(folder.read_overrides()?);
-        let seat = folder.acquire_slot()?;
-        let number = seat.as_ref().map(ProcessSlot::number);
-        let looks = folder.clone();
-        if seat.is_none() {
-            warn!("no seat is free for this process: others will not see it");
+        let overrides = overrides_of(directory.read_overrides()?);
+        let digest = snapshot::digest(&overrides);
+        let slot = directory.acquire_slot()?;
+        if slot.is_none() {
+            warn!("no process slot is free: other processes will not see this one");
         }
-        let (to, inbox) = channel();
-        let digest = snapshot::digest(&orders);
-        let draw = Pcg64Mcg::seed_from_u64(seed.rotate_left(29));
-        let word = ProcessStatus { ready: false, overrides_digest: digest };
-        let beside = Siblings::default();
-        let keeping = Keeping {
-            folder,
-            seat,
-            word,
-            mark: None,
-            told: digest,
-            beside,
-            waiting: Vec::new(),
-            to_core,
+        let (commands, inbox) = channel();
+        let handle = HotRestartHandle {
+            commands,
+            directory: directory.clone(),
+            slot: slot.as_ref().map(ProcessSlot::number),
+        };
+        let store = OverrideStore {
+            directory,
+            slot,
+            status: ProcessStatus { ready: false, overrides_digest: digest },
+            change_marker: None,
+            known_digest: digest,
+            siblings: Siblings::default(),
+            waiting_calls: Vec::new(),
+            events,
             clock,
-            draw,
+            random: Pcg64Mcg::seed_from_u64(seed.rotate_left(29)),
         };
-        thread::Builder::new().name("orders".to_owned()).spawn(move || keeping.run(&inbox))?;
-        Ok((Keeper { to, folder: looks, seat: number }, orders))
+        thread::Builder::new().name("overrides".to_owned()).spawn(move || store.run(&inbox))?;
+        Ok((handle, overrides))
     }
 
-    /// Keeps orders; the answer is yes once they hold in every process of this mixer that lives.
-    pub fn keep(&self, orders: Overrides, answer: oneshot::Sender<AdminOutcome>) {
-        let _ = self.to.send(ToKeeper::Keep(orders, answer));
+    /// Stores overrides. The reply comes once they are in force in every live process of this aggregator, or after
+    /// [`SIBLINGS_TIMEOUT`].
+    pub fn store(&self, overrides: Overrides, reply: oneshot::Sender<AdminOutcome>) {
+        let _ = self.commands.send(StoreCommand::Store { overrides, reply });
     }
 
-    /// Who lives beside this process, at this moment.
-    pub fn beside(&self) -> Siblings {
-        beside(&self.folder.siblings(self.seat))
+    /// The other live processes at this moment.
+    pub fn current_siblings(&self) -> Siblings {
+        summary(&self.directory.siblings(self.slot))
     }
 
-    pub fn in_force(&self, digest: u32) {
-        let _ = self.to.send(ToKeeper::InForce(digest));
+    /// Publishes that the overrides of a digest are in force here.
+    pub fn overrides_applied(&self, digest: u32) {
+        let _ = self.commands.send(StoreCommand::OverridesApplied { digest });
     }
 
-    pub fn ready(&self, ready: bool) {
-        let _ = self.to.send(ToKeeper::Ready(ready));
+    /// Publishes whether this process could serve.
+    pub fn set_ready(&self, ready: bool) {
+        let _ = self.commands.send(StoreCommand::SetReady { ready });
     }
 }
 
-fn beside(others: &[Sibling]) -> Siblings {
-    let ready = others.iter().any(|o| o.status.as_ref().is_some_and(|w| w.ready));
-    Siblings { others: others.len(), any_ready: ready }
+fn summary(siblings: &[Sibling]) -> Siblings {
+    let is_ready = |sibling: &Sibling| sibling.status.as_ref().is_some_and(|status| status.ready);
+    Siblings { others: siblings.len(), any_ready: siblings.iter().any(is_ready) }
 }
 
-/// The orders of a file; one that is not to be believed is told.
-fn told(found: StoredOverrides) -> Overrides {
-    match found {
+/// The overrides of a stored file; a damaged one is logged and counts as empty.
+fn overrides_of(stored: StoredOverrides) -> Overrides {
+    match stored {
         StoredOverrides::Missing => Overrides::default(),
-        StoredOverrides::Present(orders) => {
-            let is_out = |(_, o): &(&OverrideSubject, &Override)| o.active;
-            debug!(standing = orders.iter().filter(is_out).count(), "kept orders read");
-            orders
+        StoredOverrides::Present(overrides) => {
+            let active = overrides.iter().filter(|(_, entry)| entry.active).count();
+            debug!(active, "stored overrides read");
+            overrides
         }
-        StoredOverrides::MovedAside(path, why) => {
-            error!(path = %path.display(), "the file of orders {why}; moved aside, what it held is not in force");
+        StoredOverrides::MovedAside(path, reason) => {
+            error!(path = %path.display(), "the file of overrides {reason}; moved aside, what it held is not in force");
             Overrides::default()
         }
     }
 }
 
-/// A call whose order is kept, until others hold it too.
-struct Waiting {
-    answer: oneshot::Sender<AdminOutcome>,
-    until: Instant,
+/// An admin call whose override is stored, until the other processes have it in force.
+struct WaitingCall {
+    reply: oneshot::Sender<AdminOutcome>,
+    deadline: Instant,
 }
 
-struct Keeping {
-    folder: SharedDirectory,
-    seat: Option<ProcessSlot>,
-    word: ProcessStatus,
-    /// Of the folder as last read.
-    mark: Option<(i64, i64)>,
-    /// Digest of what the core was last told of it.
-    told: u32,
-    beside: Siblings,
-    waiting: Vec<Waiting>,
-    to_core: ToCore,
+/// What the thread holds.
+struct OverrideStore {
+    directory: SharedDirectory,
+    slot: Option<ProcessSlot>,
+    /// What this process publishes in its slot.
+    status: ProcessStatus,
+    /// The directory's marker when it was last read.
+    change_marker: Option<(i64, i64)>,
+    /// Digest of the stored overrides that the aggregator knows.
+    known_digest: u32,
+    siblings: Siblings,
+    waiting_calls: Vec<WaitingCall>,
+    events: EventSender,
     clock: Clock,
-    draw: Pcg64Mcg,
+    random: Pcg64Mcg,
 }
 
-impl Keeping {
-    fn run(mut self, inbox: &Receiver<ToKeeper>) {
-        self.say();
+impl OverrideStore {
+    /// Runs until the handle is dropped or the event loop has ended.
+    fn run(mut self, commands: &Receiver<StoreCommand>) {
+        self.publish_status();
         loop {
-            // Spread, so that processes started together do not look together.
-            let spread = (self.draw.next_u64() >> 11) as f64 / (1u64 << 53) as f64;
-            let wait = match (self.waiting.is_empty(), self.beside.others) {
-                (false, _) => LOOK_WAITING,
-                (true, 0) => LOOK.mul_f64(0.5 + spread),
-                (true, _) => LOOK_BESIDE.mul_f64(0.5 + spread),
-            };
-            match inbox.recv_timeout(wait) {
-                Ok(ToKeeper::Keep(orders, answer)) => self.keep(&orders, answer),
-                Ok(ToKeeper::InForce(digest)) => {
-                    self.word.overrides_digest = digest;
-                    self.say();
-                }
-                Ok(ToKeeper::Ready(ready)) => {
-                    self.word.ready = ready;
-                    self.say();
-                }
+            let interval = self.next_interval();
+            match commands.recv_timeout(interval) {
+                Ok(command) => self.handle(command),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
-            if self.look().is_err() {
+            if self.poll().is_err() {
                 return;
             }
         }
     }
 
-    fn say(&mut self) {
-        if let Some(Err(e)) = self.seat.as_mut().map(|seat| seat.publish(&self.word)) {
-            warn!("this process's seat: {e}");
+    /// Jittered, so that processes started together do not poll together.
+    fn next_interval(&mut self) -> Duration {
+        let random = (self.random.next_u64() >> 11) as f64 / (1u64 << 53) as f64;
+        let jitter = 0.5 + random;
+        if !self.waiting_calls.is_empty() {
+            POLL_INTERVAL_WITH_CALLS
+        } else if self.siblings.others == 0 {
+            POLL_INTERVAL.mul_f64(jitter)
+        } else {
+            POLL_INTERVAL_WITH_SIBLINGS.mul_f64(jitter)
         }
     }
 
-    fn keep(&mut self, orders: &Overrides, answer: oneshot::Sender<AdminOutcome>) {
-        let now = self.clock.now() + self.clock.wall_ahead();
-        match self.folder.merge_overrides(orders, now - REMEMBERED) {
-            Ok((kept, found)) => {
-                if let StoredOverrides::MovedAside(..) = found {
-                    told(found);
-                }
-                // These are in force already: the core gave them.
-                if kept == *orders {
-                    self.told = snapshot::digest(&kept);
-                    self.word.overrides_digest = self.told;
-                    self.say();
-                }
-                self.waiting.push(Waiting { answer, until: Instant::now() + OTHERS_WITHIN });
+    fn handle(&mut self, command: StoreCommand) {
+        match command {
+            StoreCommand::Store { overrides, reply } => self.store(&overrides, reply),
+            StoreCommand::OverridesApplied { digest } => {
+                self.status.overrides_digest = digest;
+                self.publish_status();
             }
-            // The order holds here all the same; the next process of this mixer will not know.
-            Err(e) => {
-                error!("orders cannot be kept: {e}; they hold in this process alone");
-                let _ = answer.send(AdminOutcome::Accepted);
+            StoreCommand::SetReady { ready } => {
+                self.status.ready = ready;
+                self.publish_status();
             }
         }
     }
 
-    /// Looks for other processes and for orders that they were given.
-    fn look(&mut self) -> Result<(), super::Gone> {
-        let mark = self.folder.change_marker();
-        if mark == self.mark && self.beside.others == 0 && self.waiting.is_empty() {
+    fn publish_status(&mut self) {
+        let Some(slot) = &mut self.slot else { return };
+        if let Err(error) = slot.publish(&self.status) {
+            warn!("this process's slot: {error}");
+        }
+    }
+
+    fn store(&mut self, overrides: &Overrides, reply: oneshot::Sender<AdminOutcome>) {
+        let now = self.clock.now() + self.clock.wall_ahead();
+        let (merged, found) = match self.directory.merge_overrides(overrides, now - CANCELLED_RETENTION) {
+            Ok(merged) => merged,
+            Err(error) => {
+                error!("orders cannot be kept: {error}; overrides hold in this process alone");
+                let _ = reply.send(AdminOutcome::Accepted);
+                return;
+            }
+        };
+        if let StoredOverrides::MovedAside(..) = found {
+            overrides_of(found);
+        }
+        // These are in force here already: the aggregator gave them.
+        if merged == *overrides {
+            self.known_digest = snapshot::digest(&merged);
+            self.status.overrides_digest = self.known_digest;
+            self.publish_status();
+        }
+        self.waiting_calls.push(WaitingCall { reply, deadline: Instant::now() + SIBLINGS_TIMEOUT });
+    }
+
+    /// Checks for other processes and for overrides that were given to them.
+    fn poll(&mut self) -> Result<(), AggregatorStopped> {
+        let change_marker = self.directory.change_marker();
+        let has_changed = change_marker != self.change_marker;
+        if !has_changed && self.siblings.others == 0 && self.waiting_calls.is_empty() {
             return Ok(());
         }
-        let others = self.folder.siblings(self.seat.as_ref().map(ProcessSlot::number));
-        let beside = beside(&others);
-        if beside != self.beside {
-            info!(
-                others = beside.others,
-                ready = beside.any_ready,
-                "processes of this mixer beside this one"
-            );
-            self.beside = beside;
-            self.tell(Event::SiblingsChanged(beside))?;
+        let siblings = self.directory.siblings(self.slot.as_ref().map(ProcessSlot::number));
+        self.update_siblings(summary(&siblings))?;
+        if has_changed {
+            self.read_overrides(change_marker)?;
         }
-        if mark != self.mark {
-            match self.folder.read_overrides() {
-                Ok(found) => {
-                    self.mark = mark;
-                    let orders = told(found);
-                    let digest = snapshot::digest(&orders);
-                    if digest != self.told {
-                        self.told = digest;
-                        self.tell(Event::OverridesLoaded(orders, digest))?;
-                    }
-                }
-                Err(e) => warn!("the file of orders: {e}"),
+        self.answer_calls(&siblings);
+        Ok(())
+    }
+
+    fn update_siblings(&mut self, siblings: Siblings) -> Result<(), AggregatorStopped> {
+        if siblings == self.siblings {
+            return Ok(());
+        }
+        info!(others = siblings.others, ready = siblings.any_ready, "sibling processes changed");
+        self.siblings = siblings;
+        self.events.blocking_send(Event::SiblingsChanged(siblings))
+    }
+
+    fn read_overrides(&mut self, change_marker: Option<(i64, i64)>) -> Result<(), AggregatorStopped> {
+        let stored = match self.directory.read_overrides() {
+            Ok(stored) => stored,
+            Err(error) => {
+                warn!("the file of overrides: {error}");
+                return Ok(());
             }
+        };
+        self.change_marker = change_marker;
+        let overrides = overrides_of(stored);
+        let digest = snapshot::digest(&overrides);
+        if digest == self.known_digest {
+            return Ok(());
         }
-        let behind = |o: &Sibling| o.status.as_ref().is_none_or(|w| w.overrides_digest != self.told);
-        let all = self.word.overrides_digest == self.told && !others.iter().any(behind);
+        self.known_digest = digest;
+        self.events.blocking_send(Event::OverridesLoaded(overrides, digest))
+    }
+
+    /// Answers the admin calls whose overrides are in force everywhere, or that have waited long enough.
+    fn answer_calls(&mut self, siblings: &[Sibling]) {
+        let in_force_everywhere = self.status.overrides_digest == self.known_digest
+            && siblings.iter().all(|sibling| self.has_known_overrides(sibling));
         let now = Instant::now();
-        for waiting in std::mem::take(&mut self.waiting) {
-            if all || waiting.until <= now {
-                let _ = waiting.answer.send(AdminOutcome::Accepted);
+        for call in std::mem::take(&mut self.waiting_calls) {
+            if in_force_everywhere || call.deadline <= now {
+                let _ = call.reply.send(AdminOutcome::Accepted);
             } else {
-                self.waiting.push(waiting);
+                self.waiting_calls.push(call);
             }
         }
-        Ok(())
     }
 
-    fn tell(&self, event: Event) -> Result<(), super::Gone> {
-        self.to_core.blocking_send(Input::Event(event)).map_err(|_| super::Gone)
+    fn has_known_overrides(&self, sibling: &Sibling) -> bool {
+        sibling.status.as_ref().is_some_and(|status| status.overrides_digest == self.known_digest)
     }
 }
--- /dev/null
+++ b/src/net/leaf_connection/mod.rs
@@ -0,0 +1,238 @@
+//! Connections to leaf servers in the platform's frames. The effect dispatcher starts a task for each connection and
+//! sends it messages; the task reports to the aggregator what was written and what was answered.
+
+mod attempt_names;
+mod frame;
+mod load_report;
+mod output;
+
+pub(super) use load_report::parse_load_report;
+
+use super::messages::{EventSender, LeafMessage};
+use crate::aggregator::{CallPart, ConnectionId, Event};
+use attempt_names::AttemptNames;
+use bytes::{BufMut, BytesMut};
+use frame::{Answer, HealthReport, LeafFrame, ProtocolError};
+use output::OutputBuffer;
+use std::io;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::io::Interest;
+use tokio::net::TcpStream;
+use tokio::sync::mpsc;
+use tokio::time::{Instant, sleep_until};
+
+/// A frame is in so long after its first byte: against one whose length is wrong, behind which nothing is heard.
+const FRAME_TIMEOUT: Duration = Duration::from_millis(250);
+/// Bytes read at once.
+const READ_BYTES: usize = 16 << 10;
+
+/// Why a connection has ended.
+enum ConnectionEnd {
+    /// The aggregator has closed it.
+    Closed,
+    Io(io::Error),
+    Protocol(ProtocolError),
+}
+
+impl From<io::Error> for ConnectionEnd {
+    fn from(error: io::Error) -> Self {
+        ConnectionEnd::Io(error)
+    }
+}
+
+impl From<ProtocolError> for ConnectionEnd {
+    fn from(error: ProtocolError) -> Self {
+        ConnectionEnd::Protocol(error)
+    }
+}
+
+/// Serves one connection until either side ends it, and reports its end once it is closed.
+pub(super) async fn run(
+    connection: ConnectionId,
+    address: Arc<str>,
+    messages: mpsc::Receiver<LeafMessage>,
+    events: EventSender,
+) {
+    let (reason, protocol_error) = match connect(connection, &address, messages, &events).await {
+        ConnectionEnd::Closed => (String::new(), false),
+        ConnectionEnd::Io(error) => (error.to_string(), false),
+        ConnectionEnd::Protocol(error) => (error.to_string(), true),
+    };
+    let _ = events.send(Event::ConnectionEnded { connection, reason, protocol_error }).await;
+}
+
+async fn connect(
+    id: ConnectionId,
+    address: &str,
+    mut messages: mpsc::Receiver<LeafMessage>,
+    events: &EventSender,
+) -> ConnectionEnd {
+    let stream = tokio::select! {
+        connected = TcpStream::connect(address) => match connected {
+            Ok(stream) => stream,
+            Err(error) => return ConnectionEnd::Io(error),
+        },
+        // Until the connection is up, the aggregator sends nothing on it and can only close it.
+        _ = messages.recv() => return ConnectionEnd::Closed,
+    };
+    let _ = stream.set_nodelay(true);
+    let _ = events.send(Event::Connected(id)).await;
+    let mut connection = LeafConnection::new(id, events);
+    let end = connection.serve(&stream, &mut messages).await;
+    if !matches!(end, ConnectionEnd::Io(_)) {
+        // A close takes effect at once: nothing that is cancelled by it may leave later.
+        let _ = stream.set_zero_linger();
+    }
+    end
+}
+
+/// A connection that is up.
+struct LeafConnection<'a> {
+    id: ConnectionId,
+    events: &'a EventSender,
+    output: OutputBuffer,
+    input: BytesMut,
+    /// When the frame began to arrive that is not complete.
+    frame_begun: Option<Instant>,
+    attempts: AttemptNames,
+}
+
+impl<'a> LeafConnection<'a> {
+    fn new(id: ConnectionId, events: &'a EventSender) -> Self {
+        LeafConnection {
+            id,
+            events,
+            output: OutputBuffer::default(),
+            input: BytesMut::new(),
+            frame_begun: None,
+            attempts: AttemptNames::default(),
+        }
+    }
+
+    async fn serve(
+        &mut self,
+        stream: &TcpStream,
+        messages: &mut mpsc::Receiver<LeafMessage>,
+    ) -> ConnectionEnd {
+        loop {
+            if let Err(end) = self.step(stream, messages).await {
+                return end;
+            }
+        }
+    }
+
+    /// Waits for a message or for the socket, and handles it.
+    async fn step(
+        &mut self,
+        stream: &TcpStream,
+        messages: &mut mpsc::Receiver<LeafMessage>,
+    ) -> Result<(), ConnectionEnd> {
+        let interest =
+            if self.output.is_empty() { Interest::READABLE } else { Interest::READABLE | Interest::WRITABLE };
+        let frame_deadline = self.frame_begun.unwrap_or_else(Instant::now) + FRAME_TIMEOUT;
+        tokio::select! {
+            message = messages.recv() => {
+                let Some(message) = message else { return Err(ConnectionEnd::Closed) };
+                self.encode(message);
+                self.write(stream).await
+            }
+            ready = stream.ready(interest) => {
+                if ready?.is_writable() && !self.output.is_empty() {
+                    self.write(stream).await
+                } else {
+                    self.read(stream).await
+                }
+            }
+            () = sleep_until(frame_deadline), if self.frame_begun.is_some() => {
+                Err(ProtocolError::IncompleteFrame.into())
+            }
+        }
+    }
+
+    /// Puts a message into the output.
+    fn encode(&mut self, message: LeafMessage) {
+        match message {
+            LeafMessage::Call(parts) if parts.is_empty() => {}
+            LeafMessage::Call(parts) => {
+                let mut body = BytesMut::new();
+                for part in parts {
+                    self.encode_part(&mut body, part);
+                }
+                self.output.push_frame(frame::CALL, &body);
+            }
+            LeafMessage::Cancel(attempt) => {
+                if let Some(name) = self.attempts.remove_in_flight(attempt) {
+                    self.output.push_frame(frame::CANCEL, name.as_bytes());
+                    self.attempts.insert_cancelled(name, attempt);
+                }
+            }
+            LeafMessage::HealthCheck => self.output.push_frame(frame::HEALTH, b""),
+        }
+        self.output.end_message();
+    }
+
+    fn encode_part(&mut self, body: &mut BytesMut, part: CallPart) {
+        let name = format!("{}.{}", part.query, part.shard);
+        let timeout_ms = part.timeout.max(1.0).ceil();
+        let key = part.idempotency_key.map(|key| format!(",k={key}")).unwrap_or_default();
+        let payload = part.payload.as_bytes();
+        let line = format!("{name} {} d={timeout_ms}{key} {}\n", part.shard, payload.len());
+        body.put(line.as_bytes());
+        body.put(payload);
+        self.attempts.insert(name, part.attempt);
+    }
+
+    /// Writes what the leaf server takes now and reports which messages are written completely.
+    async fn write(&mut self, stream: &TcpStream) -> Result<(), ConnectionEnd> {
+        let written_before = self.output.written_messages();
+        let result = self.output.write(stream);
+        let written = self.output.written_messages();
+        if written > written_before {
+            let _ = self.events.send(Event::Written(self.id, written)).await;
+        }
+        Ok(result?)
+    }
+
+    async fn read(&mut self, stream: &TcpStream) -> Result<(), ConnectionEnd> {
+        self.input.reserve(READ_BYTES);
+        match stream.try_read_buf(&mut self.input) {
+            Ok(0) => return Err(io::Error::from(io::ErrorKind::UnexpectedEof).into()),
+            Ok(_) => {}
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(()),
+            Err(error) => return Err(error.into()),
+        }
+        while let Some(frame) = frame::next_frame(&mut self.input)? {
+            self.frame_begun = None;
+            let event = match frame.decode()? {
+                LeafFrame::Answer(answer) => self.answered(answer)?,
+                LeafFrame::Health(report) => self.health_checked(report),
+            };
+            let _ = self.events.send(event).await;
+        }
+        if self.input.is_empty() {
+            // A large frame's buffer is not kept for the connection's lifetime.
+            self.input = BytesMut::new();
+            self.frame_begun = None;
+        } else {
+            self.frame_begun.get_or_insert_with(Instant::now);
+        }
+        Ok(())
+    }
+
+    /// An answer under an unknown name may be that to an attempt which would then be awaited in vain.
+    fn answered(&mut self, answer: Answer<'_>) -> Result<Event, ProtocolError> {
+        let attempt = self.attempts.remove(answer.attempt_name).ok_or(ProtocolError::UnknownAttempt)?;
+        Ok(Event::AttemptAnswered {
+            connection: self.id,
+            attempt,
+            outcome: answer.outcome,
+            rows: vec![answer.value],
+            report: answer.report,
+        })
+    }
+
+    fn health_checked(&self, HealthReport { healthy, report }: HealthReport) -> Event {
+        Event::HealthCheckEnded { connection: self.id, healthy, report }
+    }
+}
--- a/src/net/ledger_writer.rs
+++ b/src/net/ledger_writer.rs
@@ -1,9 +1,9 @@
-//! Keeps the ledger beside the event loop: entries go to a thread of their own, and in strict mode replies wait until
-//! theirs is safe, or for a stated time.
+//! Starts the ledger's thread and passes entries to it. In strict mode replies wait here until their entry is durable,
+//! or for a bounded time. The effect dispatcher owns it.
 
-use super::{Input, ToCore};
+use super::messages::EventSender;
 use crate::aggregator::{ClientId, Reply};
-use crate::clock::Clock;
+use crate::clock::{Clock, Millis};
 use crate::config::operator;
 use crate::ledger::{Entry, Handle, LedgerEvent, RealDisk, Store, Writer, queue};
 use std::collections::{HashMap, VecDeque};
@@ -12,132 +12,166 @@
 use std::time::{Duration, Instant};
 use tracing::{error, info, warn};
 
-/// At the end of the program the thread has so long to write what it holds.
-const END: Duration = Duration::from_secs(2);
+/// How long the program's end waits for the thread to write what it holds.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(2);
+/// How often it checks that.
+const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The way to the ledger.
-pub(crate) struct Keeper {
-    handle: Handle,
+/// A reply on its way to a client.
+pub(super) struct PendingReply {
+    pub client: ClientId,
+    pub reply: Reply,
+    /// The connection ends after it.
+    pub close: bool,
+}
+
+/// A reply that waits for its entry.
+struct HeldReply {
+    entry_number: u64,
+    due: Millis,
+    reply: PendingReply,
+}
+
+/// The event loop's end of the ledger.
+pub(super) struct LedgerWriter {
+    entries: Handle,
     thread: JoinHandle<()>,
     clock: Clock,
-    /// How long a reply waits at most; none: not at all.
-    strict: Option<f64>,
-    safe: u64,
-    /// Entries whose reply is yet to come.
-    entered: HashMap<ClientId, u64>,
-    /// Replies that wait: for which entry, until when.
-    waiting: VecDeque<(u64, f64, ClientId, Reply, bool)>,
+    /// How long a reply waits for its entry at most; none where it does not wait.
+    max_reply_wait: Option<Millis>,
+    /// The last entry known to be durable.
+    durable_entry: u64,
+    /// The entry of each client whose reply is yet to come.
+    entry_numbers: HashMap<ClientId, u64>,
+    /// In the order of their entries, and of their due times.
+    held_replies: VecDeque<HeldReply>,
 }
 
-impl Keeper {
+impl LedgerWriter {
     /// Opens the ledger and starts its thread.
-    pub fn start(set: operator::Ledger, mixer: &str, to_core: ToCore, clock: Clock) -> io::Result<Self> {
-        let wall = clock.clone();
-        let now = move || (wall.now() + wall.wall_ahead()) as i64;
-        let disk = RealDisk::own(&set.dir)?;
-        let (store, found) = Store::open(disk, set.calendar, set.options.clone(), mixer, now())
-            .map_err(|e| io::Error::other(format!("ledger {}: {e}", set.dir.display())))?;
-        let dir = set.dir.display().to_string();
+    ///
+    /// # Errors
+    /// The ledger cannot be opened, or the thread cannot be started.
+    pub fn start(
+        settings: operator::Ledger,
+        aggregator: &str,
+        events: EventSender,
+        clock: Clock,
+    ) -> io::Result<Self> {
+        let wall_clock = clock.clone();
+        let unix_now = move || (wall_clock.now() + wall_clock.wall_ahead()) as i64;
+        let directory = settings.dir.display().to_string();
+        let disk = RealDisk::own(&settings.dir)?;
+        let (store, recovery) =
+            Store::open(disk, settings.calendar, settings.options.clone(), aggregator, unix_now())
+                .map_err(|error| io::Error::other(format!("ledger {directory}: {error}")))?;
         info!(
-            dir,
-            records = found.records,
-            torn = found.torn,
-            exports_finished = found.finished,
+            dir = directory,
+            records = recovery.records,
+            torn = recovery.torn,
+            exports_finished = recovery.finished,
             "ledger opened"
         );
-        let (handle, intake) = queue();
-        let tell = move |told: LedgerEvent| {
-            match &told {
-                LedgerEvent::Durable(_) => {}
-                LedgerEvent::WriteFailed(problem) => {
-                    error!(problem, "ledger fails; answers go on, entries wait")
-                }
-                LedgerEvent::Recovered => info!("ledger works again"),
-                LedgerEvent::EntriesLost(gap) => {
-                    error!(
-                        entries = gap.entries,
-                        from = gap.from,
-                        to = gap.to,
-                        reason = gap.reason,
-                        "ledger gap"
-                    );
-                }
-                LedgerEvent::PeriodClosed(period) => info!(period, "period closed"),
-                LedgerEvent::ExportFinished(name) => info!(name, "period exported"),
-            }
-            // The core may be gone, or busy: what is safe now is said again with the next commit.
-            let _ = match told {
-                LedgerEvent::Durable(_) => to_core.try_send(Input::Ledger(told)).is_ok(),
-                told => to_core.blocking_send(Input::Ledger(told)).is_ok(),
-            };
+        let (entries, intake) = queue();
+        let commit_interval = if settings.strict.is_some() { Duration::ZERO } else { settings.every };
+        let on_event = move |event: LedgerEvent| {
+            log_event(&event);
+            forward_event(&events, event);
         };
-        let strict = set.strict;
-        let every = if strict.is_some() { Duration::ZERO } else { set.every };
-        let writer = Writer::new(store, every, &set.options, tell);
-        let run = move || drop(writer.run(intake, now));
+        let writer = Writer::new(store, commit_interval, &settings.options, on_event);
+        let run = move || drop(writer.run(intake, unix_now));
         let thread = thread::Builder::new().name("ledger".to_owned()).spawn(run)?;
-        Ok(Keeper {
-            handle,
+        Ok(LedgerWriter {
+            entries,
             thread,
             clock,
-            strict: strict.map(|d| d.as_secs_f64() * 1e3),
-            safe: 0,
-            entered: HashMap::new(),
-            waiting: VecDeque::new(),
+            max_reply_wait: settings.strict.map(|wait| wait.as_secs_f64() * 1e3),
+            durable_entry: 0,
+            entry_numbers: HashMap::new(),
+            held_replies: VecDeque::new(),
         })
     }
 
-    /// Enters a query's end.
-    pub fn enter(&mut self, client: ClientId, mut entry: Entry) {
+    /// Records the end of a client's query; its reply follows.
+    pub fn record(&mut self, client: ClientId, mut entry: Entry) {
         entry.at += self.clock.wall_ahead() as i64;
-        let number = self.handle.put(entry);
-        if self.strict.is_some() {
-            self.entered.insert(client, number);
+        let number = self.entries.put(entry);
+        if self.max_reply_wait.is_some() {
+            self.entry_numbers.insert(client, number);
         }
     }
 
-    /// A reply is to go out: it comes back unless it waits for its entry.
-    pub fn hold(&mut self, client: ClientId, reply: Reply, close: bool) -> Option<(Reply, bool)> {
-        let number = self.entered.remove(&client);
-        let (Some(number), Some(wait)) = (number.filter(|n| *n > self.safe), self.strict) else {
-            return Some((reply, close));
+    /// Holds a reply that must wait for its entry; gives back one that need not.
+    pub fn hold(&mut self, reply: PendingReply) -> Option<PendingReply> {
+        let entry_number = self.entry_numbers.remove(&reply.client);
+        let Some(entry_number) = entry_number.filter(|number| *number > self.durable_entry) else {
+            return Some(reply);
         };
-        self.waiting.push_back((number, self.clock.now() + wait, client, reply, close));
+        let Some(max_wait) = self.max_reply_wait else { return Some(reply) };
+        let due = self.clock.now() + max_wait;
+        self.held_replies.push_back(HeldReply { entry_number, due, reply });
         None
     }
 
-    /// What the thread told.
-    pub fn told(&mut self, told: &LedgerEvent) {
-        if let LedgerEvent::Durable(number) = told {
-            self.safe = self.safe.max(*number);
+    /// Takes note of an event of the ledger's thread.
+    pub fn record_event(&mut self, event: &LedgerEvent) {
+        if let LedgerEvent::Durable(number) = event {
+            self.durable_entry = self.durable_entry.max(*number);
         }
     }
 
-    /// When a reply has waited for long enough.
-    pub fn due(&self) -> Option<f64> {
-        self.waiting.front().map(|(_, due, ..)| *due)
+    /// When the oldest held reply has waited long enough.
+    pub fn next_due(&self) -> Option<Millis> {
+        self.held_replies.front().map(|held| held.due)
     }
 
-    /// The replies that wait no longer.
-    pub fn release(&mut self, now: f64) -> Vec<(ClientId, Reply, bool)> {
-        let mut free = Vec::new();
-        while let Some((number, due, ..)) = self.waiting.front()
-            && (*number <= self.safe || *due <= now)
-        {
-            if *number > self.safe {
-                warn!(entry = *number, "an answer went out before its entry was safe");
+    /// The replies that need not wait any longer.
+    pub fn release(&mut self, now: Millis) -> Vec<PendingReply> {
+        let mut released = Vec::new();
+        while let Some(oldest) = self.held_replies.pop_front() {
+            let is_durable = oldest.entry_number <= self.durable_entry;
+            if !is_durable && oldest.due > now {
+                self.held_replies.push_front(oldest);
+                break;
+            }
+            if !is_durable {
+                warn!(entry = oldest.entry_number, "an answer went out before its ledger entry was durable");
             }
-            free.extend(self.waiting.pop_front().map(|(_, _, client, reply, close)| (client, reply, close)));
+            released.push(oldest.reply);
+        }
+        released
+    }
+
+    /// Lets the thread write what it holds, for [`SHUTDOWN_TIMEOUT`] at most.
+    pub fn finish(self) {
+        drop(self.entries);
+        let deadline = Instant::now() + SHUTDOWN_TIMEOUT;
+        while !self.thread.is_finished() && Instant::now() < deadline {
+            thread::sleep(SHUTDOWN_POLL_INTERVAL);
         }
-        free
     }
+}
+
+fn log_event(event: &LedgerEvent) {
+    match event {
+        LedgerEvent::Durable(_) => {}
+        LedgerEvent::WriteFailed(problem) => error!(problem, "ledger fails; answers go on, entries wait"),
+        LedgerEvent::Recovered => info!("ledger works again"),
+        LedgerEvent::EntriesLost(gap) => {
+            error!(entries = gap.entries, from = gap.from, to = gap.to, reason = gap.reason, "ledger gap");
+        }
+        LedgerEvent::PeriodClosed(period) => info!(period, "period closed"),
+        LedgerEvent::ExportFinished(name) => info!(name, "period exported"),
+    }
+}
 
-    /// Lets the thread write what it holds, for a while.
-    pub fn end(self) {
-        drop(self.handle);
-        let end = Instant::now() + END;
-        while !self.thread.is_finished() && Instant::now() < end {
-            thread::sleep(Duration::from_millis(5));
+/// Passes an event to the event loop, which may have ended. A `Durable` that finds the queue full is dropped: the next
+/// commit covers it.
+fn forward_event(events: &EventSender, event: LedgerEvent) {
+    match event {
+        LedgerEvent::Durable(_) => events.try_send_ledger(event),
+        event => {
+            let _ = events.blocking_send_ledger(event);
         }
     }
 }
--- a/src/net/read_buffer.rs
+++ b/src/net/read_buffer.rs
@@ -1,5 +1,5 @@
-//! What has come on a client's connection and is not taken yet, and when it came: the time of a request that was sent
-//! ahead runs while those before it are served.
+//! Bytes that have arrived on a client's connection and are not consumed yet, and when they arrived: the deadline of a
+//! pipelined request runs while those before it are served.
 
 use bytes::{Buf, BytesMut};
 use std::collections::VecDeque;
@@ -8,20 +8,27 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// Most bytes read at once.
-const READ: usize = 4 << 10;
-/// Reads so close to each other count as one, of the first one's time: bounds what a client that trickles costs.
-const TOGETHER: Duration = Duration::from_millis(10);
+/// Bytes read at once.
+const READ_BYTES: usize = 4 << 10;
+/// Reads so close to each other count as one, with the time of the first: bounds what a client that trickles costs.
+const READ_MERGE_WINDOW: Duration = Duration::from_millis(10);
 
-/// Bytes in the order they came.
+/// Bytes that arrived in one read, or in several close to each other.
+#[derive(Clone, Copy, Debug)]
+struct Arrival {
+    bytes: usize,
+    at: Instant,
+}
+
+/// Unconsumed bytes in the order of their arrival.
 #[derive(Default)]
-pub(super) struct Received {
+pub(super) struct ReadBuffer {
     bytes: BytesMut,
-    /// How many came when, oldest first; together all that is not taken.
-    reads: VecDeque<(usize, Instant)>,
+    /// Oldest first; their bytes add up to the buffer's length.
+    arrivals: VecDeque<Arrival>,
 }
 
-impl std::ops::Deref for Received {
+impl std::ops::Deref for ReadBuffer {
     type Target = [u8];
 
     fn deref(&self) -> &[u8] {
@@ -29,71 +36,79 @@
     }
 }
 
-impl Received {
-    /// Reads once something is there; none at the end of what comes.
+impl ReadBuffer {
+    /// Reads once something has arrived; 0 at the end of the stream.
+    ///
+    /// # Errors
+    /// The connection is broken.
     pub async fn read(&mut self, stream: &TcpStream) -> io::Result<usize> {
         loop {
             stream.readable().await?;
             match self.try_read(stream) {
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 read => return read,
             }
         }
     }
 
-    /// Reads what is there now.
+    /// Reads what has arrived; 0 at the end of the stream.
+    ///
+    /// # Errors
+    /// `WouldBlock` where nothing has arrived; otherwise the connection is broken.
     pub fn try_read(&mut self, stream: &TcpStream) -> io::Result<usize> {
         // An idle connection holds no buffer: there may be many of them.
         if self.bytes.is_empty() {
             self.bytes = BytesMut::new();
         }
-        self.bytes.reserve(READ);
+        self.bytes.reserve(READ_BYTES);
         let read = stream.try_read_buf(&mut self.bytes);
         match &read {
-            Ok(bytes) => self.came(*bytes, Instant::now()),
+            Ok(bytes) => self.record_arrival(*bytes, Instant::now()),
             Err(_) if self.bytes.is_empty() => self.bytes = BytesMut::new(),
             Err(_) => {}
         }
         read
     }
 
-    fn came(&mut self, bytes: usize, now: Instant) {
-        match self.reads.back_mut() {
-            Some((so_far, at)) if now - *at < TOGETHER => *so_far += bytes,
-            _ => self.reads.push_back((bytes, now)),
+    fn record_arrival(&mut self, bytes: usize, now: Instant) {
+        match self.arrivals.back_mut() {
+            Some(last) if now - last.at < READ_MERGE_WINDOW => last.bytes += bytes,
+            _ => self.arrivals.push_back(Arrival { bytes, at: now }),
         }
     }
 
-    /// All of it is of one request whose end is still to come: that is when the request came.
-    pub fn is_unfinished(&mut self) {
-        if let Some((_, at)) = self.reads.back().copied() {
-            self.reads = VecDeque::from([(self.bytes.len(), at)]);
+    /// Marks all bytes as those of one incomplete request, which arrives with its last byte.
+    pub fn mark_incomplete(&mut self) {
+        if let Some(last) = self.arrivals.back().copied() {
+            self.arrivals = VecDeque::from([Arrival { bytes: self.bytes.len(), at: last.at }]);
         }
     }
 
-    /// When the last byte came that has so many behind it.
-    pub fn since(&self, behind: usize) -> Option<Instant> {
-        let mut bytes = 0;
-        let holds_it = |(n, _): &&(usize, Instant)| {
-            bytes += n;
-            bytes > behind
-        };
-        self.reads.iter().rev().find(holds_it).map(|(_, at)| *at)
+    /// When the last byte arrived that has `bytes_behind` bytes behind it.
+    pub fn arrival_before(&self, bytes_behind: usize) -> Option<Instant> {
+        let mut bytes_from_end = 0;
+        for arrival in self.arrivals.iter().rev() {
+            bytes_from_end += arrival.bytes;
+            if bytes_from_end > bytes_behind {
+                return Some(arrival.at);
+            }
+        }
+        None
     }
 
-    /// Takes all but so many bytes off.
-    pub fn leave(&mut self, behind: usize) {
-        let mut taken = self.bytes.len() - behind;
-        self.bytes.advance(taken);
-        while let Some((bytes, _)) = self.reads.front_mut() {
-            if *bytes > taken {
-                *bytes -= taken;
+    /// Consumes all but the last `bytes_behind` bytes.
+    pub fn consume_up_to(&mut self, bytes_behind: usize) {
+        let mut consumed = self.bytes.len() - bytes_behind;
+        self.bytes.advance(consumed);
+        while let Some(oldest) = self.arrivals.front_mut() {
+            if oldest.bytes > consumed {
+                oldest.bytes -= consumed;
                 break;
             }
-            taken -= *bytes;
-            self.reads.pop_front();
+            consumed -= oldest.bytes;
+            self.arrivals.pop_front();
         }
-        if behind == 0 {
+        if bytes_behind == 0 {
             self.bytes = BytesMut::new();
         }
     }
--- /dev/null
+++ b/src/net/server.rs
@@ -0,0 +1,213 @@
+//! Startup and shutdown: builds the aggregator's state, starts listeners, watches and threads in order, and runs the
+//! event loop until the aggregator exits.
+
+use super::admin::{self, ADMIN_QUEUE_LENGTH, AdminRequest};
+use super::discovery_watch::{DiscoverySource, DiscoveryWatchHandle};
+use super::effects::{EffectDispatcher, EffectTargets};
+use super::event_loop::{EventLoop, Signals};
+use super::hot_restart::HotRestartHandle;
+use super::http::{self, ClientCapacity};
+use super::ledger_writer::LedgerWriter;
+use super::listener::{self, AddressSharing};
+use super::messages::{EventSender, event_queue};
+use super::{flight, inventory_watch};
+use crate::aggregator::{Event, Limits, State};
+use crate::clock::Clock;
+use crate::config::Config;
+use crate::config::operator;
+use crate::endpoints::{self, EndpointList};
+use crate::hot_restart::{Overrides, SharedDirectory, snapshot};
+use std::cell::Cell;
+use std::io;
+use std::net::SocketAddr;
+use std::path::Path;
+use std::rc::Rc;
+use std::sync::Arc;
+use tokio::net::TcpListener;
+use tokio::sync::{mpsc, oneshot};
+use tracing::{debug, error, info};
+
+/// Runs the aggregator until it has shut down gracefully. `sailmux run` calls it.
+///
+/// # Errors
+/// What keeps the program from starting.
+pub async fn serve(config: Config) -> io::Result<()> {
+    let sharing = match config.admin_address {
+        Some(_) => AddressSharing::SharedWithSiblings,
+        None => AddressSharing::Exclusive,
+    };
+    serve_on(listener::bind(config.listen, sharing)?, config).await
+}
+
+/// Runs the aggregator on a client listener that is bound already. `sailmux demo` calls it.
+///
+/// # Errors
+/// What keeps the program from starting.
+pub async fn serve_on(listener: TcpListener, config: Config) -> io::Result<()> {
+    let mut event_loop = start(listener, config).await?;
+    event_loop.run().await;
+    event_loop.finish();
+    Ok(())
+}
+
+/// Starts everything around the event loop, in the order in which the parts need each other.
+async fn start(listener: TcpListener, config: Config) -> io::Result<EventLoop> {
+    let clock = Rc::new(Clock::system());
+    let signals = Signals::install()?;
+    let limits = Limits::for_descriptors(config.max_descriptors);
+    let (events, inputs) = event_queue();
+    let InitialOverrides { hot_restart, overrides } = load_overrides(&config, &events, &clock);
+    debug!("{limits:?} {:?}", config.settings);
+    let operator::Operator { inventory, ledger, flight_listen, .. } = config.operator;
+    let guard = inventory.as_ref().map(|inventory| inventory.guard).unwrap_or_default();
+    let mut state = State::new(config.settings, limits, config.seed, guard).map_err(io::Error::other)?;
+    let address = listener.local_addr()?;
+    let admin_requests = start_admin(config.admin_address, &config.name)?;
+    let ledger = match ledger {
+        Some(settings) => {
+            state.keep_ledger(settings.prices.clone());
+            Some(LedgerWriter::start(settings, &config.name, events.clone(), (*clock).clone())?)
+        }
+        None => None,
+    };
+    let client_capacity = ClientCapacity::new(limits.max_client_connections());
+    let client_permits = client_capacity.permits();
+    let (stop_accepting, accepting_stopped) = oneshot::channel();
+    let effects = EffectDispatcher::new(EffectTargets {
+        events: events.clone(),
+        stop_accepting,
+        client_capacity,
+        hot_restart,
+        ledger,
+        inventory_paths: inventory_paths(inventory.as_ref()),
+    });
+    let mut event_loop = EventLoop {
+        name: config.name,
+        clock,
+        state,
+        effects,
+        inputs,
+        admin_requests,
+        signals,
+        config_shape: config.shape,
+        discovery_watch: None,
+    };
+    let digest = snapshot::digest(&overrides);
+    let _ = event_loop.handle(Event::OverridesLoaded(overrides, digest));
+    let discovery =
+        DiscoveryStart { address: config.discovery, known: config.known_endpoints, seed: config.seed };
+    start_endpoint_sources(&mut event_loop, &events, inventory, discovery)?;
+    tokio::task::spawn_local(http::accept_clients(
+        listener,
+        events.clone(),
+        client_permits,
+        accepting_stopped,
+    ));
+    info!("sailmux {}: serving on {address}", event_loop.name);
+    if let Some(address) = flight_listen {
+        let stop = start_flight(address, &event_loop.name, events, limits).await?;
+        event_loop.effects.set_flight_stop(stop);
+    }
+    Ok(event_loop)
+}
+
+/// The stored overrides, and the handle that stores further ones.
+struct InitialOverrides {
+    /// None where there is no admin address to give overrides, or where they cannot be stored.
+    hot_restart: Option<HotRestartHandle>,
+    overrides: Overrides,
+}
+
+/// Opens the directory that all processes of this aggregator share.
+fn load_overrides(config: &Config, events: &EventSender, clock: &Clock) -> InitialOverrides {
+    let none = InitialOverrides { hot_restart: None, overrides: Overrides::default() };
+    if config.admin_address.is_none() {
+        return none;
+    }
+    let Some(parent) = std::env::var_os("TMPDIR") else { return none };
+    let parent = Path::new(&parent);
+    let opened = SharedDirectory::open(parent, &config.name, &config.listen.to_string())
+        .and_then(|directory| HotRestartHandle::start(directory, config.seed, events.clone(), clock.clone()));
+    match opened {
+        Ok((handle, overrides)) => InitialOverrides { hot_restart: Some(handle), overrides },
+        Err(error) => {
+            // Operators and tests look for these words.
+            error!(
+                "orders cannot be kept below {}: {error}; overrides hold in this process alone",
+                parent.display()
+            );
+            none
+        }
+    }
+}
+
+/// Starts the admin server, where there is an address for it. Without one the returned queue is closed.
+fn start_admin(address: Option<SocketAddr>, name: &str) -> io::Result<mpsc::Receiver<AdminRequest>> {
+    let (sender, requests) = mpsc::channel(ADMIN_QUEUE_LENGTH);
+    if let Some(address) = address {
+        let listener = listener::bind(address, AddressSharing::Exclusive)?;
+        info!("sailmux {name}: operators on {}", listener.local_addr()?);
+        tokio::task::spawn_local(admin::serve(listener, sender));
+    }
+    Ok(requests)
+}
+
+/// What the watch of discovery starts with.
+struct DiscoveryStart {
+    address: Arc<str>,
+    /// The endpoint list that this aggregator had last.
+    known: EndpointList,
+    seed: u64,
+}
+
+/// Feeds the endpoints known at the start to the aggregator and watches their sources. Inventory files take
+/// discovery's place unless they are configured to stand beside it.
+fn start_endpoint_sources(
+    event_loop: &mut EventLoop,
+    events: &EventSender,
+    inventory: Option<operator::Inventory>,
+    discovery: DiscoveryStart,
+) -> io::Result<()> {
+    let uses_discovery = inventory.as_ref().is_none_or(|inventory| inventory.discovery);
+    let generation = discovery.known.generation;
+    let input = endpoints::Input::Started {
+        known: uses_discovery.then_some(discovery.known),
+        files: inventory.as_ref().map(inventory_watch::initial_lists).unwrap_or_default(),
+    };
+    let wall_ahead = event_loop.clock.wall_ahead();
+    let _ = event_loop.handle(Event::EndpointSource { input, wall_ahead });
+    if let Some(inventory) = inventory {
+        inventory_watch::start(inventory, events.clone(), (*event_loop.clock).clone())?;
+    }
+    if uses_discovery {
+        let source = DiscoverySource {
+            generation: Rc::new(Cell::new(generation)),
+            seed: discovery.seed,
+            events: events.clone(),
+            clock: event_loop.clock.clone(),
+        };
+        let watch = DiscoveryWatchHandle::start(discovery.address, source, event_loop.state.settings());
+        event_loop.discovery_watch = Some(watch);
+    }
+    Ok(())
+}
+
+/// Starts the Flight server; it stops when the returned sender is dropped.
+async fn start_flight(
+    address: SocketAddr,
+    name: &str,
+    events: EventSender,
+    limits: Limits,
+) -> io::Result<oneshot::Sender<()>> {
+    let listener = TcpListener::bind(address).await?;
+    info!("sailmux {name}: flight on {}", listener.local_addr()?);
+    let (stop, stopped) = oneshot::channel();
+    tokio::task::spawn_local(flight::server::serve(listener, events, limits, stopped));
+    Ok(stop)
+}
+
+/// The paths as the log names them.
+fn inventory_paths(inventory: Option<&operator::Inventory>) -> Vec<Arc<str>> {
+    let files = inventory.into_iter().flat_map(|inventory| &inventory.files);
+    files.map(|file| file.path.display().to_string().into()).collect()
+}
