--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -131,7 +131,6 @@
     match opened {
         Ok((handle, overrides)) => InitialOverrides { hot_restart: Some(handle), overrides },
         Err(error) => {
-            // Operators and tests look for these words.
             error!(
                 "orders cannot be kept below {}: {error}; overrides hold in this process alone",
                 parent.display()
--- /dev/null
+++ b/tests/aggregator_process.rs
@@ -0,0 +1,185 @@
+//! The aggregator as a process: endpoint list from discovery, configuration, reload and shutdown.
+
+mod common;
+
+use common::leaf_setups::*;
+use common::process::*;
+use std::time::Duration;
+
+#[test]
+fn draining_leaf_gets_no_new_parts() {
+    let (a, b) = (Node::new(), Node::new());
+    let discovery = Discovery::new();
+    let setup = Setup { discovery: discovery.address(), ..with_two_holders(&a, &b) };
+    let aggregator = setup.start();
+    let mut watch = discovery.accept();
+    assert_eq!(watch.request, "GET /v1/servers?watch=1&after=1 HTTP/1.1");
+    let draining = Listed { lifecycle: "Terminating", ..listed("a", a.address, 0) };
+    watch.tell("");
+    watch.tell(&list(2, false, &[draining]));
+    aggregator.wait_for("lists_taken", 2);
+    let serve = background(move || {
+        let mut connection = b.accept();
+        for _ in 0..10 {
+            let part = connection.part();
+            connection.answer(&part, "good", "v");
+        }
+    });
+    let mut client = Client::connect(aggregator.address);
+    for i in 0..10 {
+        assert_eq!(client.ask(query(&format!("q{i}"), "9000m", &[0])).status, 200);
+    }
+    serve();
+    assert_eq!(aggregator.counters()["attempts_sent"], 10);
+}
+
+/// A watch that falls silent, one that ends, and one that starts again with the complete list.
+#[test]
+fn discovery_watch_resumes_from_the_last_generation() {
+    let (a, b) = (Node::new(), Node::new());
+    let discovery = Discovery::new();
+    let aggregator = Setup { discovery: discovery.address(), ..with_leaves(&[&a]) }.start();
+    let mut first = discovery.accept();
+    first.tell(&list(7, false, &[]));
+    first.given_up();
+    let second = discovery.accept();
+    assert!(second.request.contains("after=7"), "{}", second.request);
+    drop(second);
+    let mut third = discovery.accept();
+    // The list is complete: leaf server a is removed, and b holds its shard.
+    third.tell(&list(3, true, &[listed("b", b.address, 0)]));
+    aggregator.wait_for("lists_taken", 3);
+    let mut client = Client::connect(aggregator.address);
+    client.send(query("q1", "9000m", &[0]));
+    let mut connection = b.accept();
+    let part = connection.part();
+    connection.answer(&part, "good", "v");
+    assert_eq!(client.response().status, 200);
+    let counters = aggregator.counters();
+    assert!(counters["watches_lost"] >= 2);
+    // Each watch that was lost had been requested.
+    assert!(counters["list_calls"] >= counters["watches_lost"], "{counters:?}");
+}
+
+/// Leaf servers under ever new names replace each other: what is known of the old ones is dropped.
+#[test]
+fn removed_leaves_are_forgotten() {
+    let leaves: Vec<Node> = (0..3).map(|_| Node::new()).collect();
+    let discovery = Discovery::new();
+    let setup = Setup { discovery: discovery.address(), ..with_leaves(&[&leaves[0]]) };
+    let config = setup.config().replace("\"warmAfterMs\":10000", "\"warmAfterMs\":1");
+    let aggregator = Mixer::start(&config, None);
+    let mut watch = discovery.accept();
+    for (i, name) in ["b", "c"].into_iter().enumerate() {
+        watch.tell(&list(i as u64 + 2, true, &[listed(name, leaves[i + 1].address, 0)]));
+        aggregator.wait_for("lists_taken", i as u64 + 2);
+        std::thread::sleep(Duration::from_millis(50));
+        watch.tell(&list(i as u64 + 2, false, &[]));
+        aggregator.wait_for("nodes_forgotten", i as u64 + 1);
+        let mut client = Client::connect(aggregator.address);
+        client.send(query(name, "9000m", &[0]));
+        let mut connection = leaves[i + 1].accept();
+        let part = connection.part();
+        connection.answer(&part, "good", "v");
+        assert_eq!(client.response().status, 200);
+    }
+}
+
+#[test]
+fn sigterm_answers_queries_in_flight_and_exits() {
+    let leaf = Node::new();
+    let mut aggregator = with_leaves(&[&leaf]).start();
+    let mut idle = Client::connect(aggregator.address);
+    assert_eq!(idle.ask("GET /healthz HTTP/1.1\r\n\r\n").status, 200);
+    let mut in_flight = Client::connect(aggregator.address);
+    in_flight.send(query("q1", "9000m", &[0]));
+    let mut connection = leaf.accept();
+    let first = connection.part();
+    aggregator.signal("-TERM");
+    aggregator.told("graceful shutdown");
+    assert_eq!(idle.ask("GET /healthz HTTP/1.1\r\n\r\n").status, 503, "still served during the grace period");
+    let mut late = Client::connect(aggregator.address);
+    late.send(query("q2", "9000m", &[0]));
+    let second = connection.part();
+    assert_eq!(Client::connect(aggregator.address).ask("GET /healthz HTTP/1.1\r\n\r\n").status, 503);
+    connection.answer(&second, "good", "v");
+    let reply = late.response();
+    assert_eq!((reply.status, reply.header("Connection")), (200, None));
+    idle.closed();
+    late.closed();
+    connection.answer(&first, "good", "v");
+    let reply = in_flight.response();
+    assert_eq!((reply.status, reply.header("Connection")), (200, Some("close")));
+    in_flight.closed();
+    assert!(aggregator.ended().success());
+    aggregator.told("sailmux_answers_whole 2");
+}
+
+#[test]
+fn invalid_configuration_fails_the_start_and_names_the_field() {
+    use std::io::Read;
+    let good = with_leaves(&[]).config();
+    let cases = [
+        (good.replace("\"maxOpen\":2000", "\"maxOpen\":\"many\""), "settings.limits.maxOpen"),
+        (good.replace("\"seed\":\"8c1f30d27a5be964\"", "\"seed\":\"xyz\""), "field seed"),
+        (good.replace("127.0.0.1:0", "nowhere"), "field listen"),
+        (good.replace("\"aimMs\"", "\"aims\""), "settings.categories[0].aimMs"),
+        (good.replace("\"width\":1", "\"width\":9"), "layout"),
+        ("{".to_owned(), "JSON"),
+    ];
+    for (config, named) in cases {
+        let mut child = spawn(&config, None);
+        let mut fields = String::new();
+        child.stderr.take().expect("piped").read_to_string(&mut fields).expect("text");
+        assert!(!child.wait().expect("it ends").success());
+        assert!(fields.contains("config.json") && fields.contains(named), "{named}: {fields}");
+    }
+}
+
+/// Discovery moves while a query is in flight; then the file is invalid, and the settings in force stay.
+#[test]
+fn sighup_reloads_the_configuration_while_queries_are_in_flight() {
+    let (a, b) = (Node::new(), Node::new());
+    let (old, new) = (Discovery::new(), Discovery::new());
+    let setup = Setup { discovery: old.address(), ..with_leaves(&[&a]) };
+    let mut aggregator = setup.start();
+    let mut first = old.accept();
+    first.tell(&list(7, false, &[]));
+    aggregator.wait_for("lists_taken", 2);
+    let mut in_flight = Client::connect(aggregator.address);
+    in_flight.send(query("q1", "9000m", &[0]));
+    let mut connection = a.accept();
+    let part = connection.part();
+    let moved = Setup { discovery: new.address(), ..setup }.config();
+    std::fs::write(&aggregator.config, &moved).expect("written");
+    aggregator.signal("-HUP");
+    first.given_up();
+    let mut second = new.accept();
+    assert!(second.request.contains("after=7"), "{}", second.request);
+    // It started long ago: a leaf server that is warming up is drawn by chance alone, which may take longer than the test.
+    let warm = Listed { started: 1, ..listed("b", b.address, 1) };
+    second.tell(&list(8, false, &[warm]));
+    aggregator.wait_for("lists_taken", 3);
+    connection.answer(&part, "good", "v");
+    assert_eq!(in_flight.response().status, 200);
+    for (bad, why) in [
+        (moved.replace("\"maxOpen\":2000", "\"maxOpen\":\"many\""), "settings.limits.maxOpen"),
+        (moved.replace("\"hardLimitMs\":10000", "\"hardLimitMs\":0"), "class 0"),
+        (moved.replace("\"maxAttempts\":3", "\"maxAttempts\":0"), "max_attempts"),
+        (moved.replace("\"lateValue\":0,", ""), "settings.categories[].lateValue"),
+        (
+            moved.replace("\"periodMs\"", "\"tariffs\":{\"probe\":\"dear\"},\"periodMs\""),
+            "settings.tariffs.probe",
+        ),
+    ] {
+        std::fs::write(&aggregator.config, bad).expect("written");
+        aggregator.signal("-HUP");
+        assert!(aggregator.told_anew("config.json: field ").contains(why), "{why}");
+    }
+    in_flight.send(query("q2", "9000m", &[1]));
+    let mut connection = b.accept();
+    let part = connection.part();
+    connection.answer(&part, "good", "v");
+    assert_eq!(in_flight.response().status, 200);
+    assert_eq!((aggregator.counters()["reloads"], aggregator.counters()["reloads_rejected"]), (1, 5));
+}
--- a/tests/common/faulty.rs
+++ b/tests/common/faulty.rs
@@ -1,4 +1,4 @@
-//! A disk in memory with faults: it stops at any step, loses what was not synced, fills up, fails, or is slow.
+//! A ledger's disk in memory with faults: it crashes at any step, loses what was not synced, or fails with an error.
 
 use sailmux::ledger::Disk;
 use std::cell::RefCell;
@@ -6,43 +6,47 @@
 use std::io::{self, ErrorKind};
 use std::rc::Rc;
 
-/// How a machine goes down.
+/// How a machine crashes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Down {
     /// The process is killed: what was written stays.
     Kill,
-    /// Power is cut: only what was synced stays, and a piece of what was not, as long as the number says.
+    /// Power is lost: only what was synced stays, and so many bytes of what was not.
     Power(usize),
 }
 
 #[derive(Clone, Default)]
 struct File {
-    now: Vec<u8>,
+    written: Vec<u8>,
     synced: Vec<u8>,
 }
 
 #[derive(Default)]
-struct Inner {
+struct DiskState {
     files: Vec<File>,
+    /// Indices into `files`.
     names: BTreeMap<String, usize>,
+    /// Names as a loss of power leaves them.
     synced_names: BTreeMap<String, usize>,
+    /// Steps taken: each change and each sync is one.
     steps: usize,
-    /// The step at which the machine goes down.
-    stop: Option<usize>,
-    stopped: bool,
-    /// Writes and syncs fail as long as it stands.
+    /// The step at which the machine crashes.
+    crash_step: Option<usize>,
+    has_crashed: bool,
+    /// The error of every step, if any.
     failing: Option<ErrorKind>,
 }
 
-/// Handles to one disk.
+/// A handle to a disk; clones share it.
 #[derive(Clone, Default)]
-pub struct FaultyDisk(Rc<RefCell<Inner>>);
+pub struct FaultyDisk(Rc<RefCell<DiskState>>);
 
 impl FaultyDisk {
-    /// From now on the machine goes down at that step.
+    /// The machine crashes at this step, counted from now.
     pub fn stop_at(&self, step: usize) {
-        let mut inner = self.0.borrow_mut();
-        (inner.steps, inner.stop) = (0, Some(step));
+        let mut state = self.0.borrow_mut();
+        state.steps = 0;
+        state.crash_step = Some(step);
     }
 
     /// Steps taken since the last [`FaultyDisk::stop_at`].
@@ -50,51 +54,53 @@
         self.0.borrow().steps
     }
 
+    /// Whether the machine has crashed.
     pub fn stopped(&self) -> bool {
-        self.0.borrow().stopped
+        self.0.borrow().has_crashed
     }
 
+    /// Every step fails with this error from now on, or none does.
     pub fn fail(&self, kind: Option<ErrorKind>) {
         self.0.borrow_mut().failing = kind;
     }
 
-    /// The disk as the next process finds it.
+    /// The disk as the next process finds it after a crash.
     pub fn after(&self, down: Down) -> FaultyDisk {
-        let inner = self.0.borrow();
-        let names = if down == Down::Kill { &inner.names } else { &inner.synced_names };
-        let mut fresh = Inner::default();
-        for (name, id) in names {
-            let file = &inner.files[*id];
-            let kept = match down {
-                Down::Kill => file.now.clone(),
-                Down::Power(piece) if file.now.starts_with(&file.synced) => {
-                    let more = (file.now.len() - file.synced.len()).min(piece);
-                    file.now[..file.synced.len() + more].to_vec()
+        let state = self.0.borrow();
+        let names = if down == Down::Kill { &state.names } else { &state.synced_names };
+        let mut recovered = DiskState::default();
+        for (name, index) in names {
+            let file = &state.files[*index];
+            let content = match down {
+                Down::Kill => file.written.clone(),
+                Down::Power(unsynced_bytes) if file.written.starts_with(&file.synced) => {
+                    let torn_bytes = (file.written.len() - file.synced.len()).min(unsynced_bytes);
+                    file.written[..file.synced.len() + torn_bytes].to_vec()
                 }
                 Down::Power(_) => file.synced.clone(),
             };
-            fresh.names.insert(name.clone(), fresh.files.len());
-            fresh.files.push(File { now: kept.clone(), synced: kept });
+            recovered.names.insert(name.clone(), recovered.files.len());
+            recovered.files.push(File { written: content.clone(), synced: content });
         }
-        fresh.synced_names = fresh.names.clone();
-        FaultyDisk(Rc::new(RefCell::new(fresh)))
+        recovered.synced_names = recovered.names.clone();
+        FaultyDisk(Rc::new(RefCell::new(recovered)))
     }
 
-    /// Changes a byte of a file, as a disk that rots.
-    pub fn rot(&self, name: &str, at: usize) {
-        let mut inner = self.0.borrow_mut();
-        let id = inner.names[name];
-        inner.files[id].now[at] ^= 0x40;
+    /// Flips a bit of a byte of a file.
+    pub fn rot(&self, name: &str, offset: usize) {
+        let mut state = self.0.borrow_mut();
+        let index = state.names[name];
+        state.files[index].written[offset] ^= 0x40;
     }
 
     fn step(&self) -> io::Result<()> {
-        let mut inner = self.0.borrow_mut();
-        inner.steps += 1;
-        if inner.stop == Some(inner.steps) {
-            inner.stopped = true;
+        let mut state = self.0.borrow_mut();
+        state.steps += 1;
+        if state.crash_step == Some(state.steps) {
+            state.has_crashed = true;
         }
-        match inner.failing {
-            _ if inner.stopped => Err(io::Error::other("the machine is down")),
+        match state.failing {
+            _ if state.has_crashed => Err(io::Error::other("the machine is down")),
             Some(kind) => Err(kind.into()),
             None => Ok(()),
         }
@@ -107,50 +113,50 @@
     }
 
     fn read(&self, name: &str) -> io::Result<Vec<u8>> {
-        let inner = self.0.borrow();
-        let id = inner.names.get(name).ok_or(ErrorKind::NotFound)?;
-        Ok(inner.files[*id].now.clone())
+        let state = self.0.borrow();
+        let index = state.names.get(name).ok_or(ErrorKind::NotFound)?;
+        Ok(state.files[*index].written.clone())
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        let went = self.step();
-        let mut inner = self.0.borrow_mut();
-        let id = match inner.names.get(name) {
-            Some(id) => *id,
+        let step = self.step();
+        let mut state = self.0.borrow_mut();
+        let index = match state.names.get(name) {
+            Some(index) => *index,
             None => {
-                inner.files.push(File::default());
-                let id = inner.files.len() - 1;
-                inner.names.insert(name.to_owned(), id);
-                id
+                state.files.push(File::default());
+                let index = state.files.len() - 1;
+                state.names.insert(name.to_owned(), index);
+                index
             }
         };
-        // What fails may have been written in part.
-        let written = if went.is_ok() { bytes.len() } else { bytes.len() / 2 };
-        inner.files[id].now.extend(&bytes[..written]);
-        went
+        // A write that fails may have been done in part.
+        let written = if step.is_ok() { bytes.len() } else { bytes.len() / 2 };
+        state.files[index].written.extend(&bytes[..written]);
+        step
     }
 
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()> {
         self.step()?;
-        let mut inner = self.0.borrow_mut();
-        let id = *inner.names.get(name).ok_or(ErrorKind::NotFound)?;
-        inner.files[id].now.truncate(length as usize);
+        let mut state = self.0.borrow_mut();
+        let index = *state.names.get(name).ok_or(ErrorKind::NotFound)?;
+        state.files[index].written.truncate(length as usize);
         Ok(())
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
         self.step()?;
-        let mut inner = self.0.borrow_mut();
-        let id = *inner.names.get(name).ok_or(ErrorKind::NotFound)?;
-        inner.files[id].synced = inner.files[id].now.clone();
+        let mut state = self.0.borrow_mut();
+        let index = *state.names.get(name).ok_or(ErrorKind::NotFound)?;
+        state.files[index].synced = state.files[index].written.clone();
         Ok(())
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
         self.step()?;
-        let mut inner = self.0.borrow_mut();
-        let id = inner.names.remove(from).ok_or(ErrorKind::NotFound)?;
-        inner.names.insert(to.to_owned(), id);
+        let mut state = self.0.borrow_mut();
+        let index = state.names.remove(from).ok_or(ErrorKind::NotFound)?;
+        state.names.insert(to.to_owned(), index);
         Ok(())
     }
 
@@ -161,8 +167,8 @@
 
     fn sync_names(&mut self) -> io::Result<()> {
         self.step()?;
-        let mut inner = self.0.borrow_mut();
-        inner.synced_names = inner.names.clone();
+        let mut state = self.0.borrow_mut();
+        state.synced_names = state.names.clone();
         Ok(())
     }
 }
--- a/tests/common/flight.rs
+++ b/tests/common/flight.rs
@@ -1,4 +1,4 @@
-//! Flight stand-ins: a node and a gateway, each on a thread with a runtime of its own.
+//! Flight stand-ins: a leaf server and a gateway, each on a thread with a runtime of its own.
 
 use super::process::{Listed, PATIENCE, listed};
 use arrow_array::cast::AsArray;
@@ -24,36 +24,36 @@
 use tonic::transport::{Channel, Server};
 use tonic::{Request, Response, Status, Streaming};
 
-/// What a node is to do with a part.
-pub enum Play {
-    /// Answer with a row.
-    Good(&'static str),
-    Bad,
-    Later,
-    /// Answer with what cannot be read.
-    Spoilt,
-    /// Give a row and break the whole connection off.
+/// How a leaf server responds to a part.
+pub enum LeafResponse {
+    /// It answers with a row.
+    Served(&'static str),
+    Failed,
+    Rejected,
+    /// It sends what cannot be read.
+    Unreadable,
+    /// It sends a row and closes the whole connection before the answer ends.
     Cut(&'static str),
 }
 
-/// A part that has come to a node.
-pub struct Asked {
+/// A part that a leaf server has received.
+pub struct FlightPart {
     pub ticket: String,
-    play: oneshot::Sender<Play>,
-    /// Told once the mixer has called the part off.
-    pub dropped: Receiver<()>,
+    response: oneshot::Sender<LeafResponse>,
+    /// Receives once the aggregator has cancelled the part.
+    pub cancelled: Receiver<()>,
 }
 
-impl Asked {
-    pub fn play(self, play: Play) {
-        let _ = self.play.send(play);
+impl FlightPart {
+    pub fn respond(self, response: LeafResponse) {
+        let _ = self.response.send(response);
     }
 }
 
-/// A node that answers by Flight; the test decides what it does with each part.
-pub struct FlightNode {
+/// A leaf server that answers by Flight; the test decides how it responds to each part.
+pub struct FlightLeaf {
     pub address: SocketAddr,
-    asked: Receiver<Asked>,
+    parts: Receiver<FlightPart>,
     runtime: Option<Runtime>,
 }
 
@@ -61,39 +61,39 @@
     tokio::runtime::Builder::new_multi_thread().worker_threads(1).enable_all().build().expect("a runtime")
 }
 
-impl FlightNode {
+impl FlightLeaf {
     pub fn new() -> Self {
         let runtime = runtime();
-        let (to, asked) = channel();
+        let (part_sender, parts) = channel();
         let listener = runtime.block_on(tokio::net::TcpListener::bind("127.0.0.1:0")).expect("a port");
         let address = listener.local_addr().expect("bound");
-        let server = Server::builder().add_service(FlightServiceServer::new(Service { to }));
+        let server = Server::builder().add_service(FlightServiceServer::new(LeafService { part_sender }));
         runtime.spawn(server.serve_with_incoming(TcpIncoming::from(listener)));
-        FlightNode { address, asked, runtime: Some(runtime) }
+        FlightLeaf { address, parts, runtime: Some(runtime) }
     }
 
     pub fn listed(&self, name: &'static str, cell: u32) -> Listed {
         listed(name, format!("grpc+tcp://{}", self.address), cell)
     }
 
-    pub fn try_part(&self) -> Option<Asked> {
-        self.asked.try_recv().ok()
+    pub fn try_part(&self) -> Option<FlightPart> {
+        self.parts.try_recv().ok()
     }
 
-    /// Breaks all connections off.
-    pub fn cut(&mut self) {
+    /// Closes all connections at once.
+    pub fn close_connections(&mut self) {
         self.runtime.take().expect("it ran").shutdown_background();
     }
 }
 
-struct Service {
-    to: Sender<Asked>,
+struct LeafService {
+    part_sender: Sender<FlightPart>,
 }
 
-/// Tells when it is dropped.
-struct Tell(Sender<()>);
+/// Sends when it is dropped.
+struct NotifyOnDrop(Sender<()>);
 
-impl Drop for Tell {
+impl Drop for NotifyOnDrop {
     fn drop(&mut self) {
         let _ = self.0.send(());
     }
@@ -104,40 +104,42 @@
     RecordBatch::try_from_iter([("blob", column)]).expect("a batch")
 }
 
-type Boxed<T> = BoxStream<'static, Result<T, Status>>;
+type ResultStream<T> = BoxStream<'static, Result<T, Status>>;
 
 #[tonic::async_trait]
-impl FlightService for Service {
-    type HandshakeStream = Boxed<HandshakeResponse>;
-    type ListFlightsStream = Boxed<FlightInfo>;
-    type DoGetStream = Boxed<FlightData>;
-    type DoPutStream = Boxed<PutResult>;
-    type DoExchangeStream = Boxed<FlightData>;
-    type DoActionStream = Boxed<arrow_flight::Result>;
-    type ListActionsStream = Boxed<ActionType>;
-
-    async fn do_get(&self, request: Request<Ticket>) -> Result<Response<Boxed<FlightData>>, Status> {
-        let (play, decided) = oneshot::channel();
-        let (told, dropped) = channel();
-        let tell = Tell(told);
+impl FlightService for LeafService {
+    type HandshakeStream = ResultStream<HandshakeResponse>;
+    type ListFlightsStream = ResultStream<FlightInfo>;
+    type DoGetStream = ResultStream<FlightData>;
+    type DoPutStream = ResultStream<PutResult>;
+    type DoExchangeStream = ResultStream<FlightData>;
+    type DoActionStream = ResultStream<arrow_flight::Result>;
+    type ListActionsStream = ResultStream<ActionType>;
+
+    async fn do_get(&self, request: Request<Ticket>) -> Result<Response<ResultStream<FlightData>>, Status> {
+        let (response, decided) = oneshot::channel();
+        let (cancel_sender, cancelled) = channel();
+        let notify = NotifyOnDrop(cancel_sender);
         let ticket = String::from_utf8(request.into_inner().ticket.to_vec()).expect("text");
-        let _ = self.to.send(Asked { ticket, play, dropped });
-        let encode = |batches: Boxed<RecordBatch>| {
+        let _ = self.part_sender.send(FlightPart { ticket, response, cancelled });
+        let encode = |batches: ResultStream<RecordBatch>| {
             let batches = batches.map_err(|s| FlightError::Tonic(Box::new(s)));
             FlightDataEncoderBuilder::new().build(batches).map_err(Status::from).boxed()
         };
         match decided.await {
-            Ok(Play::Good(text)) => Ok(Response::new(encode(stream::iter([Ok(row(text))]).boxed()))),
-            Ok(Play::Cut(text)) => {
-                let more = stream::pending().inspect(move |_| assert!(tell.0.send(()).is_ok()));
+            Ok(LeafResponse::Served(text)) => {
+                Ok(Response::new(encode(stream::iter([Ok(row(text))]).boxed())))
+            }
+            Ok(LeafResponse::Cut(text)) => {
+                let more = stream::pending().inspect(move |_| assert!(notify.0.send(()).is_ok()));
                 Ok(Response::new(encode(stream::iter([Ok(row(text))]).chain(more).boxed())))
             }
-            Ok(Play::Spoilt) => {
-                let none = FlightData { data_header: "noise".into(), ..FlightData::default() };
-                Ok(Response::new(stream::iter([Ok(none)]).boxed()))
+            Ok(LeafResponse::Unreadable) => {
+                let noise = FlightData { data_header: "noise".into(), ..FlightData::default() };
+                Ok(Response::new(stream::iter([Ok(noise)]).boxed()))
             }
-            Ok(Play::Later) => Err(Status::resource_exhausted("full")),
-            Ok(Play::Bad) => Err(Status::internal("broken")),
+            Ok(LeafResponse::Rejected) => Err(Status::resource_exhausted("full")),
+            Ok(LeafResponse::Failed) => Err(Status::internal("broken")),
             Err(_) => std::future::pending().await,
         }
     }
@@ -145,7 +147,7 @@
     async fn do_action(
         &self,
         action: Request<Action>,
-    ) -> Result<Response<Boxed<arrow_flight::Result>>, Status> {
+    ) -> Result<Response<ResultStream<arrow_flight::Result>>, Status> {
         assert_eq!(action.into_inner().r#type, "load");
         let load = arrow_flight::Result { body: "inflight=7,qps=3".into() };
         Ok(Response::new(stream::iter([Ok(load)]).boxed()))
@@ -153,10 +155,10 @@
     async fn handshake(
         &self,
         _: Request<Streaming<HandshakeRequest>>,
-    ) -> Result<Response<Boxed<HandshakeResponse>>, Status> {
+    ) -> Result<Response<ResultStream<HandshakeResponse>>, Status> {
         Err(Status::unimplemented(""))
     }
-    async fn list_flights(&self, _: Request<Criteria>) -> Result<Response<Boxed<FlightInfo>>, Status> {
+    async fn list_flights(&self, _: Request<Criteria>) -> Result<Response<ResultStream<FlightInfo>>, Status> {
         Err(Status::unimplemented(""))
     }
     async fn get_flight_info(&self, _: Request<FlightDescriptor>) -> Result<Response<FlightInfo>, Status> {
@@ -168,24 +170,32 @@
     async fn get_schema(&self, _: Request<FlightDescriptor>) -> Result<Response<SchemaResult>, Status> {
         Err(Status::unimplemented(""))
     }
-    async fn do_put(&self, _: Request<Streaming<FlightData>>) -> Result<Response<Boxed<PutResult>>, Status> {
+    async fn do_put(
+        &self,
+        _: Request<Streaming<FlightData>>,
+    ) -> Result<Response<ResultStream<PutResult>>, Status> {
         Err(Status::unimplemented(""))
     }
     async fn do_exchange(
         &self,
         _: Request<Streaming<FlightData>>,
-    ) -> Result<Response<Boxed<FlightData>>, Status> {
+    ) -> Result<Response<ResultStream<FlightData>>, Status> {
         Err(Status::unimplemented(""))
     }
-    async fn list_actions(&self, _: Request<Empty>) -> Result<Response<Boxed<ActionType>>, Status> {
+    async fn list_actions(&self, _: Request<Empty>) -> Result<Response<ResultStream<ActionType>>, Status> {
         Err(Status::unimplemented(""))
     }
 }
 
-/// What a gateway was given: whether it is whole, and its rows.
-pub type Pulled = Result<(String, Vec<(u32, String)>), Status>;
+/// An answer as a gateway received it.
+pub struct GatewayAnswer {
+    /// The schema's metadata `total`.
+    pub complete: String,
+    /// Shards and values.
+    pub rows: Vec<(u32, String)>,
+}
 
-/// A gateway with a connection to the mixer's Flight front.
+/// A gateway with a connection to the aggregator's Flight server.
 pub struct Gateway {
     runtime: Runtime,
     client: FlightServiceClient<Channel>,
@@ -205,16 +215,16 @@
         Gateway { runtime, client }
     }
 
-    /// Pulls in the background; the future result is waited for with patience, or dropped for a cancel.
+    /// Pulls an answer in the background; it is awaited or cancelled later.
     pub fn pull(&self, ticket: String, deadline: Duration) -> Pull {
         let mut client = self.client.clone();
-        let (to, from) = channel();
+        let (sender, result) = channel();
         let task = self.runtime.spawn(async move {
             let mut request = Request::new(Ticket { ticket: ticket.into() });
             request.set_timeout(deadline);
-            let _ = to.send(pull(&mut client, request).await);
+            let _ = sender.send(pull(&mut client, request).await);
         });
-        Pull { task, from }
+        Pull { task, result }
     }
 
     pub fn info(&self, ticket: &str) -> Result<FlightInfo, Status> {
@@ -224,15 +234,15 @@
     }
 }
 
-/// A pull under way.
+/// A pull in flight.
 pub struct Pull {
     task: tokio::task::JoinHandle<()>,
-    from: Receiver<Pulled>,
+    result: Receiver<Result<GatewayAnswer, Status>>,
 }
 
 impl Pull {
-    pub fn result(&self) -> Pulled {
-        self.from.recv_timeout(PATIENCE).expect("an end in time")
+    pub fn result(&self) -> Result<GatewayAnswer, Status> {
+        self.result.recv_timeout(PATIENCE).expect("an end in time")
     }
 
     pub fn cancel(self) {
@@ -240,7 +250,10 @@
     }
 }
 
-async fn pull(client: &mut FlightServiceClient<Channel>, request: Request<Ticket>) -> Pulled {
+async fn pull(
+    client: &mut FlightServiceClient<Channel>,
+    request: Request<Ticket>,
+) -> Result<GatewayAnswer, Status> {
     let stream = client.do_get(request).await?.into_inner();
     let stream = stream.map_err(|s| FlightError::Tonic(Box::new(s)));
     let mut batches = FlightRecordBatchStream::new_from_flight_data(stream);
@@ -250,6 +263,7 @@
         let blobs = batch.column(1).as_string::<i32>().iter().map(|b| b.unwrap_or_default().to_owned());
         rows.extend(ranges.into_iter().zip(blobs));
     }
-    let total = batches.schema().and_then(|s| s.metadata().get("total").cloned());
-    Ok((total.expect("told"), rows))
+    let schema = batches.schema().expect("a schema");
+    let complete = schema.metadata().get("total").expect("in the metadata").clone();
+    Ok(GatewayAnswer { complete, rows })
 }
--- /dev/null
+++ b/tests/common/leaf_setups.rs
@@ -0,0 +1,18 @@
+//! Set-ups of an aggregator with a few leaf servers that the test plays.
+
+use super::process::{Listed, Node, Setup, listed};
+
+/// An aggregator with one leaf server for each of the three cells, or fewer.
+pub fn with_leaves(leaves: &[&Node]) -> Setup {
+    const NAMES: [&str; 3] = ["s0", "s1", "s2"];
+    let mut entries: Vec<Listed> = Vec::new();
+    for (cell, leaf) in leaves.iter().enumerate() {
+        entries.push(listed(NAMES[cell], leaf.address, cell as u32));
+    }
+    Setup::new(&entries)
+}
+
+/// An aggregator with two leaf servers that both hold shard 0.
+pub fn with_two_holders(a: &Node, b: &Node) -> Setup {
+    Setup::new(&[listed("a", a.address, 0), listed("b", b.address, 0)])
+}
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -4,6 +4,7 @@
 pub mod faulty;
 pub mod fleet;
 pub mod flight;
+pub mod leaf_setups;
 pub mod process;
 pub mod timeline;
 
--- /dev/null
+++ b/tests/http_and_flight.rs
@@ -0,0 +1,465 @@
+//! The same faults over HTTP and Flight, on either side, must end in the same outcomes and counters.
+
+mod common;
+
+use common::flight::*;
+use common::process::*;
+use std::collections::HashMap;
+use std::io::Read;
+use std::time::{Duration, Instant};
+use tonic_types::StatusExt;
+
+/// How long a test pauses between two polls.
+const POLL_INTERVAL: Duration = Duration::from_millis(1);
+
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum Protocol {
+    /// HTTP for clients, the platform's frames for leaf servers.
+    Platform,
+    Flight,
+}
+
+/// What a client ends up with, whichever protocol it used.
+#[derive(Debug, PartialEq)]
+enum Outcome {
+    Answered { complete: bool, rows: Vec<(u32, String)> },
+    Rejected,
+    BadRequest,
+    Failed,
+}
+
+/// A leaf server that speaks the platform's frames.
+struct FrameLeaf {
+    leaf: Node,
+    connections: Vec<Link>,
+    /// Names of the parts that were cancelled.
+    cancelled: Vec<String>,
+}
+
+/// A leaf server of either protocol, played by the test.
+enum AnyLeaf {
+    Platform(FrameLeaf),
+    Flight(FlightLeaf),
+}
+
+/// A part that a leaf server has received.
+enum Part {
+    Platform { connection: usize, name: String },
+    Flight(FlightPart),
+}
+
+impl FrameLeaf {
+    fn new() -> Self {
+        FrameLeaf { leaf: Node::new(), connections: Vec::new(), cancelled: Vec::new() }
+    }
+
+    /// Handles the next frame; gives the part if it holds one.
+    fn try_part(&mut self) -> Option<Part> {
+        self.connections.extend(self.leaf.try_accept());
+        let connection = self.connections.iter().position(Link::has_frame)?;
+        match self.connections[connection].frame()? {
+            ('p', _) => {
+                self.connections[connection].put('p', "inflight=7,qps=3");
+                None
+            }
+            ('m', rest) => Some(Part::Platform { connection, name: rest.split(' ').next()?.to_owned() }),
+            (_, name) => {
+                self.cancelled.push(name);
+                None
+            }
+        }
+    }
+
+    fn respond(&mut self, connection: usize, name: &str, response: LeafResponse) {
+        let link = &mut self.connections[connection];
+        match response {
+            LeafResponse::Served(value) => link.answer(name, "good", value),
+            LeafResponse::Failed => link.answer(name, "bad", ""),
+            LeafResponse::Rejected => link.answer(name, "later", ""),
+            LeafResponse::Unreadable => link.put('q', "noise"),
+            LeafResponse::Cut(value) => {
+                link.put_cut('q', &format!("{name} good 1 -\n{value}"));
+                self.connections.remove(connection);
+            }
+        }
+    }
+
+    fn await_cancellation(&mut self, connection: usize, name: String) {
+        if !self.cancelled.contains(&name) {
+            assert_eq!(self.connections[connection].frame(), Some(('n', name)));
+        }
+    }
+}
+
+impl AnyLeaf {
+    fn new(protocol: Protocol) -> Self {
+        match protocol {
+            Protocol::Platform => AnyLeaf::Platform(FrameLeaf::new()),
+            Protocol::Flight => AnyLeaf::Flight(FlightLeaf::new()),
+        }
+    }
+
+    fn listed(&self, name: &'static str, cell: u32) -> Listed {
+        match self {
+            AnyLeaf::Platform(frames) => listed(name, frames.leaf.address, cell),
+            AnyLeaf::Flight(leaf) => leaf.listed(name, cell),
+        }
+    }
+
+    fn try_part(&mut self) -> Option<Part> {
+        match self {
+            AnyLeaf::Platform(frames) => frames.try_part(),
+            AnyLeaf::Flight(leaf) => leaf.try_part().map(Part::Flight),
+        }
+    }
+
+    fn respond(&mut self, part: Part, response: LeafResponse) {
+        match (self, part) {
+            (AnyLeaf::Platform(frames), Part::Platform { connection, name }) => {
+                frames.respond(connection, &name, response);
+            }
+            (AnyLeaf::Flight(leaf), Part::Flight(part)) => {
+                let is_cut = matches!(response, LeafResponse::Cut(_));
+                part.respond(response);
+                if is_cut {
+                    // The row must be on its way before the end.
+                    std::thread::sleep(Duration::from_millis(50));
+                    leaf.close_connections();
+                }
+            }
+            _ => unreachable!("a leaf server gets parts of its own protocol"),
+        }
+    }
+
+    /// Waits until the aggregator has cancelled the part.
+    fn await_cancellation(&mut self, part: Part) {
+        match (self, part) {
+            (AnyLeaf::Platform(frames), Part::Platform { connection, name }) => {
+                frames.await_cancellation(connection, name);
+            }
+            (_, Part::Flight(part)) => part.cancelled.recv_timeout(PATIENCE).expect("a cancellation"),
+            _ => unreachable!("a leaf server gets parts of its own protocol"),
+        }
+    }
+}
+
+/// The next part at any of some leaf servers, and the index of that leaf server.
+fn next_part(leaves: &mut [AnyLeaf]) -> (usize, Part) {
+    let deadline = Instant::now() + PATIENCE;
+    loop {
+        for (index, leaf) in leaves.iter_mut().enumerate() {
+            if let Some(part) = leaf.try_part() {
+                return (index, part);
+            }
+        }
+        assert!(Instant::now() < deadline, "no part arrives");
+        std::thread::sleep(POLL_INTERVAL);
+    }
+}
+
+/// Lets whichever leaf server is asked next respond.
+fn respond_next(leaves: &mut [AnyLeaf], response: LeafResponse) {
+    let (index, part) = next_part(leaves);
+    leaves[index].respond(part, response);
+}
+
+/// A client of either protocol with a query in flight.
+enum PendingQuery {
+    Platform(Client),
+    /// The gateway's connection must outlive the pull.
+    Flight(Box<Gateway>, Pull),
+}
+
+fn send_query(
+    aggregator: &mut Mixer,
+    protocol: Protocol,
+    name: &str,
+    shards: &[u32],
+    deadline_ms: u64,
+) -> PendingQuery {
+    match protocol {
+        Protocol::Platform => {
+            let mut client = Client::connect(aggregator.address);
+            client.send(query(name, &format!("{deadline_ms}m"), shards));
+            PendingQuery::Platform(client)
+        }
+        Protocol::Flight => {
+            let gateway = Gateway::connect(&aggregator.flight());
+            let pull = gateway.pull(ticket(name, shards), Duration::from_millis(deadline_ms));
+            PendingQuery::Flight(Box::new(gateway), pull)
+        }
+    }
+}
+
+impl PendingQuery {
+    fn outcome(self) -> Outcome {
+        match self {
+            PendingQuery::Platform(mut client) => http_outcome(&client.response()),
+            PendingQuery::Flight(_gateway, pull) => flight_outcome(pull.result()),
+        }
+    }
+
+    /// The client gives up: it closes its connection or cancels its call.
+    fn cancel(self) {
+        if let PendingQuery::Flight(_gateway, pull) = self {
+            pull.cancel();
+        }
+    }
+}
+
+fn http_outcome(response: &Response) -> Outcome {
+    match response.status {
+        200 => {
+            let complete = response.body.starts_with(r#"{"total":true"#);
+            let rows = response.body.split("{\"range\":").skip(1).map(parse_row).collect();
+            Outcome::Answered { complete, rows }
+        }
+        503 => {
+            assert!(response.header("Retry-After").is_some(), "{response:?}");
+            Outcome::Rejected
+        }
+        400 => Outcome::BadRequest,
+        _ => Outcome::Failed,
+    }
+}
+
+/// A row of an answer's JSON, without what stands before its shard.
+fn parse_row(text: &str) -> (u32, String) {
+    let (shard, rest) = text.split_once(",\"blob\":\"").expect("a row");
+    (shard.parse().expect("a number"), rest.split('"').next().unwrap_or("").to_owned())
+}
+
+fn flight_outcome(result: Result<GatewayAnswer, tonic::Status>) -> Outcome {
+    let status = match result {
+        Ok(answer) => return Outcome::Answered { complete: answer.complete == "true", rows: answer.rows },
+        Err(status) => status,
+    };
+    match status.code() {
+        tonic::Code::Unavailable => {
+            assert!(status.get_details_retry_info().is_some(), "{status:?}");
+            Outcome::Rejected
+        }
+        tonic::Code::InvalidArgument => Outcome::BadRequest,
+        _ => Outcome::Failed,
+    }
+}
+
+fn flight_enabled() -> Option<String> {
+    Some("flight:\n  listen: 127.0.0.1:0\n".to_owned())
+}
+
+/// Runs a scenario over all pairs of client and leaf protocol: outcomes and counters must not differ.
+fn with_all_protocols(
+    hard_limit_ms: u32,
+    scenario: impl Fn(&mut Mixer, Protocol, &mut [AnyLeaf]) -> Vec<Outcome>,
+) {
+    let mut first: Option<(Vec<Outcome>, HashMap<String, u64>)> = None;
+    for (client_protocol, leaf_protocol) in [
+        (Protocol::Platform, Protocol::Platform),
+        (Protocol::Platform, Protocol::Flight),
+        (Protocol::Flight, Protocol::Platform),
+        (Protocol::Flight, Protocol::Flight),
+    ] {
+        // Both hold shard 0.
+        let mut leaves = [AnyLeaf::new(leaf_protocol), AnyLeaf::new(leaf_protocol)];
+        let listed = [leaves[0].listed("a", 0), leaves[1].listed("b", 0)];
+        let setup = Setup { operator: flight_enabled(), hard_limit_ms, ..Setup::new(&listed) };
+        let mut aggregator = setup.start();
+        let outcomes = scenario(&mut aggregator, client_protocol, &mut leaves);
+        let mut counters = aggregator.counters();
+        // Connections differ by protocol, and a watch without discovery is retried now and again.
+        counters.retain(|name, _| {
+            ["queries", "parts", "answers", "attempts"].iter().any(|kind| name.starts_with(kind))
+        });
+        match &first {
+            None => first = Some((outcomes, counters)),
+            Some((first_outcomes, first_counters)) => {
+                let protocols = format!("client {client_protocol:?}, leaf {leaf_protocol:?}");
+                assert_eq!(&outcomes, first_outcomes, "{protocols}");
+                assert_eq!(&counters, first_counters, "{protocols}");
+            }
+        }
+    }
+}
+
+fn answered(value: &str) -> Outcome {
+    Outcome::Answered { complete: true, rows: vec![(0, value.to_owned())] }
+}
+
+#[test]
+fn answer_is_passed_on() {
+    with_all_protocols(10_000, |aggregator, protocol, leaves| {
+        let pending = send_query(aggregator, protocol, "q1", &[0], 9000);
+        respond_next(leaves, LeafResponse::Served("v"));
+        let outcome = pending.outcome();
+        assert_eq!(outcome, answered("v"));
+        vec![outcome]
+    });
+}
+
+#[test]
+fn rejected_part_is_retried_elsewhere() {
+    with_all_protocols(10_000, |aggregator, protocol, leaves| {
+        let pending = send_query(aggregator, protocol, "q1", &[0], 9000);
+        respond_next(leaves, LeafResponse::Rejected);
+        respond_next(leaves, LeafResponse::Served("v"));
+        let outcome = pending.outcome();
+        assert_eq!(outcome, answered("v"));
+        assert_eq!(aggregator.counters()["attempts_rejected"], 1);
+        vec![outcome]
+    });
+}
+
+#[test]
+fn failed_part_is_retried_elsewhere() {
+    with_all_protocols(10_000, |aggregator, protocol, leaves| {
+        let pending = send_query(aggregator, protocol, "q1", &[0], 9000);
+        respond_next(leaves, LeafResponse::Failed);
+        respond_next(leaves, LeafResponse::Served("v"));
+        let outcome = pending.outcome();
+        assert_eq!(outcome, answered("v"));
+        assert_eq!(aggregator.counters()["attempts_bad"], 1);
+        vec![outcome]
+    });
+}
+
+/// A stream that is cut halfway through a part: it may have run, and none of its rows reach the client.
+#[test]
+fn cut_answer_counts_as_a_reset() {
+    with_all_protocols(10_000, |aggregator, protocol, leaves| {
+        let pending = send_query(aggregator, protocol, "q1", &[0], 9000);
+        respond_next(leaves, LeafResponse::Cut("half"));
+        respond_next(leaves, LeafResponse::Served("whole"));
+        let outcome = pending.outcome();
+        assert_eq!(outcome, answered("whole"));
+        assert_eq!(aggregator.counters()["attempts_reset"], 1);
+        vec![outcome]
+    });
+}
+
+/// The part may have run, and the connection is of no further use.
+#[test]
+fn unreadable_answer_is_a_failed_attempt() {
+    with_all_protocols(10_000, |aggregator, protocol, leaves| {
+        let pending = send_query(aggregator, protocol, "q1", &[0], 9000);
+        respond_next(leaves, LeafResponse::Unreadable);
+        respond_next(leaves, LeafResponse::Served("whole"));
+        let outcome = pending.outcome();
+        assert_eq!(outcome, answered("whole"));
+        let counters = aggregator.counters();
+        assert_eq!(counters["attempts_bad"], 1);
+        assert_eq!(counters["connections_spoilt"], 1);
+        vec![outcome]
+    });
+}
+
+#[test]
+fn query_is_rejected_at_once_after_three_failed_attempts() {
+    with_all_protocols(10_000, |aggregator, protocol, leaves| {
+        let pending = send_query(aggregator, protocol, "q1", &[0], 9000);
+        for _ in 0..3 {
+            respond_next(leaves, LeafResponse::Failed);
+        }
+        let outcome = pending.outcome();
+        assert_eq!(outcome, Outcome::Rejected);
+        assert_eq!(aggregator.counters()["attempts_sent"], 3);
+        vec![outcome]
+    });
+}
+
+#[test]
+fn silent_leaf_is_cancelled_before_the_next_is_asked() {
+    with_all_protocols(2400, |aggregator, protocol, leaves| {
+        let pending = send_query(aggregator, protocol, "q1", &[0], 2400);
+        let (silent_leaf, silent_part) = next_part(leaves);
+        let (other_leaf, part) = next_part(leaves);
+        assert_ne!(silent_leaf, other_leaf);
+        leaves[silent_leaf].await_cancellation(silent_part);
+        leaves[other_leaf].respond(part, LeafResponse::Served("v"));
+        let outcome = pending.outcome();
+        assert_eq!(outcome, answered("v"));
+        assert_eq!(aggregator.counters()["attempts_timed_out"], 1);
+        vec![outcome]
+    });
+}
+
+#[test]
+fn client_cancellation_cancels_its_parts() {
+    with_all_protocols(10_000, |aggregator, protocol, leaves| {
+        let pending = send_query(aggregator, protocol, "q1", &[0], 9000);
+        let (leaf, part) = next_part(leaves);
+        pending.cancel();
+        leaves[leaf].await_cancellation(part);
+        aggregator.wait_for("clients_gone", 1);
+        assert_eq!(aggregator.counters()["attempts_cancelled"], 1);
+        vec![]
+    });
+}
+
+#[test]
+fn query_for_an_unknown_shard_is_a_bad_request() {
+    with_all_protocols(10_000, |aggregator, protocol, _| {
+        let outcome = send_query(aggregator, protocol, "q1", &[7], 9000).outcome();
+        assert_eq!(outcome, Outcome::BadRequest);
+        vec![outcome]
+    });
+}
+
+#[test]
+fn flight_info_names_the_ticket_and_invalid_tickets_are_rejected() {
+    let leaf = Node::new();
+    let setup = Setup { operator: flight_enabled(), ..Setup::new(&[listed("a", leaf.address, 0)]) };
+    let mut aggregator = setup.start();
+    let gateway = Gateway::connect(&aggregator.flight());
+    let valid = ticket("q1", &[0]);
+    let info = gateway.info(&valid).expect("an answer");
+    assert_eq!(info.endpoint[0].ticket.as_ref().expect("a ticket").ticket, valid.as_bytes());
+    for invalid in ["{", &ticket("q 1", &[0])] {
+        let result = gateway.pull(invalid.to_owned(), PATIENCE).result();
+        assert_eq!(result.err().expect("no query").code(), tonic::Code::InvalidArgument);
+    }
+    assert_eq!(aggregator.counters()["queries_malformed"], 2);
+}
+
+#[test]
+fn health_checks_are_answered_over_both_protocols() {
+    for protocol in [Protocol::Platform, Protocol::Flight] {
+        let mut leaves = [AnyLeaf::new(protocol)];
+        let aggregator = Setup { probes: true, ..Setup::new(&[leaves[0].listed("a", 0)]) }.start();
+        let mut client = Client::connect(aggregator.address);
+        let deadline = Instant::now() + PATIENCE;
+        // Health checks follow some of the choices between leaf servers.
+        for i in 0.. {
+            client.send(query(&format!("q{i}"), "9000m", &[0]));
+            respond_next(&mut leaves, LeafResponse::Served("v"));
+            assert_eq!(client.response().status, 200);
+            if aggregator.counters()["probes_answered"] > 0 {
+                break;
+            }
+            assert!(Instant::now() < deadline, "no health check was answered over {protocol:?}");
+        }
+        assert_eq!(aggregator.counters()["probes_failed"], 0, "{protocol:?}");
+    }
+}
+
+#[test]
+fn gateways_beyond_the_limit_wait_until_one_disconnects() {
+    let setup = Setup { operator: flight_enabled(), ..Setup::new(&[]) };
+    let config = setup.config().replace("\"sockets\":1024", "\"sockets\":16");
+    let mut aggregator = Mixer::start(&config, setup.operator.as_deref());
+    let flight = aggregator.flight();
+    let first = Gateway::connect(&flight);
+    let waiting = background(move || Gateway::connect(&flight).info(&ticket("q2", &[0])).is_ok());
+    assert!(first.info(&ticket("q1", &[0])).is_ok());
+    drop(first);
+    assert!(waiting());
+}
+
+#[test]
+fn invalid_operator_file_fails_the_start_and_names_the_field() {
+    let mut child = spawn(&Setup::new(&[]).config(), Some("flight:\n  listen: nowhere\n"));
+    let mut log = String::new();
+    child.stderr.take().expect("piped").read_to_string(&mut log).expect("text");
+    assert!(!child.wait().expect("it ends").success());
+    assert!(log.contains("operator.yaml") && log.contains("flight.listen"), "{log}");
+}
--- /dev/null
+++ b/tests/leaf_connections.rs
@@ -0,0 +1,242 @@
+//! The connections to leaf servers, on real sockets: calls, cancellations, outcomes of attempts, and limits.
+
+mod common;
+
+use common::leaf_setups::*;
+use common::process::*;
+use std::io::Write;
+
+/// The leaf server must know that the first attempt is over before the second leaves: never two in flight at once.
+#[test]
+fn cancellation_is_written_before_the_next_attempt_is_sent() {
+    let (a, b) = (Node::new(), Node::new());
+    let aggregator = Setup { hard_limit_ms: 2400, ..with_two_holders(&a, &b) }.start();
+    let mut client = Client::connect(aggregator.address);
+    client.send(query("q1", "2400m", &[0]));
+    let mut connections = [first_of(&[&a, &b]), first_of(&[&a, &b])];
+    // The second attempt has arrived: the first connection must hold its part and the cancellation already.
+    connections[0].stream.set_nonblocking(true).expect("set");
+    assert_eq!(connections[0].part(), "q1.0");
+    assert_eq!(connections[0].frame(), Some(('n', "q1.0".to_owned())));
+    assert_eq!(connections[1].part(), "q1.0");
+    // A late answer to the cancelled attempt is ignored: only the second one counts.
+    connections[0].answer("q1.0", "good", "late");
+    aggregator.wait_for("attempts_timed_out", 1);
+    connections[1].answer("q1.0", "good", "in time");
+    let reply = client.response();
+    assert_eq!((reply.status, reply.body.contains("in time")), (200, true), "{reply:?}");
+}
+
+#[test]
+fn each_failed_outcome_of_an_attempt_has_its_own_counter() {
+    type Response = fn(&mut Link, &str);
+    let cases: [(&str, Response); 11] = [
+        ("attempts_bad", |connection, part| connection.answer(part, "bad", "")),
+        ("attempts_rejected", |connection, part| connection.answer(part, "later", "")),
+        ("attempts_reset", |connection, _| drop(connection.stream.shutdown(std::net::Shutdown::Both))),
+        ("attempts_bad", |connection, _| connection.put('x', "no such letter")),
+        ("attempts_bad", |connection, _| connection.put('r', "what was that")),
+        ("attempts_bad", |connection, part| connection.put('q', &format!("{part} fine 17 -\nv"))),
+        ("attempts_bad", |connection, part| connection.put('q', &format!("{part} good x -\nv"))),
+        ("attempts_bad", |connection, part| connection.put('q', &format!("{part} good 17 - v"))),
+        ("attempts_bad", |connection, part| connection.put('q', &format!("z{part} good 17 -\nv"))),
+        // A length that does not fit, and one of 3 GB.
+        ("attempts_bad", |connection, part| connection.put_cut('q', &format!("{part} good 17 -\nv"))),
+        ("attempts_bad", |connection, _| {
+            connection.stream.write_all(&[0xc0, 0, 0, 0, b'q']).expect("the aggregator reads")
+        }),
+    ];
+    for (counter, respond) in cases {
+        let (a, b) = (Node::new(), Node::new());
+        let aggregator = with_two_holders(&a, &b).start();
+        let mut client = Client::connect(aggregator.address);
+        client.send(query("q1", "9000m", &[0]));
+        let mut first = first_of(&[&a, &b]);
+        let part = first.part();
+        respond(&mut first, &part);
+        let mut second = first_of(&[&a, &b]);
+        let part = second.part();
+        second.answer(&part, "good", "v");
+        assert_eq!(client.response().status, 200);
+        let counters = aggregator.counters();
+        assert_eq!(
+            (counters[counter], counters["attempts_good"], counters["attempts_sent"]),
+            (1, 1, 2),
+            "{counter}"
+        );
+    }
+}
+
+#[test]
+fn refused_connection_proves_that_the_part_never_ran() {
+    let leaf = Node::new();
+    let aggregator = Setup::new(&[listed("a", nobody(), 0), listed("b", leaf.address, 0)]).start();
+    let serve = background(move || {
+        let mut connection = leaf.accept();
+        while let Some((_, rest)) = connection.frame() {
+            connection.answer(rest.split(' ').next().unwrap_or_default(), "good", "v");
+        }
+    });
+    let mut client = Client::connect(aggregator.address);
+    for i in 0..20 {
+        assert_eq!(client.ask(query(&format!("q{i}"), "9000m", &[0])).status, 200);
+    }
+    let counters = aggregator.counters();
+    assert_eq!((counters["attempts_sent"], counters["attempts_reset"]), (20, 0));
+    assert!(counters["attempts_not_connected"] > 0);
+    assert!(counters["connections_failed"] > 0);
+    drop(aggregator);
+    serve();
+}
+
+#[test]
+fn query_is_rejected_at_once_after_three_failed_attempts() {
+    let leaf = Node::new();
+    let aggregator = with_leaves(&[&leaf]).start();
+    let mut client = Client::connect(aggregator.address);
+    client.send(query("q1", "9000m", &[0]));
+    let mut connection = leaf.accept();
+    for _ in 0..3 {
+        let part = connection.part();
+        connection.answer(&part, "bad", "");
+    }
+    let reply = client.response();
+    let wait: f64 = reply.header("Retry-After").and_then(|w| w.parse().ok()).expect("advice");
+    assert!(reply.status == 503 && wait > 0.0, "{reply:?}");
+    assert_eq!(aggregator.counters()["attempts_sent"], 3);
+}
+
+#[test]
+fn client_disconnect_cancels_its_attempts() {
+    let leaf = Node::new();
+    let aggregator = with_leaves(&[&leaf]).start();
+    let mut client = Client::connect(aggregator.address);
+    client.send(query("q1", "9000m", &[0]));
+    let mut connection = leaf.accept();
+    assert_eq!(connection.part(), "q1.0");
+    drop(client);
+    assert_eq!(connection.frame(), Some(('n', "q1.0".to_owned())));
+    aggregator.wait_for("clients_gone", 1);
+    assert_eq!(aggregator.counters()["attempts_cancelled"], 1);
+}
+
+#[test]
+fn connection_carries_no_more_parts_than_allowed() {
+    let leaf = Node::new();
+    let setup = Setup { calls_per_connection: 1, ..with_leaves(&[&leaf]) };
+    let aggregator = setup.start();
+    let mut clients = [Client::connect(aggregator.address), Client::connect(aggregator.address)];
+    for (i, client) in clients.iter_mut().enumerate() {
+        client.send(query(&format!("q{i}"), "9000m", &[0]));
+    }
+    for _ in 0..2 {
+        let mut connection = leaf.accept();
+        let part = connection.part();
+        connection.answer(&part, "good", "v");
+        std::mem::forget(connection);
+    }
+    assert!(clients.iter_mut().all(|c| c.response().status == 200));
+}
+
+#[test]
+fn idle_leaf_connection_is_closed_by_the_aggregator() {
+    let leaf = Node::new();
+    let aggregator = Setup { keepalive_ms: 700, ..with_leaves(&[&leaf]) }.start();
+    let mut client = Client::connect(aggregator.address);
+    client.send(query("q1", "9000m", &[0]));
+    let mut connection = leaf.accept();
+    let part = connection.part();
+    connection.answer(&part, "good", "v");
+    assert_eq!(client.response().status, 200);
+    assert_eq!(connection.frame(), None, "closed by the aggregator");
+    assert_eq!(aggregator.counters()["connections_closed"], 1);
+}
+
+/// A leaf server that reads nothing delays no other, and what waits for it is bounded.
+#[test]
+fn stalled_leaf_does_not_block_the_aggregator() {
+    let (stalled, leaf) = (Node::new(), Node::new());
+    let aggregator = Setup { calls_per_connection: 1000, ..with_leaves(&[&stalled, &leaf]) }.start();
+    let mut waiting = Vec::new();
+    for i in 0..150 {
+        let text = "x".repeat(60_000);
+        let mut client = Client::connect(aggregator.address);
+        let big = query(&format!("big{i}"), "5000m", &[0]).replace("c41e77d0", &text);
+        let length = format!("Content-Length: {}", big.split_once("\r\n\r\n").expect("a body").1.len());
+        let old = big.lines().find(|l| l.starts_with("Content-Length")).expect("a length").to_owned();
+        client.send(big.replace(&old, &length));
+        waiting.push(client);
+    }
+    let mut client = Client::connect(aggregator.address);
+    client.send(query("small", "9000m", &[1]));
+    let mut connection = leaf.accept();
+    let part = connection.part();
+    connection.answer(&part, "good", "v");
+    assert_eq!(client.response().status, 200);
+    aggregator.wait_for("connections_closed", 1);
+    for mut client in waiting {
+        assert_eq!(client.response().status, 503);
+    }
+}
+
+/// A leaf server reads no cancellation on a full connection, and may work on what was cancelled until it answers.
+#[test]
+fn cancellation_never_waits_behind_a_full_connection() {
+    let leaf = Node::new();
+    let aggregator = Setup { calls_per_connection: 3, ..with_leaves(&[&leaf]) }.start();
+    let ask = |id: &str| {
+        let mut client = Client::connect(aggregator.address);
+        client.send(query(id, "9000m", &[0]));
+        client
+    };
+    let leaver = ask("q0");
+    let mut full = leaf.accept();
+    assert_eq!(full.part(), "q0.0");
+    let _stays = ask("q1");
+    assert_eq!(full.part(), "q1.0");
+    let _second = ask("q2");
+    let mut other = leaf.accept();
+    assert_eq!(other.part(), "q2.0", "a full connection keeps one call of three free");
+    drop(leaver);
+    assert_eq!(full.frame(), Some(('n', "q0.0".to_owned())));
+    aggregator.wait_for("attempts_cancelled", 1);
+    let _third = ask("q3");
+    assert_eq!(other.part(), "q3.0", "a cancelled attempt counts until it is answered");
+    full.answer("q0.0", "good", "late");
+    aggregator.wait_for("answers_ignored", 1);
+    let _fourth = ask("q4");
+    assert_eq!(full.part(), "q4.0", "an answer frees it");
+}
+
+/// Noise around a served answer takes nothing from it: not in its load report, nor right behind it.
+#[test]
+fn served_answer_counts_despite_noise_around_it() {
+    for (report, behind, read) in [
+        ("inflight=7, util = what", "", 1),
+        // By the names of the settings' `report.fields`: unread, every choice would be blind.
+        ("served_ps=31.5,busy_reqs=9", "", 1),
+        ("cpu_share=0.5", "", 1),
+        ("inflight=NaN,queue=-3,util=inf", "", 0),
+        ("\u{1} \t=,,", "", 0),
+        ("-", "\u{0}\u{0}\u{0}\u{5}qnoise", 0),
+        ("-", "\u{7f}noise that names a length", 0),
+    ] {
+        let (a, b) = (Node::new(), Node::new());
+        let aggregator = with_two_holders(&a, &b).start();
+        let mut client = Client::connect(aggregator.address);
+        client.send(query("q1", "9000m", &[0]));
+        let mut connection = first_of(&[&a, &b]);
+        let part = connection.part();
+        let rest = format!("{part} good 17 {report}\nv");
+        let mut bytes = (rest.len() as u32 + 1).to_be_bytes().to_vec();
+        bytes.extend(format!("q{rest}{behind}").as_bytes());
+        connection.stream.write_all(&bytes).expect("the aggregator reads");
+        assert_eq!(client.response().status, 200, "{report:?} {behind:?}");
+        if !behind.is_empty() {
+            assert_eq!(connection.frame(), None, "of no further use");
+        }
+        let counters = aggregator.counters();
+        assert_eq!((counters["attempts_good"], counters["attempts_bad"]), (1, 0), "{report:?} {behind:?}");
+        assert_eq!(counters["reports_read"], read, "{report:?}");
+    }
+}
