--- a/src/net/discovery_watch.rs
+++ b/src/net/discovery_watch.rs
@@ -7,7 +7,7 @@
 use crate::clock::{Clock, Millis};
 use crate::config::{SiteSettings, node_list};
 use crate::endpoints::{DiscoveryTiming, EndpointList};
-use crate::json::{Field, FieldError, Object};
+use crate::json::{Field, FieldError, ObjectScanner, ScanError};
 use bytes::BytesMut;
 use miniserde::json::Value;
 use std::cell::Cell;
@@ -114,7 +114,7 @@
     HeadTooLong,
     Chunk(MalformedChunk),
     LineTooLong,
-    Line(&'static str),
+    Line(ScanError),
     NotText(std::str::Utf8Error),
     NotJson,
     List(FieldError),
@@ -140,7 +140,7 @@
             Self::HeadTooLong => f.write_str("a head without an end"),
             Self::Chunk(error) => error.fmt(f),
             Self::LineTooLong => f.write_str("a line without an end"),
-            Self::Line(problem) => f.write_str(problem),
+            Self::Line(error) => error.fmt(f),
             Self::NotText(error) => error.fmt(f),
             Self::NotJson => f.write_str("a line that is not JSON"),
             Self::List(error) => error.fmt(f),
@@ -207,7 +207,7 @@
         // One timeout for all of the head: an overloaded discovery may trickle.
         let deadline = Instant::now() + duration(self.timing.response_timeout());
         let decoder = read_head(&mut stream, &mut raw, deadline).await?;
-        let mut body = BodyReader { decoder, body: BytesMut::new(), object: Object::default() };
+        let mut body = BodyReader { decoder, body: BytesMut::new(), object: ObjectScanner::default() };
         let mut line_begun: Option<Instant> = None;
         loop {
             let state = body.decode(&mut raw)?;
@@ -263,7 +263,7 @@
     /// None where the body comes without chunks and ends with the connection.
     decoder: Option<ChunkDecoder>,
     body: BytesMut,
-    object: Object,
+    object: ObjectScanner,
 }
 
 impl BodyReader {
@@ -281,7 +281,7 @@
     fn next_list(&mut self) -> Result<Option<EndpointList>, MalformedAnswer> {
         let Some(end) = self.object.end(&self.body).map_err(MalformedAnswer::Line)? else { return Ok(None) };
         let list = parse_list(&self.body.split_to(end))?;
-        self.object = Object::default();
+        self.object = ObjectScanner::default();
         Ok(Some(list))
     }
 
@@ -291,7 +291,7 @@
             return false;
         }
         let has_skipped = !self.body.is_empty();
-        self.object = Object::default();
+        self.object = ObjectScanner::default();
         self.body = BytesMut::new();
         has_skipped
     }
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -8,7 +8,7 @@
 use crate::aggregator::{Effect, Event, Limits, State, reduce};
 use crate::clock::{Clock, Millis};
 use crate::config::Config;
-use crate::json::Shape;
+use crate::json::KeyPaths;
 use std::io;
 use std::ops::ControlFlow;
 use std::rc::Rc;
@@ -55,7 +55,7 @@
     pub admin_requests: mpsc::Receiver<AdminRequest>,
     pub signals: Signals,
     /// The keys of the configuration in force, which a reload must have too.
-    pub config_shape: Shape,
+    pub config_keys: KeyPaths,
     /// The watch of discovery, unless inventory files take its place.
     pub discovery_watch: Option<DiscoveryWatchHandle>,
 }
@@ -178,14 +178,14 @@
     /// Reads the configuration again; where it is invalid the settings in force stay.
     fn reload(&mut self) -> Event {
         let name = &self.name;
-        let config = match Config::reload(&self.config_shape) {
+        let config = match Config::reload(&self.config_keys) {
             Ok(config) => config,
             Err(error) => {
                 error!("sailmux {name}: {error}; the old settings stand");
                 return Event::ReloadRejected;
             }
         };
-        self.config_shape = config.shape;
+        self.config_keys = config.shape;
         if let Some(watch) = &mut self.discovery_watch {
             watch.follow(config.discovery, self.state.settings());
         }
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -89,7 +89,7 @@
         inputs,
         admin_requests,
         signals,
-        config_shape: config.shape,
+        config_keys: config.shape,
         discovery_watch: None,
     };
     let digest = snapshot::digest(&overrides);
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -222,7 +222,7 @@
         let node = Node::new();
         let mut mixer = with_node(&node).start();
         mixer.signal("-TERM");
-        mixer.told("asked to end");
+        mixer.told("graceful shutdown");
         mixer.signal("-TERM");
         mixer.pause();
         let mut clients: Vec<Client> = (0..20).map(|_| Client::connect(mixer.address)).collect();
@@ -261,7 +261,7 @@
     let mut queued = Client::connect(mixer.address);
     queued.send(query("queued", "9000m", &[0]));
     mixer.signal("-TERM");
-    mixer.told("asked to end");
+    mixer.told("graceful shutdown");
     // Past the time for which the mixer serves as ever: it has stopped to accept by then.
     std::thread::sleep(Duration::from_millis(900));
     let mut link = link.expect("a connection");
@@ -291,7 +291,7 @@
         link.answer(&part, "good", "v");
         assert_eq!(client.response().status, 200);
         mixer.signal("-TERM");
-        mixer.told("asked to end");
+        mixer.told("graceful shutdown");
         std::thread::sleep(Duration::from_millis(after_ms));
         let answered = {
             let serve = background(move || match link.frame() {
@@ -658,7 +658,7 @@
         }
         mixer.wait_for("clients_opened", cuts.len() as u64);
         mixer.signal("-TERM");
-        mixer.told("asked to end");
+        mixer.told("graceful shutdown");
         std::thread::sleep(Duration::from_millis(rest_after_ms));
         let mut link = None;
         for (client, cut) in clients.iter_mut().zip(cuts) {
@@ -688,7 +688,7 @@
     assert_eq!(link.part(), "unread.0");
     let _silent = Client::connect(mixer.address);
     mixer.signal("-TERM");
-    mixer.told("asked to end");
+    mixer.told("graceful shutdown");
     link.answer("unread.0", "good", &"v".repeat(60_000));
     let asked = Instant::now();
     assert_ne!(hung.response().status, 200, "answered though not served");
@@ -715,7 +715,7 @@
     reloading.signal("-HUP");
     reloading.signal("-TERM");
     reloading.resume();
-    reloading.told("asked to end");
+    reloading.told("graceful shutdown");
     link.answer("held.0", "good", "v");
     assert_eq!(held.response().status, 200);
     drop(held);
