--- a/src/aggregator/cancellations.rs
+++ b/src/aggregator/cancellations.rs
@@ -6,9 +6,17 @@
 use super::reduce::Reduction;
 use super::timer::Timer;
 use super::{AttemptId, ConnectionId, Effect};
-use crate::balancer::Outcome;
+use crate::balancer::{Outcome, PartId};
 
 impl Reduction<'_> {
+    /// Cancels an attempt for the balancer, which knows it by its number within its part.
+    pub(super) fn cancel_attempt(&mut self, part: PartId, number: u32) {
+        let Some(part) = self.state.parts.get(&part) else { return };
+        if let Some(attempt) = part.open_attempts.get(&number).copied() {
+            self.end_attempt(attempt, Outcome::Cancelled, None);
+        }
+    }
+
     /// Removes an attempt that was passed to a writer, after cancelling it if the leaf server may still work on it.
     pub(super) fn end_submitted_attempt(
         &mut self,
--- a/src/aggregator/endpoint_updates.rs
+++ b/src/aggregator/endpoint_updates.rs
@@ -7,6 +7,7 @@
 use super::state::State;
 use super::timer::Timer;
 use crate::balancer::{self, Outcome, ReplicaEntry, ReplicaId, ReplicaState};
+use crate::clock::Millis;
 use crate::config;
 use crate::endpoints::{AuditEvent, Endpoint, EndpointList, EndpointState, Input, Output};
 use std::collections::HashSet;
@@ -23,6 +24,33 @@
 }
 
 impl Reduction<'_> {
+    pub(super) fn discovery_answered(&mut self, list: EndpointList, wall_clock_ahead: Millis) {
+        self.state.wall_clock_ahead = wall_clock_ahead;
+        self.update_endpoints(Input::Discovery(list));
+        self.finish_startup();
+    }
+
+    pub(super) fn endpoint_source_changed(&mut self, input: Input, wall_clock_ahead: Millis) {
+        self.state.wall_clock_ahead = wall_clock_ahead;
+        let starts_without_discovery = matches!(input, Input::Started { known: None, .. });
+        if matches!(input, Input::Started { .. }) {
+            self.begin_startup();
+        }
+        self.update_endpoints(input);
+        if starts_without_discovery {
+            self.finish_startup();
+        } else {
+            self.await_discovery();
+        }
+    }
+
+    pub(super) fn discovery_watch_lost(&mut self, unreadable: bool) {
+        let counters = &mut self.state.counters;
+        counters.discovery_watches_lost += 1;
+        counters.discovery_answers_malformed += u64::from(unreadable);
+        self.balancer_events.push_back(balancer::Event::EndpointListFailed);
+    }
+
     /// Gives an input to the endpoint registry and applies what comes of it.
     pub(super) fn update_endpoints(&mut self, input: Input) {
         let mut outputs = Vec::new();
--- a/src/aggregator/ledger_entries.rs
+++ b/src/aggregator/ledger_entries.rs
@@ -1,11 +1,11 @@
-//! What the ledger records of each query with a final answer, and the counters by tenant.
+//! What the ledger records of each query with a final answer, the counters by tenant, and the ledger's own events.
 
 use super::Effect;
 use super::records::Part;
 use super::reduce::Reduction;
 use super::state::State;
 use crate::balancer::QueryId;
-use crate::ledger::{self, PriceList, TenantMetrics};
+use crate::ledger::{self, LedgerEvent, PriceList, TenantMetrics};
 
 /// What a ledger needs of the aggregator.
 pub(super) struct Billing {
@@ -54,4 +54,15 @@
         billing.metrics.count(&entry);
         self.effects.push(Effect::LedgerEntry(query.client, entry));
     }
+
+    pub(super) fn count_ledger_event(&mut self, event: &LedgerEvent) {
+        let counters = &mut self.state.counters;
+        match event {
+            LedgerEvent::EntriesLost(gap) => counters.ledger_entries_lost += gap.entries,
+            LedgerEvent::WriteFailed(_) => counters.ledger_write_failures += 1,
+            LedgerEvent::PeriodClosed(_) => counters.ledger_periods_closed += 1,
+            LedgerEvent::ExportFinished(_) => counters.ledger_exports += 1,
+            LedgerEvent::Durable(_) | LedgerEvent::Recovered => {}
+        }
+    }
 }
--- a/src/aggregator/lifecycle.rs
+++ b/src/aggregator/lifecycle.rs
@@ -117,7 +117,7 @@
     // ---- Startup ---------------------------------------------------------------------------------------
 
     /// Startup begins when the endpoint sources are first known.
-    pub(super) fn restart_startup(&mut self) {
+    pub(super) fn begin_startup(&mut self) {
         self.state.lifecycle = Lifecycle::Starting { since: self.now };
     }
 
--- a/src/aggregator/queries.rs
+++ b/src/aggregator/queries.rs
@@ -7,6 +7,7 @@
 use super::{AttemptId, ClientId, NewPart, NewQuery, QueryError, Reply};
 use crate::balancer::{self, Outcome, PartId, PartSpec, QueryId};
 use crate::ledger::{self, Share};
+use bytes::Bytes;
 use std::collections::BTreeMap;
 
 impl Reduction<'_> {
@@ -86,6 +87,23 @@
         PartSpec { part, shard: new.shard, weight: new.weight, cost_hint: new.cost_hint }
     }
 
+    /// Marks a query that the balancer has just found to exceed its tenant's quota.
+    pub(super) fn note_quota_use(&mut self, query: QueryId) {
+        let within_quota = self.state.balancer.last_query_within_quota();
+        if let Some(query) = self.state.queries.get_mut(&query)
+            && !within_quota
+        {
+            query.share = Share::Beyond;
+        }
+    }
+
+    /// The values of a query's served parts, in the order of its parts.
+    pub(super) fn answer_values(&self, query: QueryId) -> Vec<(u32, Vec<Bytes>)> {
+        let Some(query) = self.state.queries.get(&query) else { return Vec::new() };
+        let parts = query.parts.iter().filter_map(|part| self.state.parts.get(part));
+        parts.filter_map(|part| Some((part.shard, part.value.clone()?))).collect()
+    }
+
     /// Gives a query its final answer.
     pub(super) fn finish_query(&mut self, query: QueryId, reply: Reply) {
         let Some(client) = self.state.queries.get(&query).map(|query| query.client) else { return };
--- a/src/aggregator/reduce.rs
+++ b/src/aggregator/reduce.rs
@@ -1,15 +1,12 @@
 //! The entry of the state machine: [`reduce`] dispatches an event, and then lets the balancer react until it has
 //! nothing more to ask for. Each concern's part of [`Reduction`] lies in its own module.
 
-use super::records::{Part, Query};
 use super::state::State;
 use super::timer::Timer;
 use super::{ClientId, Effect, Event, LogEvent, Reply};
-use crate::balancer::{self, Action, Outcome, PartId, QueryId};
+use crate::balancer::{self, Action};
 use crate::clock::Millis;
-use crate::endpoints::{EndpointList, Input};
-use crate::ledger::{LedgerEvent, Share};
-use bytes::Bytes;
+use crate::endpoints::Input;
 use std::collections::VecDeque;
 
 /// Applies an event to the state, at a time by the aggregator's clock. The caller carries out the effects in their
@@ -80,47 +77,6 @@
         self.reply(client, Reply::Metrics(text));
     }
 
-    fn discovery_answered(&mut self, list: EndpointList, wall_clock_ahead: Millis) {
-        self.state.wall_clock_ahead = wall_clock_ahead;
-        self.update_endpoints(Input::Discovery(list));
-        self.finish_startup();
-    }
-
-    fn endpoint_source_changed(&mut self, input: Input, wall_clock_ahead: Millis) {
-        self.state.wall_clock_ahead = wall_clock_ahead;
-        let (is_start, uses_discovery) = match &input {
-            Input::Started { known, .. } => (true, known.is_some()),
-            _ => (false, true),
-        };
-        if is_start {
-            self.restart_startup();
-        }
-        self.update_endpoints(input);
-        if uses_discovery {
-            self.await_discovery();
-        } else {
-            self.finish_startup();
-        }
-    }
-
-    fn discovery_watch_lost(&mut self, unreadable: bool) {
-        let counters = &mut self.state.counters;
-        counters.discovery_watches_lost += 1;
-        counters.discovery_answers_malformed += u64::from(unreadable);
-        self.balancer_events.push_back(balancer::Event::EndpointListFailed);
-    }
-
-    fn count_ledger_event(&mut self, event: &LedgerEvent) {
-        let counters = &mut self.state.counters;
-        match event {
-            LedgerEvent::EntriesLost(gap) => counters.ledger_entries_lost += gap.entries,
-            LedgerEvent::WriteFailed(_) => counters.ledger_write_failures += 1,
-            LedgerEvent::PeriodClosed(_) => counters.ledger_periods_closed += 1,
-            LedgerEvent::ExportFinished(_) => counters.ledger_exports += 1,
-            LedgerEvent::Durable(_) | LedgerEvent::Recovered => {}
-        }
-    }
-
     fn fire_due_timers(&mut self) {
         while let Some(timer) = self.state.timers.pop_due(self.now) {
             self.fire_timer(timer);
@@ -161,16 +117,6 @@
         }
     }
 
-    /// Marks a query that the balancer has just found to exceed its tenant's quota.
-    fn note_quota_use(&mut self, query: QueryId) {
-        let within_quota = self.state.balancer.last_query_within_quota();
-        if let Some(query) = self.state.queries.get_mut(&query)
-            && !within_quota
-        {
-            query.share = Share::Beyond;
-        }
-    }
-
     fn apply_action(&mut self, action: Action) {
         match action {
             Action::Send { part, replica, timeout, send_by } => {
@@ -194,21 +140,4 @@
             Action::Log(event) => self.effects.push(Effect::Log(LogEvent::Balancer(event))),
         }
     }
-
-    fn cancel_attempt(&mut self, part: PartId, number: u32) {
-        let Some(part) = self.state.parts.get(&part) else { return };
-        if let Some(attempt) = part.open_attempts.get(&number).copied() {
-            self.end_attempt(attempt, Outcome::Cancelled, None);
-        }
-    }
-
-    /// The values of a query's served parts, in the order of its parts.
-    fn answer_values(&self, query: QueryId) -> Vec<(u32, Vec<Bytes>)> {
-        let Some(query) = self.state.queries.get(&query) else { return Vec::new() };
-        self.parts_of(query).filter_map(|part| Some((part.shard, part.value.clone()?))).collect()
-    }
-
-    fn parts_of<'s>(&'s self, query: &'s Query) -> impl Iterator<Item = &'s Part> {
-        query.parts.iter().filter_map(|part| self.state.parts.get(part))
-    }
 }
--- a/tests/aggregator.rs
+++ b/tests/aggregator.rs
@@ -253,6 +253,7 @@
     let with_parts = |parts: &[NewPart]| NewQuery { parts: parts.to_vec(), ..query("q") };
     let cases = [
         (NewQuery { class: "none".into(), parts: vec![], ..query("q") }, "unknown class"),
+        (NewQuery { tenant: Some("nobody".into()), ..query("q") }, "unknown tenant"),
         (with_parts(&[]), "no parts"),
         (with_parts(&[part(1, 0.5), part(0, 0.5), part(1, f64::NAN)]), "a shard is named twice"),
         (with_parts(&[part(u32::MAX, 1.0)]), "no such shard"),
@@ -274,7 +275,7 @@
         let Some(Reply::BadRequest(error)) = reply else { panic!("{expected}: {effects:?}") };
         assert_eq!(error.to_string(), expected);
     }
-    assert_eq!(state.counters().queries_malformed, 10);
+    assert_eq!(state.counters().queries_malformed, 11);
     assert_eq!(state.counters().queries_received, 1);
 }
 
