--- a/tests/wire.rs
+++ b/tests/simulator_protocol.rs
@@ -1,9 +1,10 @@
-//! The adapter, on lines written for it.
+//! The simulator adapter as a process: lines in, lines out.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-fn run(lines: &str) -> Output {
+/// Runs the adapter on the given input.
+fn run(input: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_sailmux-simhost"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -11,12 +12,13 @@
         .spawn()
         .expect("the adapter starts");
     // A bad line ends the adapter early; the rest of the input is then of no interest.
-    let _ = child.stdin.take().expect("piped").write_all(lines.as_bytes());
+    let _ = child.stdin.take().expect("piped").write_all(input.as_bytes());
     child.wait_with_output().expect("the adapter ends")
 }
 
-fn text(lines: &str) -> Vec<String> {
-    let output = run(lines);
+/// The lines that the adapter replies to the given input.
+fn replies(input: &str) -> Vec<String> {
+    let output = run(input);
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     String::from_utf8(output.stdout).expect("UTF-8").lines().map(str::to_owned).collect()
 }
@@ -29,22 +31,25 @@
 "specifics":{"classPartial":[0.9],"completeFrom":[1],"fetchParts":[0],"floorByClass":[1],"perCall":1,
 "positions":2,"shards":2,"width":1},"tariffs":{},"tenants":[],"zone":"z","zones":["z"],"unheardOf":7}"#;
 
-fn up(who: u32) -> String {
+fn start_instance(who: u32) -> String {
     let facts = FACTS.replace('\n', "");
     format!("{{\"cmd\":\"up\",\"who\":{who},\"entropy\":{who},\"facts\":{facts}}}\n")
 }
 
-fn list(buffer: u32, names: [&str; 2]) -> String {
+/// An endpoint list of two replicas, one for each cell.
+fn store_list(buffer: u32, names: [&str; 2]) -> String {
     let row = |i: usize| {
         format!(r#"{{"searcher":"{}","setNo":{i},"heft":1,"state":"up","sku":"k","rackZone":"z"}}"#, names[i])
     };
     format!("{{\"cmd\":\"inventory\",\"buffer\":{buffer},\"rowsIn\":[{},{}]}}\n", row(0), row(1))
 }
 
-fn targets(who: u32) -> String {
+/// Hands list 0 to an instance.
+fn apply_list(who: u32) -> String {
     format!("{{\"cmd\":\"targets\",\"who\":{who},\"scope\":\"disk\",\"serial\":1,\"buffer\":0}}\n")
 }
 
+/// A query with one part, `ID-p`, of shard 0.
 fn query(who: u32, id: &str) -> String {
     let item = |id: &str, slab: i32, size: u32| {
         format!(
@@ -63,14 +68,22 @@
 const COMMIT: &str = "{\"cmd\":\"commit\"}\n";
 
 #[test]
-fn empty_batch_is_answered() {
-    assert_eq!(text(&format!("{ROUND}{COMMIT}")), [r#"{"cmd":"yield","batch":1}"#]);
+fn an_empty_batch_is_acknowledged() {
+    assert_eq!(replies(&format!("{ROUND}{COMMIT}")), [r#"{"cmd":"yield","batch":1}"#]);
 }
 
 #[test]
-fn list_numbers_are_resolved_in_event_order() {
-    let lines = [ROUND, &up(1), &list(0, ["a", "b"]), &targets(1), &up(2), &list(0, ["c", "d"]), &targets(2)];
-    let out = text(&format!("{}{}{}{COMMIT}", lines.concat(), query(1, "q1"), query(2, "q2")));
+fn a_list_number_refers_to_the_list_stored_last_before_the_message() {
+    let lines = [
+        ROUND,
+        &start_instance(1),
+        &store_list(0, ["a", "b"]),
+        &apply_list(1),
+        &start_instance(2),
+        &store_list(0, ["c", "d"]),
+        &apply_list(2),
+    ];
+    let out = replies(&format!("{}{}{}{COMMIT}", lines.concat(), query(1, "q1"), query(2, "q2")));
     let sent = |part: &str, to: &str| {
         let [part, to] = [format!("\"corr\":\"{part}\""), format!("\"searcher\":\"{to}\"")];
         out.iter().any(|l| l.contains("callOut") && l.contains(&part) && l.contains(&to))
@@ -80,22 +93,25 @@
 }
 
 #[test]
-fn halt_and_up_in_one_batch_forget_everything() {
-    let start = [ROUND, &up(1), &list(0, ["a", "b"]), &targets(1), &query(1, "q1")].concat();
-    let again = ["{\"cmd\":\"halt\",\"who\":1}\n", &up(1), &targets(1)].concat();
+fn an_instance_restarted_within_a_batch_has_forgotten_its_queries() {
+    let start =
+        [ROUND, &start_instance(1), &store_list(0, ["a", "b"]), &apply_list(1), &query(1, "q1")].concat();
+    let again = ["{\"cmd\":\"halt\",\"who\":1}\n", &start_instance(1), &apply_list(1)].concat();
     let late = "{\"cmd\":\"attemptEnd\",\"who\":1,\"corr\":\"q1-p\",\"sendNo\":0,\"searcher\":\"a\",\
                 \"verdict\":\"ok\",\"tookMs\":3,\"terminal\":true}\n";
-    let out = text(&format!("{start}{again}{late}{COMMIT}"));
+    let out = replies(&format!("{start}{again}{late}{COMMIT}"));
     assert!(!out.iter().any(|l| l.contains("replyNow")), "{out:?}");
 }
 
 #[test]
-fn actions_do_not_depend_on_who_shares_the_process() {
-    let start =
-        |who: u32| [up(who), list(0, ["a", "b"]), targets(who), query(who, &format!("q{who}"))].concat();
-    let together = text(&format!("{ROUND}{}{}{COMMIT}", start(1), start(2)));
+fn replies_of_an_instance_do_not_depend_on_the_others_in_its_process() {
+    let start = |who: u32| {
+        [start_instance(who), store_list(0, ["a", "b"]), apply_list(who), query(who, &format!("q{who}"))]
+            .concat()
+    };
+    let together = replies(&format!("{ROUND}{}{}{COMMIT}", start(1), start(2)));
     for who in [1, 2] {
-        let alone = text(&format!("{ROUND}{}{COMMIT}", start(who)));
+        let alone = replies(&format!("{ROUND}{}{COMMIT}", start(who)));
         let own = |l: &&String| l.contains(&format!("\"who\":{who},"));
         assert_eq!(
             together.iter().filter(own).collect::<Vec<_>>(),
@@ -106,7 +122,7 @@
 }
 
 #[test]
-fn malformed_lines_end_the_adapter_with_a_message() {
+fn a_malformed_line_ends_the_adapter_and_is_named() {
     for line in ["nonsense", "{\"cmd\":\"round\"}", "{\"cmd\":\"neverHeardOf\"}"] {
         let output = run(&format!("{line}\n"));
         assert!(!output.status.success(), "{line}");
@@ -114,23 +130,25 @@
     }
 }
 
-/// No messages between aggregators are used: one that is garbled, from nobody known, or old changes nothing.
+/// The balancer uses none: garbled, empty, and from an unknown sender.
 #[test]
-fn messages_between_aggregators_are_ignored() {
+fn messages_between_aggregators_change_no_reply() {
     let inbox =
         |octets: &str| format!("{{\"cmd\":\"inbox\",\"who\":1,\"neighbour\":77,\"octets\":\"{octets}\"}}\n");
-    let quiet = [ROUND, &up(1), &list(0, ["a", "b"]), &targets(1), &query(1, "q1"), COMMIT].concat();
+    let quiet =
+        [ROUND, &start_instance(1), &store_list(0, ["a", "b"]), &apply_list(1), &query(1, "q1"), COMMIT]
+            .concat();
     let noisy = [
         ROUND,
-        &up(1),
+        &start_instance(1),
         &inbox("!!"),
-        &list(0, ["a", "b"]),
-        &targets(1),
+        &store_list(0, ["a", "b"]),
+        &apply_list(1),
         &inbox("aGkgNw=="),
         &query(1, "q1"),
         &inbox(""),
         COMMIT,
     ]
     .concat();
-    assert_eq!(text(&quiet), text(&noisy));
+    assert_eq!(replies(&quiet), replies(&noisy));
 }
