--- a/tests/operate.rs
+++ b/tests/operate.rs
@@ -1,5 +1,5 @@
-//! What operators' staff do to a running mixer, on real processes: the second address, nodes out by hand, drains, a new
-//! version beside the old, new settings.
+//! Operating a running aggregator, on real processes: the admin interface, overrides of leaf servers, draining, hot
+//! restart, and new settings at SIGHUP.
 
 mod common;
 
@@ -11,23 +11,25 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-fn managed(nodes: &[Listed]) -> Setup {
-    Setup { managed: true, ..Setup::new(nodes) }
+/// An aggregator with an admin interface.
+fn with_admin(servers: &[Listed]) -> Setup {
+    Setup { managed: true, ..Setup::new(servers) }
 }
 
-fn asked(mixer: &Mixer, id: &str) -> u16 {
-    Client::connect(mixer.address).ask(query(id, "9000m", &[0])).status
+/// The status of a query over a connection of its own.
+fn query_status(aggregator: &Mixer, id: &str) -> u16 {
+    Client::connect(aggregator.address).ask(query(id, "9000m", &[0])).status
 }
 
 #[test]
-fn operators_are_answered_beside_callers_that_say_nothing() {
-    let node = Serving::new();
-    let mut mixer = managed(&[listed("a", node.address, 0)]).start();
-    let at: SocketAddr = mixer.told("operators on ").parse().expect("an address");
-    until("ready", || mixer.operate("GET /-/ready") == 200);
-    let silent: Vec<TcpStream> = (0..60).map(|_| TcpStream::connect(at).expect("accepted")).collect();
-    for (i, mut stream) in silent.iter().enumerate() {
-        // Some say half a call.
+fn the_admin_interface_answers_beside_60_idle_connections() {
+    let server = Serving::new();
+    let mut aggregator = with_admin(&[listed("a", server.address, 0)]).start();
+    let at: SocketAddr = aggregator.told("operators on ").parse().expect("an address");
+    until("ready", || aggregator.operate("GET /-/ready") == 200);
+    let idle: Vec<TcpStream> = (0..60).map(|_| TcpStream::connect(at).expect("accepted")).collect();
+    for (i, mut stream) in idle.iter().enumerate() {
+        // Some send half a call.
         if i % 2 == 0 {
             stream.write_all(b"POST /-/drain HT").expect("written");
         }
@@ -43,127 +45,133 @@
         ("GET /-/else", 404),
     ] {
         let began = Instant::now();
-        assert_eq!(mixer.operate(call), status, "{call}");
+        assert_eq!(aggregator.operate(call), status, "{call}");
         assert!(began.elapsed() < Duration::from_secs(1), "{call} took {:?}", began.elapsed());
     }
-    let mut last = &silent[59];
-    assert_eq!(last.read(&mut [0; 64]).expect("closed in order"), 0, "who says nothing is let go");
-    assert_eq!(mixer.counters()["operations_refused"], 2);
+    let mut last = &idle[59];
+    assert_eq!(last.read(&mut [0; 64]).expect("closed in order"), 0, "an idle connection is closed");
+    assert_eq!(aggregator.counters()["operations_refused"], 2);
 }
 
-/// Out whatever discovery and SIGHUP say, until one call back, however many took it out; then in use within 5 s.
+/// Disabled whatever discovery and SIGHUP say, until one call enables it, however many disabled it; then used in 5 s.
 #[test]
-fn a_node_out_by_hand_gets_nothing_until_it_is_back() {
+fn a_disabled_leaf_server_gets_no_part_until_it_is_enabled() {
     let (a, b) = (Serving::new(), Serving::new());
     let discovery = Discovery::new();
-    let nodes = [listed("a", a.address, 0), listed("b", b.address, 0)];
-    let mut mixer = Setup { discovery: discovery.address(), ..managed(&nodes) }.start();
+    let servers = [listed("a", a.address, 0), listed("b", b.address, 0)];
+    let mut aggregator = Setup { discovery: discovery.address(), ..with_admin(&servers) }.start();
     let mut watch = discovery.accept();
-    watch.tell(&list(2, true, &nodes));
-    mixer.wait_for("lists_taken", 2);
-    let ask = |mixer: &Mixer, n: usize, from: &str| {
+    watch.tell(&list(2, true, &servers));
+    aggregator.wait_for("lists_taken", 2);
+    let ask = |aggregator: &Mixer, n: usize, from: &str| {
         for i in 0..n {
-            assert_eq!(asked(mixer, &format!("{from}{i}")), 200);
+            assert_eq!(query_status(aggregator, &format!("{from}{i}")), 200);
         }
     };
-    ask(&mixer, 40, "p");
+    ask(&aggregator, 40, "p");
     assert!(a.count() > 0 && b.count() > 0);
-    assert_eq!(mixer.operate("POST /-/leaf-servers/a/disable"), 200);
-    assert_eq!(mixer.operate("POST /-/leaf-servers/a/disable"), 200);
+    assert_eq!(aggregator.operate("POST /-/leaf-servers/a/disable"), 200);
+    assert_eq!(aggregator.operate("POST /-/leaf-servers/a/disable"), 200);
     let before = a.count();
-    watch.tell(&list(3, true, &nodes));
-    mixer.wait_for("lists_taken", 4);
-    mixer.signal("-HUP");
-    mixer.wait_for("reloads", 1);
-    ask(&mixer, 40, "q");
-    assert_eq!(a.count(), before, "out");
-    // Discovery drops it and brings it back at another address: the ban is of the name.
-    watch.tell(&list(4, false, &[Listed { lifecycle: "Gone", ..nodes[0].clone() }]));
-    watch.tell(&list(5, false, &nodes[..1]));
-    mixer.wait_for("lists_taken", 6);
-    ask(&mixer, 20, "r");
-    assert_eq!(a.count(), before, "out after discovery brought it back");
-    assert_eq!(mixer.operate("POST /-/leaf-servers/a/enable"), 200);
+    watch.tell(&list(3, true, &servers));
+    aggregator.wait_for("lists_taken", 4);
+    aggregator.signal("-HUP");
+    aggregator.wait_for("reloads", 1);
+    ask(&aggregator, 40, "q");
+    assert_eq!(a.count(), before, "disabled");
+    // Discovery removes it and lists it again: the override is of the name.
+    watch.tell(&list(4, false, &[Listed { lifecycle: "Gone", ..servers[0].clone() }]));
+    watch.tell(&list(5, false, &servers[..1]));
+    aggregator.wait_for("lists_taken", 6);
+    ask(&aggregator, 20, "r");
+    assert_eq!(a.count(), before, "disabled after discovery listed it again");
+    assert_eq!(aggregator.operate("POST /-/leaf-servers/a/enable"), 200);
     let back = Instant::now();
     let mut i = 0;
-    until("used again", || {
+    until("a is used again", || {
         i += 1;
-        assert_eq!(asked(&mixer, &format!("s{i}")), 200);
+        assert_eq!(query_status(&aggregator, &format!("s{i}")), 200);
         a.count() > before
     });
     assert!(back.elapsed() < Duration::from_secs(5), "{:?}", back.elapsed());
 }
 
-/// Its front is told no, its clients are let go, and the process runs on until it is wanted again.
+/// Its health endpoint says no, its clients' connections are closed, and the process runs on until it is resumed.
 #[test]
-fn a_drained_mixer_lets_its_clients_go_and_comes_back() {
-    let node = Serving::new();
-    let mut mixer = managed(&[listed("a", node.address, 0)]).start();
-    let mut keeps = Client::connect(mixer.address);
-    assert_eq!(keeps.ask(query("q1", "9000m", &[0])).status, 200);
-    let mut silent = Client::connect(mixer.address);
-    assert_eq!(mixer.operate("POST /-/drain"), 200);
+fn a_drained_aggregator_closes_its_clients_and_resumes() {
+    let server = Serving::new();
+    let mut aggregator = with_admin(&[listed("a", server.address, 0)]).start();
+    let mut persistent = Client::connect(aggregator.address);
+    assert_eq!(persistent.ask(query("q1", "9000m", &[0])).status, 200);
+    let mut idle = Client::connect(aggregator.address);
+    assert_eq!(aggregator.operate("POST /-/drain"), 200);
     let drained = Instant::now();
-    assert_eq!(mixer.healthz(), 503);
-    assert_eq!(asked(&mixer, "q2"), 200, "who comes all the same is served");
-    keeps.closed();
-    silent.closed();
+    assert_eq!(aggregator.healthz(), 503);
+    assert_eq!(query_status(&aggregator, "q2"), 200, "a new client is served all the same");
+    persistent.closed();
+    idle.closed();
     assert!(drained.elapsed() < Duration::from_secs(2), "{:?}", drained.elapsed());
-    let mut late = Client::connect(mixer.address);
+    let mut late = Client::connect(aggregator.address);
     let reply = late.ask(query("q3", "9000m", &[0]));
     assert_eq!((reply.status, reply.header("Connection")), (200, Some("close")));
-    assert_eq!(mixer.operate("POST /-/resume"), 200);
-    assert_eq!(mixer.healthz(), 200);
-    assert_eq!(mixer.operate("POST /-/drain"), 200);
-    mixer.signal("-TERM");
-    assert!(mixer.ended().success(), "asked to end while it is drained");
+    assert_eq!(aggregator.operate("POST /-/resume"), 200);
+    assert_eq!(aggregator.healthz(), 200);
+    assert_eq!(aggregator.operate("POST /-/drain"), 200);
+    aggregator.signal("-TERM");
+    assert!(aggregator.ended().success(), "SIGTERM while it is drained");
 }
 
-/// Three versions one after the other under load, with an order given to each: no query is lost, the orders go along.
+/// Three processes one after the other under load, with an override given to each.
 #[test]
-fn new_versions_take_over_under_load_with_the_orders() {
+fn hot_restarts_under_load_lose_no_query_and_keep_the_overrides() {
     let (a, b, c) = (Serving::new(), Serving::new(), Serving::new());
-    let held = shared_port();
-    let nodes = [listed("a", a.address, 0), listed("b", b.address, 0), listed("c", c.address, 0)];
-    let setup = Setup::new(&nodes).shared(&held);
+    let reserved_port = shared_port();
+    let servers = [listed("a", a.address, 0), listed("b", b.address, 0), listed("c", c.address, 0)];
+    let setup = Setup::new(&servers).shared(&reserved_port);
     let mut old = setup.start();
-    let going = Arc::new(AtomicBool::new(true));
-    let clients = load(old.address, &going, 6);
+    let running = Arc::new(AtomicBool::new(true));
+    let clients = load(old.address, &running, 6);
     assert_eq!(old.operate("POST /-/leaf-servers/a/disable"), 200);
     let out = a.count();
     for round in 0..2 {
         let mut new = setup.start();
         until("the new one is ready", || new.operate("GET /-/ready") == 200);
-        // An order given to either holds in both from its yes on.
-        let (to, call) = if round == 0 { (&mut old, "disable") } else { (&mut new, "enable") };
-        assert_eq!(to.operate(&format!("POST /-/leaf-servers/b/{call}")), 200);
-        let words = if round == 0 { "node out by hand node=\"b\"" } else { "node back by hand node=\"b\"" };
-        let other = if round == 0 { &mut new } else { &mut old };
-        other.told(words);
+        // An override given to either process is in force in both once it is answered.
+        let (given_to, other, call, logged) = match round {
+            0 => (&mut old, &mut new, "disable", "node out by hand node=\"b\""),
+            _ => (&mut new, &mut old, "enable", "node back by hand node=\"b\""),
+        };
+        assert_eq!(given_to.operate(&format!("POST /-/leaf-servers/b/{call}")), 200);
+        other.told(logged);
         let served = b.count();
         thread::sleep(Duration::from_millis(100));
-        assert!(round > 0 || b.count() == served, "out in both from the yes on");
+        assert!(round > 0 || b.count() == served, "disabled in both from the answer on");
         old.signal("-TERM");
         assert!(old.ended().success());
         old.told("to=\"handing over\"");
         old = new;
     }
-    assert_eq!(a.count(), out, "out through two upgrades");
+    assert_eq!(a.count(), out, "disabled through two hot restarts");
     let before = b.count();
     until("b is used again", || b.count() > before);
-    going.store(false, Ordering::SeqCst);
-    let (asked, bad) =
-        clients.into_iter().map(|c| c.join().expect("ended")).fold((0, 0), |x, y| (x.0 + y.0, x.1 + y.1));
-    assert!(asked > 100, "{asked}");
-    assert_eq!(bad, 0, "of {asked}");
+    running.store(false, Ordering::SeqCst);
+    let mut queries = 0;
+    let mut failures = 0;
+    for client in clients {
+        let (sent, failed) = client.join().expect("ended");
+        queries += sent;
+        failures += failed;
+    }
+    assert!(queries > 100, "{queries}");
+    assert_eq!(failures, 0, "of {queries}");
 }
 
-/// A new version that dies at once, or is killed after its yes, leaves the old one as it was.
+/// A new process that fails to start, or is killed once it is ready.
 #[test]
-fn a_new_version_that_dies_leaves_the_old_one_serving() {
-    let node = Serving::new();
-    let held = shared_port();
-    let setup = Setup::new(&[listed("a", node.address, 0)]).shared(&held);
+fn a_new_process_that_dies_leaves_the_old_one_serving() {
+    let server = Serving::new();
+    let reserved_port = shared_port();
+    let setup = Setup::new(&[listed("a", server.address, 0)]).shared(&reserved_port);
     let mut old = setup.start();
     old.told("to=\"ready\"");
     let broken =
@@ -175,100 +183,103 @@
     new.kill();
     old.told("others=0 ready=false");
     for i in 0..20 {
-        assert_eq!(asked(&old, &format!("q{i}")), 200);
+        assert_eq!(query_status(&old, &format!("q{i}")), 200);
     }
     assert_eq!(old.healthz(), 200);
-    // With nobody to hand over to it leaves as ever.
+    // Without another process it shuts down as ever.
     old.signal("-TERM");
     assert!(old.ended().success());
     old.told("to=\"leaving\"");
 }
 
-/// Garbage, a later version's file or a folder that cannot be made: told, never believed; calls are answered all the same.
+/// Garbage, a truncated file, a later version's file, or a directory that cannot be made: logged, never applied; admin
+/// calls are answered all the same.
 #[test]
-fn kept_orders_that_are_not_to_be_believed_are_told_and_moved_aside() {
-    let node = Serving::new();
-    let held = shared_port();
-    let setup = Setup::new(&[listed("a", node.address, 0)]).shared(&held);
-    let tmp = setup.tmp.clone().expect("a folder");
+fn stored_overrides_that_are_unusable_are_logged_and_moved_aside() {
+    let server = Serving::new();
+    let reserved_port = shared_port();
+    let setup = Setup::new(&[listed("a", server.address, 0)]).shared(&reserved_port);
+    let tmp = setup.tmp.clone().expect("a directory");
     let mut first = setup.start();
     assert_eq!(first.operate("POST /-/leaf-servers/a/disable"), 200);
     first.kill();
-    let folder = std::fs::read_dir(&tmp).expect("read").next().expect("a folder").expect("read").path();
-    let whole = std::fs::read(folder.join("orders")).expect("kept");
-    for bad in [b"noise".to_vec(), whole[..whole.len() - 3].to_vec(), b"sailmux-orders 9 2 0\n{}".to_vec()] {
-        std::fs::write(folder.join("orders"), &bad).expect("written");
-        let mut mixer = setup.start();
-        mixer.told("moved aside");
-        assert_eq!(std::fs::read(folder.join("orders.unusable")).expect("aside"), bad);
-        assert_eq!(asked(&mixer, "q"), 200, "no order is in force");
-        mixer.kill();
+    let directory = std::fs::read_dir(&tmp).expect("read").next().expect("a directory").expect("read").path();
+    let valid = std::fs::read(directory.join("orders")).expect("kept");
+    for unusable in
+        [b"noise".to_vec(), valid[..valid.len() - 3].to_vec(), b"sailmux-orders 9 2 0\n{}".to_vec()]
+    {
+        std::fs::write(directory.join("orders"), &unusable).expect("written");
+        let mut aggregator = setup.start();
+        aggregator.told("moved aside");
+        assert_eq!(std::fs::read(directory.join("orders.unusable")).expect("aside"), unusable);
+        assert_eq!(query_status(&aggregator, "q"), 200, "no override is in force");
+        aggregator.kill();
     }
-    std::fs::write(folder.join("orders"), &whole).expect("written");
-    let mut mixer = setup.start();
-    mixer.told("node out by hand");
-    mixer.kill();
-    let nowhere = tmp.join("file");
-    std::fs::write(&nowhere, "").expect("written");
-    let mut mixer = Setup { tmp: Some(nowhere), ..setup }.start();
-    mixer.told("orders cannot be kept");
-    assert_eq!(mixer.operate("POST /-/leaf-servers/a/disable"), 200);
-    mixer.told("node out by hand");
+    std::fs::write(directory.join("orders"), &valid).expect("written");
+    let mut aggregator = setup.start();
+    aggregator.told("node out by hand");
+    aggregator.kill();
+    let not_a_directory = tmp.join("file");
+    std::fs::write(&not_a_directory, "").expect("written");
+    let mut aggregator = Setup { tmp: Some(not_a_directory), ..setup }.start();
+    aggregator.told("orders cannot be kept");
+    assert_eq!(aggregator.operate("POST /-/leaf-servers/a/disable"), 200);
+    aggregator.told("node out by hand");
 }
 
-/// A query that is held keeps the attempts and the class that it began with; the next ones go by the new settings.
+/// A query in flight keeps the attempts and the class that it began with; the next ones go by the new settings.
 #[test]
-fn new_classes_and_fewer_attempts_count_for_what_comes_next() {
+fn reloaded_settings_apply_to_new_queries_only() {
     let (a, b) = (Node::new(), Node::new());
-    let setup = managed(&[listed("a", a.address, 0), listed("b", b.address, 0)]);
-    let mut mixer = setup.start();
-    let mut held = Client::connect(mixer.address);
-    held.send(query("q1", "9000m", &[0]));
-    let mut link = first_of(&[&a, &b]);
-    let part = link.part();
+    let setup = with_admin(&[listed("a", a.address, 0), listed("b", b.address, 0)]);
+    let mut aggregator = setup.start();
+    let mut in_flight = Client::connect(aggregator.address);
+    in_flight.send(query("q1", "9000m", &[0]));
+    let mut connection = first_of(&[&a, &b]);
+    let part = connection.part();
     let new = setup
         .config()
         .replace("\"name\":\"c\"", "\"name\":\"d\"")
         .replace("\"maxAttempts\":3", "\"maxAttempts\":1");
-    std::fs::write(&mixer.config, new).expect("written");
-    mixer.signal("-HUP");
-    mixer.wait_for("reloads", 1);
-    link.answer(&part, "later", "");
-    // By the old settings it is tried again; the class is known no more to others.
+    std::fs::write(&aggregator.config, new).expect("written");
+    aggregator.signal("-HUP");
+    aggregator.wait_for("reloads", 1);
+    connection.answer(&part, "later", "");
+    // By the old settings it is retried; the class is unknown to new queries.
     let mut second = first_of(&[&a, &b]);
-    let mut other = Client::connect(mixer.address);
+    let mut other = Client::connect(aggregator.address);
     assert_eq!(other.ask(query("q2", "9000m", &[0])).status, 400);
     let part = second.part();
     second.answer(&part, "good", "v");
-    assert_eq!(held.response().status, 200);
+    assert_eq!(in_flight.response().status, 200);
     let renamed = query("q3", "9000m", &[0]).replace("Req-Kind: c", "Req-Kind: d");
-    let mut client = Client::connect(mixer.address);
+    let mut client = Client::connect(aggregator.address);
     client.send(renamed);
-    let mut links = [link, second];
-    until("a part comes", || links.iter().any(Link::has_frame));
-    let link = links.iter_mut().find(|l| l.has_frame()).expect("one");
-    let part = link.part();
-    link.answer(&part, "later", "");
+    let mut connections = [connection, second];
+    until("a part comes", || connections.iter().any(Link::has_frame));
+    let connection = connections.iter_mut().find(|l| l.has_frame()).expect("one");
+    let part = connection.part();
+    connection.answer(&part, "later", "");
     assert_eq!(client.response().status, 503, "one attempt, by the new settings");
-    until("ready", || mixer.operate("GET /-/ready") == 200);
+    until("ready", || aggregator.operate("GET /-/ready") == 200);
 }
 
-/// Calls on the second address go by method and path; each other one is told apart by its status.
+/// Anything else gets a status of its own.
 #[test]
-fn calls_are_told_by_method_and_path() {
-    let node = Node::new();
-    let nodes = [listed("s-1", node.address, 0), listed("s/1", nobody(), 0)];
-    let mut mixer = Setup { managed: true, ..Setup::new(&nodes) }.start();
-    until("ready", || mixer.operate("GET /-/ready") == 200);
-    assert_eq!(mixer.operate("POST /-/leaf-servers/s-1/disable"), 200);
-    assert!(mixer.told("node out by hand ").contains("s-1"));
-    assert_eq!(mixer.operate("POST /-/leaf-servers/s%2F1/disable"), 200);
-    assert_eq!(mixer.operate("POST /-/leaf-servers/s%2F1/enable"), 200);
-    assert!(mixer.told("node back by hand ").contains("s/1"));
-    assert_eq!(mixer.operate("POST /-/ready"), 405);
-    assert_eq!(mixer.operate("GET /-/drain"), 405);
+fn admin_calls_are_distinguished_by_method_and_path() {
+    let server = Node::new();
+    let servers = [listed("s-1", server.address, 0), listed("s/1", nobody(), 0)];
+    let mut aggregator = Setup { managed: true, ..Setup::new(&servers) }.start();
+    until("ready", || aggregator.operate("GET /-/ready") == 200);
+    assert_eq!(aggregator.operate("POST /-/leaf-servers/s-1/disable"), 200);
+    assert!(aggregator.told("node out by hand ").contains("s-1"));
+    assert_eq!(aggregator.operate("POST /-/leaf-servers/s%2F1/disable"), 200);
+    assert_eq!(aggregator.operate("POST /-/leaf-servers/s%2F1/enable"), 200);
+    assert!(aggregator.told("node back by hand ").contains("s/1"));
+    assert_eq!(aggregator.operate("POST /-/ready"), 405);
+    assert_eq!(aggregator.operate("GET /-/drain"), 405);
     for path in ["/", "/-/", "/-/leaf-servers//disable", "/-/leaf-servers/a/b/disable", "/ready"] {
-        assert_eq!(mixer.operate(&format!("POST {path}")), 404, "{path}");
+        assert_eq!(aggregator.operate(&format!("POST {path}")), 404, "{path}");
     }
-    assert_eq!(mixer.operate("POST /-/leaf-servers/%ff/enable"), 400);
+    assert_eq!(aggregator.operate("POST /-/leaf-servers/%ff/enable"), 400);
 }
