--- a/src/net/discovery_watch.rs
+++ b/src/net/discovery_watch/mod.rs
@@ -1,15 +1,16 @@
 //! Watches discovery's endpoint list: one chunked answer of JSON lines, requested again with backoff whenever it ends.
 //! The event loop starts it; each list becomes an event for the aggregator.
 
-use super::chunked::{BodyState, ChunkDecoder, MalformedChunk};
+mod answer;
+
+use super::chunked::{BodyState, ChunkDecoder};
 use super::messages::{AggregatorStopped, EventSender};
 use crate::aggregator::Event;
 use crate::clock::{Clock, Millis};
-use crate::config::{SiteSettings, node_list};
+use crate::config::SiteSettings;
 use crate::endpoints::{DiscoveryTiming, EndpointList};
-use crate::json::{Field, FieldError, Object};
+use answer::{BodyReader, MalformedAnswer};
 use bytes::BytesMut;
-use miniserde::json::Value;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -21,16 +22,12 @@
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 use tracing::warn;
 
+/// The only status whose answer is read.
+const STATUS_OK: u16 = 200;
 /// A JSON line that has begun is in so long after: against an answer that trickles.
 const LINE_TIMEOUT: Duration = Duration::from_secs(3);
 /// The agent is on this machine: a connection that takes longer is lost.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Longest line: against an answer that never ends one.
-const MAX_LINE_BYTES: usize = 4 << 20;
-/// Longest head of an answer.
-const MAX_HEAD_BYTES: usize = 16 << 10;
-/// Most headers of an answer.
-const MAX_HEADERS: usize = 64;
 
 /// What every watch of one program shares.
 pub(super) struct DiscoverySource {
@@ -107,19 +104,6 @@
     Stopped(AggregatorStopped),
 }
 
-/// What in discovery's answer cannot be read; the last good list stands.
-#[derive(Debug)]
-enum MalformedAnswer {
-    Head(httparse::Error),
-    HeadTooLong,
-    Chunk(MalformedChunk),
-    LineTooLong,
-    Line(&'static str),
-    NotText(std::str::Utf8Error),
-    NotJson,
-    List(FieldError),
-}
-
 impl fmt::Display for WatchError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
@@ -133,23 +117,7 @@
     }
 }
 
-impl fmt::Display for MalformedAnswer {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::Head(error) => error.fmt(f),
-            Self::HeadTooLong => f.write_str("a head without an end"),
-            Self::Chunk(error) => error.fmt(f),
-            Self::LineTooLong => f.write_str("a line without an end"),
-            Self::Line(problem) => f.write_str(problem),
-            Self::NotText(error) => error.fmt(f),
-            Self::NotJson => f.write_str("a line that is not JSON"),
-            Self::List(error) => error.fmt(f),
-        }
-    }
-}
-
 impl std::error::Error for WatchError {}
-impl std::error::Error for MalformedAnswer {}
 
 impl From<io::Error> for WatchError {
     fn from(error: io::Error) -> Self {
@@ -207,7 +175,7 @@
         // One timeout for all of the head: an overloaded discovery may trickle.
         let deadline = Instant::now() + duration(self.timing.response_timeout());
         let decoder = read_head(&mut stream, &mut raw, deadline).await?;
-        let mut body = BodyReader { decoder, body: BytesMut::new(), object: Object::default() };
+        let mut body = BodyReader::new(decoder);
         let mut line_begun: Option<Instant> = None;
         loop {
             let state = body.decode(&mut raw)?;
@@ -219,11 +187,9 @@
             if state == BodyState::Complete {
                 return Ok(());
             }
-            if body.body.len() > MAX_LINE_BYTES {
-                return Err(MalformedAnswer::LineTooLong.into());
-            }
+            body.check_line_length()?;
             let now = Instant::now();
-            if body.object.is_outside() && raw.is_empty() {
+            if body.is_between_lines() && raw.is_empty() {
                 line_begun = None;
             } else {
                 line_begun.get_or_insert(now);
@@ -258,45 +224,6 @@
     }
 }
 
-/// Takes lists out of the answer's body as it arrives.
-struct BodyReader {
-    /// None where the body comes without chunks and ends with the connection.
-    decoder: Option<ChunkDecoder>,
-    body: BytesMut,
-    object: Object,
-}
-
-impl BodyReader {
-    /// Moves what has arrived into the body.
-    fn decode(&mut self, raw: &mut BytesMut) -> Result<BodyState, MalformedAnswer> {
-        match &mut self.decoder {
-            Some(decoder) => decoder.decode(raw, &mut self.body).map_err(MalformedAnswer::Chunk),
-            None => {
-                self.body.unsplit(raw.split());
-                Ok(BodyState::Incomplete)
-            }
-        }
-    }
-
-    fn next_list(&mut self) -> Result<Option<EndpointList>, MalformedAnswer> {
-        let Some(end) = self.object.end(&self.body).map_err(MalformedAnswer::Line)? else { return Ok(None) };
-        let list = parse_list(&self.body.split_to(end))?;
-        self.object = Object::default();
-        Ok(Some(list))
-    }
-
-    /// Drops what is outside of objects; whether there was any. Discovery sends empty lines as a heartbeat.
-    fn skip_empty_lines(&mut self) -> bool {
-        if !self.object.is_outside() {
-            return false;
-        }
-        let has_skipped = !self.body.is_empty();
-        self.object = Object::default();
-        self.body = BytesMut::new();
-        has_skipped
-    }
-}
-
 fn duration(time: Millis) -> Duration {
     Duration::from_secs_f64(time / 1e3)
 }
@@ -317,42 +244,13 @@
     deadline: Instant,
 ) -> Result<Option<ChunkDecoder>, WatchError> {
     loop {
-        if let Some(head) = parse_head(raw)? {
-            return Ok(head.is_chunked.then(ChunkDecoder::default));
-        }
-        read(stream, raw, deadline).await?;
-    }
-}
-
-/// The head of an answer with status 200.
-struct AnswerHead {
-    is_chunked: bool,
-}
-
-/// Takes the answer's head off the input once it is in.
-fn parse_head(raw: &mut BytesMut) -> Result<Option<AnswerHead>, WatchError> {
-    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
-    let mut response = httparse::Response::new(&mut headers);
-    let head_bytes = match response.parse(raw).map_err(MalformedAnswer::Head)? {
-        httparse::Status::Complete(head_bytes) => head_bytes,
-        httparse::Status::Partial if raw.len() > MAX_HEAD_BYTES => {
-            return Err(MalformedAnswer::HeadTooLong.into());
+        let Some(head) = answer::parse_head(raw)? else {
+            read(stream, raw, deadline).await?;
+            continue;
+        };
+        if head.status != STATUS_OK {
+            return Err(WatchError::Status(head.status));
         }
-        httparse::Status::Partial => return Ok(None),
-    };
-    let code = response.code.unwrap_or(0);
-    if code != 200 {
-        return Err(WatchError::Status(code));
+        return Ok(head.is_chunked.then(ChunkDecoder::default));
     }
-    let is_chunked = response.headers.iter().any(|header| {
-        header.name.eq_ignore_ascii_case("transfer-encoding") && header.value.eq_ignore_ascii_case(b"chunked")
-    });
-    drop(raw.split_to(head_bytes));
-    Ok(Some(AnswerHead { is_chunked }))
-}
-
-fn parse_list(line: &[u8]) -> Result<EndpointList, MalformedAnswer> {
-    let text = std::str::from_utf8(line).map_err(MalformedAnswer::NotText)?;
-    let value: Value = miniserde::json::from_str(text).map_err(|_| MalformedAnswer::NotJson)?;
-    node_list(&Field::root(&value)).map_err(MalformedAnswer::List)
 }
--- /dev/null
+++ b/src/net/flight/leaf_call.rs
@@ -0,0 +1,143 @@
+//! Single calls to a leaf server that answers by Flight: a part, or a health check.
+
+use super::http2_channel::Http2Channel;
+use crate::aggregator::{CallPart, ConnectionId, Event, PartOutcome};
+use crate::balancer::LoadReport;
+use crate::net::leaf_connection::parse_load_report;
+use crate::net::messages::EventSender;
+use arrow_array::cast::AsArray;
+use arrow_flight::decode::FlightRecordBatchStream;
+use arrow_flight::error::FlightError;
+use arrow_flight::flight_service_client::FlightServiceClient;
+use arrow_flight::{Action, Ticket};
+use bytes::Bytes;
+use futures_util::TryStreamExt;
+use miniserde::{Serialize, json};
+use std::time::Duration;
+use tonic::{Code, Request, Status};
+use tonic_types::StatusExt;
+
+/// Longest answer to a part: against a stream that never ends.
+const MAX_VALUE_BYTES: usize = 1 << 20;
+
+/// The client of one connection.
+pub(super) type Client = FlightServiceClient<Http2Channel>;
+
+/// What came is no answer to a part: the connection cannot be trusted.
+#[derive(Debug)]
+pub(super) struct UnreadableAnswer;
+
+/// A part as a ticket, with the platform's field names.
+#[derive(Serialize)]
+struct PartTicket {
+    id: String,
+    shard: u32,
+    #[serde(rename = "wait_ms")]
+    timeout_ms: f64,
+    #[serde(rename = "predicate")]
+    payload: String,
+}
+
+/// Why a call has no rows.
+enum CallError {
+    /// The leaf server has not served the part.
+    NotServed(PartOutcome),
+    Unreadable,
+}
+
+impl From<&Status> for CallError {
+    fn from(status: &Status) -> Self {
+        CallError::NotServed(outcome_of(status))
+    }
+}
+
+/// Sends a part and reports its outcome.
+///
+/// # Errors
+/// The answer cannot be read.
+pub(super) async fn call(
+    client: Client,
+    part: CallPart,
+    connection: ConnectionId,
+    events: EventSender,
+) -> Result<(), UnreadableAnswer> {
+    let attempt = part.attempt;
+    let (outcome, rows) = match fetch_rows(client, &part).await {
+        Ok(rows) => (PartOutcome::Served, rows),
+        Err(CallError::NotServed(outcome)) => (outcome, Vec::new()),
+        Err(CallError::Unreadable) => return Err(UnreadableAnswer),
+    };
+    let _ = events.send(Event::AttemptAnswered { connection, attempt, outcome, rows, report: None }).await;
+    Ok(())
+}
+
+/// Rows are given once the stream has ended well: none of a cut one may reach a client.
+async fn fetch_rows(mut client: Client, part: &CallPart) -> Result<Vec<Bytes>, CallError> {
+    let ticket = PartTicket {
+        id: format!("{}.{}", part.query, part.shard),
+        shard: part.shard,
+        timeout_ms: part.timeout,
+        payload: part.payload.to_string(),
+    };
+    let mut request = Request::new(Ticket { ticket: json::to_string(&ticket).into() });
+    request.set_timeout(Duration::from_secs_f64(part.timeout.max(1.0) / 1e3));
+    let response = client.do_get(request).await.map_err(|status| CallError::from(&status))?;
+    let stream = response.into_inner().map_err(|status| FlightError::Tonic(Box::new(status)));
+    let mut batches = FlightRecordBatchStream::new_from_flight_data(stream);
+    let mut rows = Vec::new();
+    let mut value_bytes = 0;
+    loop {
+        let batch = match batches.try_next().await {
+            Ok(Some(batch)) => batch,
+            Ok(None) => return Ok(rows),
+            Err(FlightError::Tonic(status)) => return Err(CallError::from(&*status)),
+            Err(_) => return Err(CallError::Unreadable),
+        };
+        let column = batch.column_by_name("blob").and_then(|column| column.as_string_opt::<i32>());
+        for row in column.ok_or(CallError::Unreadable)? {
+            let row = Bytes::copy_from_slice(row.unwrap_or_default().as_bytes());
+            value_bytes += row.len();
+            rows.push(row);
+        }
+        if value_bytes > MAX_VALUE_BYTES {
+            return Err(CallError::Unreadable);
+        }
+    }
+}
+
+/// What a status proves. One with a source was made on this side, of a stream or connection that broke.
+fn outcome_of(status: &Status) -> PartOutcome {
+    if std::error::Error::source(status).is_some() {
+        return PartOutcome::Truncated;
+    }
+    match status.code() {
+        Code::ResourceExhausted => PartOutcome::Rejected,
+        // Without retry info an UNAVAILABLE may be that of a proxy whose own connection broke.
+        Code::Unavailable if status.get_details_retry_info().is_some() => PartOutcome::Rejected,
+        _ => PartOutcome::Failed,
+    }
+}
+
+/// Checks the leaf server's health and reports the result.
+///
+/// # Errors
+/// None; a failed check is a result too.
+pub(super) async fn check_health(
+    client: Client,
+    connection: ConnectionId,
+    events: EventSender,
+) -> Result<(), UnreadableAnswer> {
+    let event = match fetch_load(client).await {
+        Ok(report) => Event::HealthCheckEnded { connection, healthy: true, report },
+        Err(_) => Event::HealthCheckEnded { connection, healthy: false, report: None },
+    };
+    let _ = events.send(event).await;
+    Ok(())
+}
+
+async fn fetch_load(mut client: Client) -> Result<Option<LoadReport>, Status> {
+    let action = Action { r#type: "load".to_owned(), body: Bytes::new() };
+    let mut results = client.do_action(action).await?.into_inner();
+    let Some(result) = results.message().await? else { return Ok(None) };
+    Ok(std::str::from_utf8(&result.body).ok().and_then(parse_load_report))
+}
--- a/src/net/flight/mod.rs
+++ b/src/net/flight/mod.rs
@@ -2,6 +2,7 @@
 
 mod answer;
 mod http2_channel;
+mod leaf_call;
 pub(super) mod leaf_client;
 mod observed_socket;
 pub(super) mod server;
