--- a/examples/inventory_scale.rs
+++ b/examples/inventory_scale.rs
@@ -1,5 +1,5 @@
-//! What an inventory of many nodes costs: reading it, off the core's thread, and taking it up, on it.
-//! `cargo run --release --example inventory_scale -- [NODES]`, 20,000 where none are told.
+//! Measures an inventory of many leaf servers: reading it, which happens on a thread of its own, and applying it, on the
+//! event loop's thread. `cargo run --release --example inventory_scale -- [SERVERS]`; the default is 20,000.
 
 use sailmux::aggregator::{Event, Limits, State, reduce};
 use sailmux::config::Config;
@@ -19,18 +19,18 @@
     Bundle { files: vec![file] }
 }
 
-fn csv(nodes: usize, drained: usize, moved: usize) -> String {
+fn csv_text(servers: usize, draining: usize, moved: usize) -> String {
     let row = |i: usize| {
-        let state = if i < drained { "draining" } else { "ready" };
-        let port = if i >= nodes - moved { 9001 } else { 9000 };
+        let state = if i < draining { "draining" } else { "ready" };
+        let port = if i >= servers - moved { 9001 } else { 9000 };
         format!("s{i:05},10.{}.{}.{},{port},{},{state}\n", i >> 16, (i >> 8) & 255, i & 255, i % 3)
     };
-    (0..nodes).fold("name,host,port,cell,state\n".to_owned(), |text, i| text + &row(i))
+    (0..servers).fold("name,host,port,cell,state\n".to_owned(), |text, i| text + &row(i))
 }
 
-fn yaml(nodes: usize) -> String {
+fn yaml_text(servers: usize) -> String {
     let cell = |c: usize| {
-        let hosts = (0..nodes).filter(|i| i % 3 == c);
+        let hosts = (0..servers).filter(|i| i % 3 == c);
         let hosts = hosts
             .map(|i| format!("        s{i:05}: {{host: 10.{}.{}.{}}}\n", i >> 16, (i >> 8) & 255, i & 255));
         format!("    cell{c}:\n      vars: {{cell: {c}}}\n      hosts:\n{}", hosts.collect::<String>())
@@ -38,8 +38,8 @@
     format!("all:\n  vars: {{port: 9000}}\n  children:\n{}{}{}", cell(0), cell(1), cell(2))
 }
 
-/// Resident memory, in MB.
-fn resident() -> f64 {
+/// Resident memory, in MiB.
+fn resident_mib() -> f64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:")).unwrap_or_default();
     line.split_whitespace().next().and_then(|n| n.parse::<f64>().ok()).unwrap_or(0.0) / 1024.0
@@ -47,20 +47,21 @@
 
 fn timed<T>(what: &str, work: impl FnOnce() -> T) -> T {
     let start = Instant::now();
-    let done = work();
-    println!("{what:44} {:9.2} ms   {:6.1} MB resident", start.elapsed().as_secs_f64() * 1e3, resident());
-    done
+    let result = work();
+    println!("{what:44} {:9.2} ms   {:6.1} MB resident", start.elapsed().as_secs_f64() * 1e3, resident_mib());
+    result
 }
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
-    let nodes = std::env::args().nth(1).and_then(|n| n.parse().ok()).unwrap_or(20_000);
+    let servers = std::env::args().nth(1).and_then(|n| n.parse().ok()).unwrap_or(20_000);
     let options = Options::default();
     let list = |name: &str, text: &str| -> Result<Arc<FileList>, _> {
         read(&bundle(name, text), &options).map(Arc::new)
     };
-    println!("{nodes} nodes, {:.1} MB resident at the start", resident());
-    let (first, drained, many) = (csv(nodes, 0, 0), csv(nodes, 1, 0), csv(nodes, 1, nodes / 10));
-    let text = yaml(nodes);
+    println!("{servers} servers, {:.1} MB resident at the start", resident_mib());
+    let (first, drained, many) =
+        (csv_text(servers, 0, 0), csv_text(servers, 1, 0), csv_text(servers, 1, servers / 10));
+    let text = yaml_text(servers);
     timed("read YAML, groups and variables", || list("n.yaml", &text))?;
     let old = timed("read CSV", || list("n.csv", &first))?;
     let one = timed("read CSV, one drained", || list("n.csv", &drained))?;
@@ -77,9 +78,12 @@
         now += 5.0;
         timed(what, || reduce(&mut state, now, Event::EndpointSource { input, wall_ahead: 0.0 })).len()
     };
-    step("the core takes up all, at the start", Input::Started { known: None, files: vec![old.clone()] });
-    step("the core takes up one drained", Input::File(0, one));
-    step("the core takes up a tenth moved", Input::File(0, tenth));
-    step("the core takes up all as at the start", Input::File(0, old));
+    step(
+        "the aggregator applies all, at the start",
+        Input::Started { known: None, files: vec![old.clone()] },
+    );
+    step("the aggregator applies one drained", Input::File(0, one));
+    step("the aggregator applies a tenth moved", Input::File(0, tenth));
+    step("the aggregator applies all as at the start", Input::File(0, old));
     Ok(())
 }
--- /dev/null
+++ b/src/inventory/completeness.rs
@@ -0,0 +1,82 @@
+//! Whether a file was read completely, by the marks that the operator's file asks for.
+
+use super::files::{Bundle, BundleFile, Role};
+use super::hex;
+use super::options::Options;
+use crate::diagnostic::Diagnostic;
+use sha2::{Digest, Sha256};
+
+const BYTE_ORDER_MARK: &[u8] = b"\xef\xbb\xbf";
+
+/// The text of a file that has the end marker and the checksum that the options ask for.
+pub(super) fn complete_text<'a>(file: &'a BundleFile, options: &Options) -> Result<&'a str, Diagnostic> {
+    let text = utf8_text(file)?;
+    if file.role == Role::Inventory {
+        check_end_marker(file, text, options)?;
+        check_checksum(file, options)?;
+    }
+    Ok(text)
+}
+
+fn utf8_text(file: &BundleFile) -> Result<&str, Diagnostic> {
+    let bytes = file.text.strip_prefix(BYTE_ORDER_MARK).unwrap_or(&file.text);
+    std::str::from_utf8(bytes).map_err(|error| {
+        let valid = &bytes[..error.valid_up_to()];
+        let line = valid.iter().filter(|byte| **byte == b'\n').count() as u32 + 1;
+        Diagnostic::at(&file.name, line, "", "is not UTF-8")
+    })
+}
+
+fn check_end_marker(file: &BundleFile, text: &str, options: &Options) -> Result<(), Diagnostic> {
+    let Some(marker) = &options.end_marker else { return Ok(()) };
+    let last_line = text.lines().rev().find(|line| !line.trim().is_empty()).unwrap_or_default();
+    if last_line.trim() == marker.trim() {
+        return Ok(());
+    }
+    let line = text.lines().count().max(1) as u32;
+    let message = format!("does not end with {marker:?}: it is not whole");
+    Err(Diagnostic::at(&file.name, line, "", message))
+}
+
+fn check_checksum(file: &BundleFile, options: &Options) -> Result<(), Diagnostic> {
+    if !options.checksum {
+        return Ok(());
+    }
+    // The checksum file may name the file behind the checksum, as `sha256sum` does.
+    let expected = file.checksum.as_deref().unwrap_or_default();
+    let expected = expected.split_whitespace().next().unwrap_or_default();
+    let found = hex(&Sha256::digest(&file.text));
+    if expected.eq_ignore_ascii_case(&found) {
+        return Ok(());
+    }
+    let message = match expected {
+        "" => "has no checksum file beside it".to_owned(),
+        _ => format!("is {found}, but its checksum file says {expected}: it is not whole"),
+    };
+    Err(Diagnostic::whole(&file.name, message))
+}
+
+/// Whether an inventory file ends within a line, so that its last line may be cut short.
+pub(super) fn is_ragged(file: &BundleFile) -> bool {
+    if file.role != Role::Inventory {
+        return false;
+    }
+    let text = file.text.trim_ascii_start();
+    // A text in brackets from its start to its end is complete without a line end.
+    let ends = (text.first(), text.trim_ascii_end().last());
+    let is_bracketed = matches!(ends, (Some(b'{'), Some(b'}')) | (Some(b'['), Some(b']')));
+    !is_bracketed && text.last().is_some_and(|byte| *byte != b'\n')
+}
+
+/// The files without the last lines of those that end within a line.
+pub(super) fn without_ragged_lines(bundle: &Bundle) -> Bundle {
+    let without_ragged_line = |file: &BundleFile| {
+        let mut file = file.clone();
+        if is_ragged(&file) {
+            let last_line_end = file.text.iter().rposition(|byte| *byte == b'\n');
+            file.text.truncate(last_line_end.map_or(0, |position| position + 1));
+        }
+        file
+    };
+    Bundle { files: bundle.files.iter().map(without_ragged_line).collect() }
+}
--- /dev/null
+++ b/src/inventory/files/mod.rs
@@ -0,0 +1,28 @@
+//! The half of the inventory that reads files: an inventory file, or a directory of them, with `group_vars` and
+//! `host_vars` beside.
+
+mod bundle;
+mod gather;
+mod signature;
+
+pub use bundle::{Bundle, BundleFile, Role};
+pub use gather::{Gathered, gather};
+pub use signature::{FileStamp, Seen, signature};
+
+use std::ffi::OsString;
+use std::path::{Path, PathBuf};
+
+const GROUP_VARS: &str = "group_vars";
+const HOST_VARS: &str = "host_vars";
+
+/// The directory in which an inventory and its variables lie.
+fn base_directory(path: &Path) -> &Path {
+    if path.is_dir() { path } else { path.parent().unwrap_or(Path::new("")) }
+}
+
+/// The file with the checksum of an inventory file.
+fn checksum_path(path: &Path) -> PathBuf {
+    let mut name: OsString = path.as_os_str().to_owned();
+    name.push(".sha256");
+    name.into()
+}
--- a/src/inventory/print.rs
+++ b/src/inventory/print.rs
@@ -1,5 +1,6 @@
-//! A list of nodes as text: for a reader, or in forms that [`super::read`] takes again.
+//! A list of endpoints as text: for a terminal, or in formats that [`super::read()`] reads again.
 
+use super::columns::columns;
 use crate::endpoints::{Endpoint, EndpointState};
 use serde_json::{Value, json};
 use std::fmt::Write;
@@ -7,18 +8,21 @@
 /// How a list is printed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Format {
-    /// Columns for a reader.
+    /// Aligned columns for a terminal.
     Table,
-    /// One object with `nodes`.
+    /// One JSON object with the list `nodes`.
     Json,
-    /// Rows under a header.
+    /// CSV with a header.
     Csv,
-    /// Ansible's groups.
+    /// Ansible's YAML inventory.
     Yaml,
 }
 
-/// A state's word.
-pub fn word(state: EndpointState) -> &'static str {
+/// The columns of tables and CSV.
+const COLUMNS: [&str; 7] = ["name", "address", "cell", "zone", "state", "weight", "started_at_ms"];
+
+/// The name of a state in inventory files.
+fn state_name(state: EndpointState) -> &'static str {
     match state {
         EndpointState::Ready => "ready",
         EndpointState::Draining => "draining",
@@ -26,70 +30,76 @@
     }
 }
 
-/// Prints nodes.
-pub fn print(nodes: &[Endpoint], format: Format) -> String {
+/// Prints endpoints.
+pub fn print(endpoints: &[Endpoint], format: Format) -> String {
     match format {
-        Format::Table => table(nodes),
-        Format::Json => format!("{:#}\n", json!({ "nodes": nodes.iter().map(object).collect::<Vec<_>>() })),
-        Format::Csv => csv(nodes),
-        Format::Yaml => yaml(nodes),
+        Format::Table => print_table(endpoints),
+        Format::Json => print_json(endpoints),
+        Format::Csv => print_csv(endpoints),
+        Format::Yaml => print_yaml(endpoints),
     }
 }
 
-fn object(n: &Endpoint) -> Value {
+fn print_json(endpoints: &[Endpoint]) -> String {
+    let objects: Vec<Value> = endpoints.iter().map(object).collect();
+    format!("{:#}\n", json!({ "nodes": objects }))
+}
+
+fn object(endpoint: &Endpoint) -> Value {
     let mut object = json!({
-        "name": &*n.name, "address": &*n.address, "cell": n.cell, "zone": &*n.zone, "state": word(n.state),
-        "weight": n.weight,
+        "name": &*endpoint.name,
+        "address": &*endpoint.address,
+        "cell": endpoint.cell,
+        "zone": &*endpoint.zone,
+        "state": state_name(endpoint.state),
+        "weight": endpoint.weight,
     });
-    // Most are running since long ago.
-    if let Some(fields) = object.as_object_mut().filter(|_| n.started_at_unix > 0.0) {
-        fields.insert("started_at_ms".to_owned(), json!(n.started_at_unix));
+    // The start time is 0 if it is not known.
+    if let Some(fields) = object.as_object_mut().filter(|_| endpoint.started_at_unix > 0.0) {
+        fields.insert("started_at_ms".to_owned(), json!(endpoint.started_at_unix));
     }
     object
 }
 
-const COLUMNS: [&str; 7] = ["name", "address", "cell", "zone", "state", "weight", "started_at_ms"];
-
-fn cells(n: &Endpoint) -> [String; 7] {
-    let started = if n.started_at_unix > 0.0 { n.started_at_unix.to_string() } else { String::new() };
-    let text = |s: &str| s.to_owned();
-    let (cell, weight) = (n.cell.to_string(), n.weight.to_string());
-    [text(&n.name), text(&n.address), cell, text(&n.zone), text(word(n.state)), weight, started]
+/// The cells of an endpoint's row, in the order of [`COLUMNS`].
+fn cells(endpoint: &Endpoint) -> [String; 7] {
+    let is_start_known = endpoint.started_at_unix > 0.0;
+    [
+        endpoint.name.to_string(),
+        endpoint.address.to_string(),
+        endpoint.cell.to_string(),
+        endpoint.zone.to_string(),
+        state_name(endpoint.state).to_owned(),
+        endpoint.weight.to_string(),
+        if is_start_known { endpoint.started_at_unix.to_string() } else { String::new() },
+    ]
 }
 
-fn table(nodes: &[Endpoint]) -> String {
-    let mut rows = vec![COLUMNS.map(|c| c.to_uppercase())];
-    rows.extend(nodes.iter().map(cells));
+fn print_table(endpoints: &[Endpoint]) -> String {
+    let mut rows = vec![COLUMNS.map(str::to_uppercase)];
+    rows.extend(endpoints.iter().map(cells));
     columns(&rows)
 }
 
-/// Rows as columns for a reader, the first one as their heads.
-pub fn columns<const N: usize>(rows: &[[String; N]]) -> String {
-    let width = |column: usize| rows.iter().map(|r| r[column].chars().count()).max().unwrap_or(0);
-    let widths: Vec<usize> = (0..N).map(width).collect();
-    let line = |row: &[String; N]| {
-        let cells: String = row.iter().zip(&widths).map(|(cell, width)| format!("{cell:width$}  ")).collect();
-        format!("{}\n", cells.trim_end())
-    };
-    rows.iter().map(line).collect()
-}
-
-fn csv(nodes: &[Endpoint]) -> String {
-    // All is quoted: a name may begin as a comment does.
+fn print_csv(endpoints: &[Endpoint]) -> String {
+    // Every cell is quoted, since a name may begin as a comment does.
     let mut writer = csv::WriterBuilder::new().quote_style(csv::QuoteStyle::Always).from_writer(Vec::new());
     let mut rows = vec![COLUMNS.map(str::to_owned)];
-    rows.extend(nodes.iter().map(cells));
+    rows.extend(endpoints.iter().map(cells));
     let written = rows.iter().try_for_each(|row| writer.write_record(row));
-    debug_assert!(written.is_ok(), "writing into memory");
+    debug_assert!(written.is_ok(), "writing into memory cannot fail");
     String::from_utf8(writer.into_inner().unwrap_or_default()).unwrap_or_default()
 }
 
-fn yaml(nodes: &[Endpoint]) -> String {
+fn print_yaml(endpoints: &[Endpoint]) -> String {
     let mut text = String::from("all:\n  hosts:\n");
-    for n in nodes {
-        let mut vars = object(n);
-        vars.as_object_mut().map(|fields| fields.remove("name"));
-        let _ = writeln!(text, "    {}: {vars}", json!(&*n.name));
+    for endpoint in endpoints {
+        let mut variables = object(endpoint);
+        if let Some(fields) = variables.as_object_mut() {
+            fields.remove("name");
+        }
+        // Writing into a string cannot fail.
+        let _ = writeln!(text, "    {}: {variables}", json!(&*endpoint.name));
     }
     text
 }
--- a/src/inventory/table.rs
+++ b/src/inventory/table.rs
@@ -1,19 +1,22 @@
-//! CSV with a header row: each row is a host, each column a variable.
+//! CSV with a header: each row is a host, each column a variable.
 
-use super::Options;
-use super::ansible::Hosts;
+use super::ansible::{Hosts, VariableMap};
+use super::error::HostError;
 use super::files::BundleFile;
-use super::mapping::Field;
+use super::mapping::{Field, Mapping};
+use super::options::Options;
 use crate::diagnostic::Diagnostic;
 use crate::endpoints::SourceLocation;
 use crate::yaml::{Kind, Node};
 use csv::{ReaderBuilder, StringRecord, Trim};
 use std::collections::HashMap;
+use std::fmt;
 use std::rc::Rc;
 
+/// Delimiters that are detected, the preferred one first.
 const DELIMITERS: [u8; 4] = [b',', b';', b'\t', b'|'];
 
-/// Reads a table; its problems are added to those there are.
+/// Reads a table and adds its hosts; its problems are added to `problems`.
 pub(super) fn read(
     hosts: &mut Hosts,
     number: u16,
@@ -22,7 +25,7 @@
     options: &Options,
     problems: &mut Vec<Diagnostic>,
 ) {
-    let delimiter = options.delimiter.unwrap_or_else(|| delimiter(text, options));
+    let delimiter = options.delimiter.unwrap_or_else(|| detect_delimiter(text, &options.mapping));
     let reader = ReaderBuilder::new()
         .delimiter(delimiter)
         .trim(Trim::All)
@@ -30,82 +33,162 @@
         .flexible(true)
         .has_headers(false)
         .from_reader(text.as_bytes());
-    let mut columns: Option<Vec<String>> = None;
-    let mut seen: HashMap<String, u32> = HashMap::new();
+    let mut table = Table { hosts, number, options, columns: None, first_lines: HashMap::new() };
     for row in reader.into_records() {
-        let row = match row {
-            Ok(row) => row,
-            Err(e) => {
-                let line = e.position().map_or(1, |p| p.line() as u32);
-                return problems.push(Diagnostic::at(&file.name, line, "", e.to_string()));
+        let result = match row {
+            Ok(row) => table.add(&row),
+            Err(error) => {
+                let line = error.position().map_or(1, |position| position.line() as u32);
+                Err(Problem { line, field: "", error: RowError::Csv(error), is_fatal: true })
             }
         };
-        let line = row.position().map_or(1, |p| p.line() as u32);
-        let Some(names) = &columns else {
-            match header(&row, options) {
-                Ok(names) => columns = Some(names),
-                Err(problem) => return problems.push(Diagnostic::at(&file.name, line, "header", problem)),
+        if let Err(problem) = result {
+            problems.push(Diagnostic::at(&file.name, problem.line, problem.field, problem.error.to_string()));
+            if problem.is_fatal {
+                return;
             }
-            continue;
-        };
-        if row.len() != names.len() {
-            let problem = format!("has {} cells under {} columns", row.len(), names.len());
-            problems.push(Diagnostic::at(&file.name, line, "row", problem));
-            continue;
         }
-        let at = SourceLocation { file: number, line };
-        let cells = names.iter().zip(row.iter()).filter(|(_, cell)| !cell.is_empty());
-        let value = |text: &str| {
-            // A cell is text, also where YAML would read `null`.
-            let kind = Kind::Scalar(text.to_owned(), false);
-            Rc::new(Node { line, tag: String::new(), size: 1, kind })
+    }
+}
+
+/// A problem with a row.
+struct Problem {
+    line: u32,
+    /// The part of the table, or empty.
+    field: &'static str,
+    error: RowError,
+    /// Whether the rest of the table cannot be read.
+    is_fatal: bool,
+}
+
+enum RowError {
+    Csv(csv::Error),
+    DuplicateColumn(String),
+    MissingNameColumn { wanted: Vec<String>, columns: Vec<String> },
+    CellCount { cells: usize, columns: usize },
+    MissingName,
+    Duplicate { name: String, first_line: u32 },
+    Host(HostError),
+}
+
+impl fmt::Display for RowError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Csv(error) => write!(f, "{error}"),
+            Self::DuplicateColumn(name) => write!(f, "column {name} is there twice"),
+            Self::MissingNameColumn { wanted, columns } => {
+                write!(f, "has no column {}, but {}", wanted.join(" or "), columns.join(", "))
+            }
+            Self::CellCount { cells, columns } => write!(f, "has {cells} cells under {columns} columns"),
+            Self::MissingName => f.write_str("is missing"),
+            Self::Duplicate { name, first_line } => {
+                write!(f, "{name} is there twice, first on line {first_line}")
+            }
+            Self::Host(error) => write!(f, "{error}"),
+        }
+    }
+}
+
+/// A table that is being read.
+struct Table<'a> {
+    hosts: &'a mut Hosts,
+    /// The file's number in the bundle.
+    number: u16,
+    options: &'a Options,
+    /// The names of the columns, once the header was read.
+    columns: Option<Vec<String>>,
+    /// The line of each host.
+    first_lines: HashMap<String, u32>,
+}
+
+impl Table<'_> {
+    /// Adds the header or a host.
+    fn add(&mut self, row: &StringRecord) -> Result<(), Problem> {
+        let line = row.position().map_or(1, |position| position.line() as u32);
+        let Some(columns) = &self.columns else {
+            match read_header(row, &self.options.mapping) {
+                Ok(columns) => self.columns = Some(columns),
+                Err(error) => return Err(Problem { line, field: "header", error, is_fatal: true }),
+            }
+            return Ok(());
         };
-        let vars: Vec<(String, Rc<Node>)> = cells.map(|(name, cell)| (name.clone(), value(cell))).collect();
-        let named = options.mapping.candidates(Field::Name);
-        let name = named.iter().find_map(|n| vars.iter().find(|(column, _)| column == n));
-        let Some(name) = name.and_then(|(_, node)| node.text()).map(str::to_owned) else {
-            problems.push(Diagnostic::at(&file.name, line, "name", "is missing"));
-            continue;
+        if row.len() != columns.len() {
+            let error = RowError::CellCount { cells: row.len(), columns: columns.len() };
+            return Err(Problem { line, field: "row", error, is_fatal: false });
+        }
+        let name = self.host_name(columns, row).ok_or(Problem {
+            line,
+            field: "name",
+            error: RowError::MissingName,
+            is_fatal: false,
+        })?;
+        let location = SourceLocation { file: self.number, line };
+        let variables = row_variables(columns, row, location);
+        if let Some(first_line) = self.first_lines.insert(name.clone(), line) {
+            let error = RowError::Duplicate { name, first_line };
+            return Err(Problem { line, field: "name", error, is_fatal: false });
+        }
+        self.hosts.add_row(&name, location, variables).map_err(|error| Problem {
+            line,
+            field: "name",
+            error: RowError::Host(error),
+            is_fatal: true,
+        })
+    }
+
+    fn host_name(&self, columns: &[String], row: &StringRecord) -> Option<String> {
+        let cell = |wanted: &String| {
+            let mut cells = columns.iter().zip(row.iter());
+            cells.find(|(column, cell)| *column == wanted && !cell.is_empty())
         };
-        if let Some(first) = seen.insert(name.clone(), line) {
-            let problem = format!("{name} is there twice, first on line {first}");
-            problems.push(Diagnostic::at(&file.name, line, "name", problem));
+        let candidates = self.options.mapping.candidates(Field::Name);
+        candidates.iter().find_map(cell).map(|(_, cell)| cell.to_owned())
+    }
+}
+
+/// The cells of a row that are not empty, by column.
+fn row_variables(columns: &[String], row: &StringRecord, location: SourceLocation) -> VariableMap {
+    let mut variables = VariableMap::new();
+    for (column, cell) in columns.iter().zip(row.iter()) {
+        if cell.is_empty() {
             continue;
         }
-        if let Err(problem) = hosts.row(&name, at, vars) {
-            return problems.push(Diagnostic::at(&file.name, line, "name", problem));
-        }
+        // A cell is text, also where YAML would read `null`.
+        let kind = Kind::Scalar(cell.to_owned(), false);
+        let value = Rc::new(Node { line: location.line, tag: String::new(), size: 1, kind });
+        variables.insert(column.clone(), value, location);
     }
+    variables
 }
 
-/// The names of the columns. Our own names may be written in any case.
-fn header(row: &StringRecord, options: &Options) -> Result<Vec<String>, String> {
-    let mut names: Vec<String> = row.iter().map(str::to_owned).collect();
-    let own = Field::ALL.iter().flat_map(|f| options.mapping.candidates(*f));
-    for wanted in own {
-        if names.contains(&wanted) {
+/// The names of the columns. Names with a meaning may be written in any case.
+fn read_header(row: &StringRecord, mapping: &Mapping) -> Result<Vec<String>, RowError> {
+    let mut columns: Vec<String> = row.iter().map(str::to_owned).collect();
+    for wanted in Field::ALL.into_iter().flat_map(|field| mapping.candidates(field)) {
+        if columns.contains(&wanted) {
             continue;
         }
-        if let Some(other) = names.iter_mut().find(|n| n.eq_ignore_ascii_case(&wanted)) {
-            *other = wanted;
+        if let Some(column) = columns.iter_mut().find(|column| column.eq_ignore_ascii_case(&wanted)) {
+            *column = wanted;
         }
     }
-    for (i, name) in names.iter().enumerate() {
-        if !name.is_empty() && names[..i].contains(name) {
-            return Err(format!("column {name} is there twice"));
+    for (index, column) in columns.iter().enumerate() {
+        if !column.is_empty() && columns[..index].contains(column) {
+            return Err(RowError::DuplicateColumn(column.clone()));
         }
     }
-    if !options.mapping.candidates(Field::Name).iter().any(|n| names.contains(n)) {
-        let wanted = options.mapping.candidates(Field::Name).join(" or ");
-        return Err(format!("has no column {wanted}, but {}", names.join(", ")));
+    let wanted = mapping.candidates(Field::Name);
+    if !wanted.iter().any(|name| columns.contains(name)) {
+        return Err(RowError::MissingNameColumn { wanted, columns });
     }
-    Ok(names)
+    Ok(columns)
 }
 
-/// The delimiter under which the header names most of what we look for, and then the most columns.
-fn delimiter(text: &str, options: &Options) -> u8 {
-    let header = text.lines().find(|l| !l.trim().is_empty() && !l.starts_with('#')).unwrap_or_default();
-    let wanted: Vec<String> = Field::ALL.iter().flat_map(|f| options.mapping.candidates(*f)).collect();
+/// The delimiter with which the header has most of the columns that have a meaning, and then most columns.
+fn detect_delimiter(text: &str, mapping: &Mapping) -> u8 {
+    let header = text.lines().find(|line| !line.trim().is_empty() && !line.starts_with('#'));
+    let header = header.unwrap_or_default();
+    let wanted: Vec<String> = Field::ALL.into_iter().flat_map(|field| mapping.candidates(field)).collect();
     let score = |delimiter: u8| {
         let mut reader = ReaderBuilder::new()
             .delimiter(delimiter)
@@ -113,9 +196,9 @@
             .has_headers(false)
             .from_reader(header.as_bytes());
         let row = reader.records().next().and_then(Result::ok).unwrap_or_default();
-        let known = row.iter().filter(|c| wanted.iter().any(|w| w.eq_ignore_ascii_case(c))).count();
-        (known, row.len())
+        let is_known = |column: &&str| wanted.iter().any(|name| name.eq_ignore_ascii_case(column));
+        (row.iter().filter(is_known).count(), row.len())
     };
-    // The first of equals: a comma where nothing tells.
-    DELIMITERS.into_iter().rev().max_by_key(|d| score(*d)).unwrap_or(b',')
+    // `max_by_key` takes the last of equals: reversed, that is the preferred one.
+    DELIMITERS.into_iter().rev().max_by_key(|delimiter| score(*delimiter)).unwrap_or(b',')
 }
--- a/tests/inventory.rs
+++ b/tests/inventory.rs
@@ -1,4 +1,4 @@
-//! An inventory in YAML and in CSV in the place of discovery.
+//! An inventory in YAML or CSV instead of discovery.
 
 mod common;
 
@@ -7,8 +7,8 @@
 
 const FILES: [&str; 2] = ["nodes.yaml", "nodes.csv"];
 
-fn inventory(file: &str, node: &Node) -> String {
-    let port = node.address.port();
+fn inventory_text(file: &str, server: &Node) -> String {
+    let port = server.address.port();
     if file.ends_with("csv") {
         return format!("name,host,port,cell,zone\n# the only one\ns0,127.0.0.1,{port},0,z\n");
     }
@@ -19,37 +19,38 @@
 }
 
 #[test]
-fn the_list_is_taken_and_taken_again_and_a_bad_one_changes_nothing() {
+fn changed_list_is_applied_and_invalid_one_changes_nothing() {
     for file in FILES {
-        let (a, b) = (Node::new(), Node::new());
+        let first = Node::new();
+        let second = Node::new();
         let path = scratch("inventory").join(file);
-        fs::write(&path, inventory(file, &a)).expect("written");
+        fs::write(&path, inventory_text(file, &first)).expect("written");
         let operator = Some(format!("inventory:\n  file: {}\n", path.display()));
-        let mut mixer = Setup { operator, ..Setup::new(&[]) }.start();
-        let mut client = Client::connect(mixer.address);
-        let mut ask = |id: &str, node: &Node| {
+        let mut aggregator = Setup { operator, ..Setup::new(&[]) }.start();
+        let mut client = Client::connect(aggregator.address);
+        let mut query_through = |id: &str, server: &Node| {
             client.send(query(id, "9000m", &[0]));
-            let mut link = node.accept();
+            let mut link = server.accept();
             let part = link.part();
             link.answer(&part, "good", "v");
             assert_eq!(client.response().status, 200);
             link
         };
-        let mut link = ask("q1", &a);
-        // The node has moved: its old connection is closed, and the next part goes to the new place.
-        fs::write(&path, inventory(file, &b)).expect("written");
+        let mut link = query_through("q1", &first);
+        // The leaf server has moved: its old connection is closed, and the next part goes to the new address.
+        fs::write(&path, inventory_text(file, &second)).expect("written");
         assert_eq!(link.frame(), None);
-        drop(ask("q2", &b));
-        let bad = inventory(file, &a).replace("cell: 0", "cell: no").replace(",0,z", ",no,z");
+        drop(query_through("q2", &second));
+        let bad = inventory_text(file, &first).replace("cell: 0", "cell: no").replace(",0,z", ",no,z");
         fs::write(&path, bad).expect("written");
-        assert!(mixer.told("s0.cell").contains("the old list stands"), "{file}");
-        ask("q3", &b);
-        assert_eq!(mixer.counters()["lists_taken"], 2);
+        assert!(aggregator.told("s0.cell").contains("the old list stands"), "{file}");
+        query_through("q3", &second);
+        assert_eq!(aggregator.counters()["lists_taken"], 2);
     }
 }
 
 #[test]
-fn a_bad_inventory_stops_the_start_and_is_named() {
+fn invalid_inventory_prevents_the_start_and_is_named_with_its_field() {
     use std::io::Read;
     for (file, text, field) in [
         ("n.yaml", "all: {hosts: {s0: {cell: 0}}}", "s0.port"),
@@ -61,9 +62,9 @@
         fs::write(&path, text).expect("written");
         let operator = format!("inventory:\n  file: {}\n", path.display());
         let mut child = spawn(&Setup::new(&[]).config(), Some(&operator));
-        let mut words = String::new();
-        child.stderr.take().expect("piped").read_to_string(&mut words).expect("text");
+        let mut stderr = String::new();
+        child.stderr.take().expect("piped").read_to_string(&mut stderr).expect("text");
         assert!(!child.wait().expect("it ends").success());
-        assert!(words.contains(file) && words.contains(field), "{field}: {words}");
+        assert!(stderr.contains(file) && stderr.contains(field), "{field}: {stderr}");
     }
 }
