--- a/src/aggregator/lifecycle.rs
+++ b/src/aggregator/lifecycle.rs
@@ -58,8 +58,8 @@
             Self::Starting { .. } => "starting",
             Self::Ready => "ready",
             Self::Draining { .. } => "draining",
-            Self::HotRestarting { .. } => "handing over",
-            Self::ShuttingDown { .. } => "leaving",
+            Self::HotRestarting { .. } => "hot restarting",
+            Self::ShuttingDown { .. } => "shutting down",
         }
     }
 
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -95,10 +95,10 @@
             warn!(file = file(source), digest = &**digest, "confirmation of a list that is not held");
         }
         AuditEvent::OverrideChanged { name, active: true } => {
-            info!(node = &**name, "node out by hand");
+            info!(leaf_server = &**name, "leaf server disabled");
         }
         AuditEvent::OverrideChanged { name, active: false } => {
-            info!(node = &**name, "node back by hand");
+            info!(leaf_server = &**name, "leaf server enabled");
         }
         AuditEvent::SharedAddress { address, name } => {
             warn!(address = &**address, node = &**name, "two names for one address");
--- a/src/net/hot_restart.rs
+++ b/src/net/hot_restart.rs
@@ -122,7 +122,7 @@
             overrides
         }
         StoredOverrides::MovedAside(path, reason) => {
-            error!(path = %path.display(), "the file of overrides {reason}; moved aside, what it held is not in force");
+            error!(path = %path.display(), "stored overrides: the file {reason}; moved aside, what it held is not in force");
             Overrides::default()
         }
     }
@@ -207,7 +207,7 @@
         let (merged, found) = match self.directory.merge_overrides(overrides, now - CANCELLED_RETENTION) {
             Ok(merged) => merged,
             Err(error) => {
-                error!("orders cannot be kept: {error}; overrides hold in this process alone");
+                error!("overrides cannot be stored: {error}; overrides hold in this process alone");
                 let _ = reply.send(AdminOutcome::Accepted);
                 return;
             }
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -132,7 +132,7 @@
         Ok((handle, overrides)) => InitialOverrides { hot_restart: Some(handle), overrides },
         Err(error) => {
             error!(
-                "orders cannot be kept below {}: {error}; overrides hold in this process alone",
+                "overrides cannot be stored below {}: {error}; overrides hold in this process alone",
                 parent.display()
             );
             none
--- a/tests/hard_cases.rs
+++ b/tests/hard_cases.rs
@@ -55,7 +55,7 @@
                 old.signal("-TERM");
             }
             if step == Step::OldHasShut {
-                old.told("to=\"handing over\"");
+                old.told("to=\"hot restarting\"");
             }
             let (mut dead, mut lives) = if old_dies { (old, new) } else { (new, old) };
             dead.kill();
@@ -69,7 +69,7 @@
                 }
                 assert_eq!(a.count(), out, "out through {step:?}, old dies: {old_dies}");
                 assert_eq!(lives.operate("POST /-/leaf-servers/a/enable"), 200);
-                lives.told("node back by hand node=\"a\"");
+                lives.told("leaf server enabled leaf_server=\"a\"");
             }
             going.store(false, Ordering::SeqCst);
             let ends: Vec<(u64, u64)> = clients.into_iter().filter_map(|c| c.join().ok()).collect();
@@ -198,7 +198,7 @@
     let began = Instant::now();
     assert_eq!(mixer.operate("POST /-/leaf-servers/a/disable"), 200);
     assert!(began.elapsed() < Duration::from_secs(1), "{:?}", began.elapsed());
-    mixer.told("orders cannot be kept");
+    mixer.told("overrides cannot be stored");
     let out = a.count();
     for i in 0..20 {
         assert_eq!(asked(&mixer, &format!("q{i}")), 200);
@@ -209,7 +209,7 @@
     assert_eq!(mixer.operate("POST /-/drain"), 200);
     mixer.kill();
     let mut next = setup.start();
-    next.told("node out by hand node=\"a\"");
+    next.told("leaf server disabled leaf_server=\"a\"");
     assert_eq!(next.healthz(), 503, "drained");
 }
 
--- a/tests/operate.rs
+++ b/tests/operate.rs
@@ -138,8 +138,8 @@
         until("the new one is ready", || new.operate("GET /-/ready") == 200);
         // An override given to either process is in force in both once it is answered.
         let (given_to, other, call, logged) = match round {
-            0 => (&mut old, &mut new, "disable", "node out by hand node=\"b\""),
-            _ => (&mut new, &mut old, "enable", "node back by hand node=\"b\""),
+            0 => (&mut old, &mut new, "disable", "leaf server disabled leaf_server=\"b\""),
+            _ => (&mut new, &mut old, "enable", "leaf server enabled leaf_server=\"b\""),
         };
         assert_eq!(given_to.operate(&format!("POST /-/leaf-servers/b/{call}")), 200);
         other.told(logged);
@@ -148,7 +148,7 @@
         assert!(round > 0 || b.count() == served, "disabled in both from the answer on");
         old.signal("-TERM");
         assert!(old.ended().success());
-        old.told("to=\"handing over\"");
+        old.told("to=\"hot restarting\"");
         old = new;
     }
     assert_eq!(a.count(), out, "disabled through two hot restarts");
@@ -189,7 +189,7 @@
     // Without another process it shuts down as ever.
     old.signal("-TERM");
     assert!(old.ended().success());
-    old.told("to=\"leaving\"");
+    old.told("to=\"shutting down\"");
 }
 
 /// Garbage, a truncated file, a later version's file, or a directory that cannot be made: logged, never applied; admin
@@ -217,14 +217,14 @@
     }
     std::fs::write(directory.join("orders"), &valid).expect("written");
     let mut aggregator = setup.start();
-    aggregator.told("node out by hand");
+    aggregator.told("leaf server disabled");
     aggregator.kill();
     let not_a_directory = tmp.join("file");
     std::fs::write(&not_a_directory, "").expect("written");
     let mut aggregator = Setup { tmp: Some(not_a_directory), ..setup }.start();
-    aggregator.told("orders cannot be kept");
+    aggregator.told("overrides cannot be stored");
     assert_eq!(aggregator.operate("POST /-/leaf-servers/a/disable"), 200);
-    aggregator.told("node out by hand");
+    aggregator.told("leaf server disabled");
 }
 
 /// A query in flight keeps the attempts and the class that it began with; the next ones go by the new settings.
@@ -272,10 +272,10 @@
     let mut aggregator = Setup { managed: true, ..Setup::new(&servers) }.start();
     until("ready", || aggregator.operate("GET /-/ready") == 200);
     assert_eq!(aggregator.operate("POST /-/leaf-servers/s-1/disable"), 200);
-    assert!(aggregator.told("node out by hand ").contains("s-1"));
+    assert!(aggregator.told("leaf server disabled ").contains("s-1"));
     assert_eq!(aggregator.operate("POST /-/leaf-servers/s%2F1/disable"), 200);
     assert_eq!(aggregator.operate("POST /-/leaf-servers/s%2F1/enable"), 200);
-    assert!(aggregator.told("node back by hand ").contains("s/1"));
+    assert!(aggregator.told("leaf server enabled ").contains("s/1"));
     assert_eq!(aggregator.operate("POST /-/ready"), 405);
     assert_eq!(aggregator.operate("GET /-/drain"), 405);
     for path in ["/", "/-/", "/-/leaf-servers//disable", "/-/leaf-servers/a/b/disable", "/ready"] {
