--- a/src/balancer/action.rs
+++ b/src/balancer/action.rs
@@ -2,56 +2,57 @@
 
 use super::{Millis, PartId, QueryId, ReplicaId};
 
-/// What the caller is to do, in order.
+/// An action that the caller carries out, in the order given.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt of a part.
+    /// Send an attempt of a part. Its end is told by [`Event::AttemptEnded`](super::Event::AttemptEnded).
     Send {
-        /// Which part.
+        /// The part.
         part: PartId,
-        /// Where to.
+        /// The replica that gets it.
         replica: ReplicaId,
-        /// Its time-out.
+        /// How long its answer is waited for.
         timeout: Millis,
-        /// It has left by this time, or is ended as [`Outcome::NotSent`]; no bound where none is told.
+        /// The time by which it has to have been sent; after that it ends as
+        /// [`Outcome::NotSent`](super::Outcome::NotSent). None without a bound.
         send_by: Option<Millis>,
     },
     /// Stop waiting for an attempt.
     Cancel {
-        /// Which part.
+        /// The part.
         part: PartId,
-        /// Which of its attempts.
+        /// The attempt, counted from 0 in the order sent.
         attempt: u32,
     },
-    /// Answer from the parts that are in. Final, except before a second step.
+    /// Answer a query with the parts that have been answered. Final, except before a second step.
     Answer {
-        /// Which query.
+        /// The query.
         query: QueryId,
-        /// The answer is whole.
+        /// The answer is complete, not partial.
         complete: bool,
     },
-    /// Final: turned away, asking again is harmless.
+    /// Reject a query; asking again is harmless. Final.
     Reject {
-        /// Which query.
+        /// The query.
         query: QueryId,
-        /// When to come back.
+        /// How long the client should wait before it asks again, if clients are told.
         retry_after: Option<Millis>,
     },
-    /// Final: given up, no promise about effects.
+    /// Fail a query, without any promise about its effects. Final.
     Fail {
-        /// Which query.
+        /// The query.
         query: QueryId,
     },
-    /// Probe a replica.
+    /// Check a replica's health. The end is told by [`Event::HealthCheckEnded`](super::Event::HealthCheckEnded).
     HealthCheck {
-        /// Which replica.
+        /// The replica.
         replica: ReplicaId,
     },
-    /// Subscribe to the list.
+    /// Watch the endpoint list, or poll it.
     WatchEndpoints,
-    /// Deliver [`Event::Timer`] at this time.
+    /// Deliver [`Event::Timer`](super::Event::Timer) at a time. A later timer replaces an earlier one.
     SetTimer {
-        /// When.
+        /// The time, on the caller's clock.
         at: Millis,
     },
     /// Log a change of state.
--- a/src/balancer/event.rs
+++ b/src/balancer/event.rs
@@ -1,66 +1,66 @@
-//! What the balancer is told: endpoint lists, queries, outcomes of attempts and health checks, timers.
+//! What the balancer is told: endpoint lists, queries, the ends of attempts and health checks, timers.
 
 use super::{Millis, PartId, QueryId, ReplicaId};
 
-/// State of a replica in the list.
+/// The state of a replica in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicaState {
     /// Serving.
     Up,
-    /// Finishing its work.
+    /// Finishing its work; it gets nothing new.
     Draining,
     /// Gone.
     Removed,
 }
 
-/// One line of the list of replicas.
+/// One line of the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub struct ReplicaEntry {
-    /// Which replica.
+    /// The replica.
     pub replica: ReplicaId,
-    /// Its cell.
+    /// Its cell, which determines its shards.
     pub cell: u32,
-    /// Its told size; only ratios matter.
+    /// Its capacity; only ratios matter.
     pub weight: f64,
     /// Its state.
     pub state: ReplicaState,
-    /// When it last started, if lately.
+    /// When it last started, on the caller's clock. None if that is long ago or unknown.
     pub started_at: Option<Millis>,
-    /// Its zone.
+    /// The index of its zone.
     pub zone: u32,
 }
 
-/// A part as it arrives.
+/// A part of a query as it arrives.
 #[derive(Clone, Copy, Debug)]
 pub struct PartSpec {
-    /// Which part.
+    /// The part.
     pub part: PartId,
-    /// The shard it asks.
+    /// The shard that answers it.
     pub shard: u32,
-    /// Its weight; those of a step sum to one.
+    /// Its share of the answer; the weights of a step add up to one.
     pub weight: f64,
-    /// Rough expected work, if told.
+    /// The client's rough estimate of its work, in milliseconds.
     pub cost_hint: Option<Millis>,
 }
 
-/// How an attempt or a probe ended.
+/// How an attempt or a health check ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// Answered.
     Ok,
-    /// The replica answered with an error; it may have run.
+    /// Answered with an error; it may have been executed.
     Error,
-    /// Turned away unseen.
+    /// Rejected by the replica without being executed.
     Rejected,
-    /// No answer in time; it may have run.
+    /// No answer within the timeout; it may have been executed.
     Timeout,
-    /// No connection; it never ran.
+    /// No connection; it was never executed.
     ConnectFailed,
-    /// The connection dropped; it may have run.
+    /// The connection broke; it may have been executed.
     Reset,
-    /// Withdrawn; it may have run.
+    /// Cancelled; it may have been executed.
     Cancelled,
-    /// Never issued.
+    /// Never sent.
     NotSent,
 }
 
@@ -71,80 +71,80 @@
     }
 }
 
-/// A load report.
+/// A replica's report of its load. Values that are negative or not finite are ignored.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests waiting at the replica.
+    /// Requests that wait at the replica.
     pub queue: Option<f64>,
-    /// Requests in its hands, waiting or not.
+    /// Requests at the replica, waiting or being executed.
     pub inflight: Option<f64>,
-    /// Share of its cores in use.
+    /// The share of its cores in use.
     pub utilization: Option<f64>,
 }
 
-/// What the module is told.
+/// What the balancer is told. Events about unknown ids are ignored.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The list of replicas, whole or only its changes.
+    /// The endpoint list, or changes to it.
     EndpointList {
-        /// Whole: what is absent is gone.
+        /// The list is complete: replicas that it does not name are gone.
         complete: bool,
         /// The lines.
         entries: Vec<ReplicaEntry>,
     },
-    /// A call for the list failed or the subscription dropped.
+    /// A poll of the endpoint list failed, or the watch ended.
     EndpointListFailed,
     /// A query with the parts of its first step.
     Query {
-        /// Which query.
+        /// The query.
         query: QueryId,
-        /// Its class.
+        /// The index of its class.
         class: usize,
-        /// Its tenant, if any.
+        /// The index of its tenant, if any.
         tenant: Option<usize>,
-        /// Time until the client gives up this try.
+        /// The time until the client gives up this try.
         time_left: Millis,
-        /// The client marked it as a repeat of an earlier query.
+        /// The client marked it as a retry of an earlier query.
         is_retry: bool,
         /// Its parts.
         parts: Vec<PartSpec>,
     },
-    /// The parts of a query's second step.
+    /// The parts of a query's second step, after its first answer.
     SecondStep {
-        /// Which query.
+        /// The query.
         query: QueryId,
-        /// Its further parts.
+        /// The parts.
         parts: Vec<PartSpec>,
     },
-    /// An attempt has ended; each attempt sent gets one.
+    /// An attempt has ended. Every attempt that is sent gets exactly one such event.
     AttemptEnded {
-        /// Which part.
+        /// The part.
         part: PartId,
-        /// Which of its attempts, counted from 0 in the order sent.
+        /// The attempt, counted from 0 in the order sent.
         attempt: u32,
         /// How it ended.
         outcome: Outcome,
-        /// Time since it was sent.
+        /// The time since it was sent.
         elapsed: Millis,
-        /// The load report that came with it.
+        /// The load report that came with the answer.
         report: Option<LoadReport>,
     },
-    /// The client has left.
+    /// The client of a query has left.
     ClientDisconnected {
-        /// Which query.
+        /// The query.
         query: QueryId,
     },
-    /// A probe has ended.
+    /// A health check has ended.
     HealthCheckEnded {
-        /// Which replica.
+        /// The replica.
         replica: ReplicaId,
         /// How it ended.
         outcome: Outcome,
-        /// Time since it was sent.
+        /// The time since it was sent.
         elapsed: Millis,
-        /// The load report that came with it.
+        /// The load report that came with the answer.
         report: Option<LoadReport>,
     },
-    /// A timer set earlier has come due.
+    /// The timer of [`Action::SetTimer`](super::Action::SetTimer) has fired.
     Timer,
 }
--- a/src/balancer/settings.rs
+++ b/src/balancer/settings.rs
@@ -1,211 +1,222 @@
-//! Settings of the balancer and their validation.
+//! Settings of the balancer and their validation. `config` reads them from the platform's file.
 
 use super::Millis;
+use std::fmt;
 
-/// What repeating a part of a class can do.
+/// Coverage may exceed one by this through rounding.
+const COVERAGE_ROUNDING: f64 = 1e-4;
+
+/// What a retry of a part may do.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Idempotency {
-    /// Repeats are harmless.
+    /// Retries are harmless.
     Idempotent,
-    /// A repeat is dropped by the holders for this long after the first attempt that may have run.
+    /// Replicas drop repeats of a key for a time after the first attempt that may have been executed.
     Keyed {
         /// How long repeats are dropped.
         window: Millis,
     },
-    /// A part may be repeated only when no earlier attempt has run.
+    /// A part may be retried only if no earlier attempt may have been executed.
     NotIdempotent,
 }
 
-/// A class of query.
+/// A class of queries.
 #[derive(Clone, Copy, Debug)]
 pub struct Class {
-    /// Full worth is earned within this time.
+    /// Answers within this time have their full value.
     pub latency_objective: Millis,
-    /// The aim grows by this many times the query's own work.
+    /// The latency objective grows by this many times the query's own work.
     pub objective_stretch: f64,
     /// The client's whole wait, over all its tries.
     pub deadline: Millis,
-    /// Share of the worth left between aim and deadline.
+    /// The share of the value that is left between latency objective and deadline.
     pub late_value_factor: f64,
-    /// Worth of a whole answer.
+    /// The value of a complete answer.
     pub priority_weight: f64,
-    /// What repeating does.
+    /// What retries may do.
     pub idempotency: Idempotency,
-    /// Weight of the parts that makes an answer whole.
+    /// The weight of the parts that makes an answer complete.
     pub complete_coverage: f64,
-    /// Weight of the parts below which no answer may be given.
+    /// The weight of the parts below which no answer may be given.
     pub minimum_coverage: f64,
-    /// Worth factor of an answer that is not whole.
+    /// The share of the value that a partial answer has, for its coverage.
     pub partial_value_factor: f64,
-    /// Parts of the second step; 0 for none.
+    /// The parts of the second step; 0 for none.
     pub second_step_parts: u32,
 }
 
-/// A tenant's share.
+/// A tenant.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Queries a second, over all aggregators, that count in full.
+    /// Queries a second, over all aggregators, that have their full priority.
     pub quota_per_s: f64,
 }
 
-/// How replicas report their load.
+/// When replicas report their load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReportMode {
-    /// With outcomes and probe results.
+    /// With answers and with health checks.
     Inline,
-    /// With probe results only.
+    /// With health checks only.
     OnHealthCheck,
-    /// Not at all.
+    /// Never.
     Off,
 }
 
-/// A stated limit on attempts beyond each part's first.
+/// A limit on attempts beyond each part's first.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
-    /// Extra attempts allowed whatever the traffic.
+    /// Further attempts allowed whatever the traffic.
     pub free_attempts: f64,
-    /// Extra attempts for each query or part taken.
+    /// Further attempts for each query and part received.
     pub share: f64,
     /// The sliding window over which both are counted.
     pub window: Millis,
 }
 
-/// What one aggregator is told at its start.
+/// The settings of one aggregator's balancer.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Classes of query, by index.
+    /// Classes of queries, by index.
     pub classes: Vec<Class>,
     /// Tenants, by index; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Worth of a query over its tenant's share, as a fraction.
+    /// The share of its priority that a query beyond its tenant's quota keeps.
     pub over_quota_weight: f64,
-    /// Worth is counted by work rather than by query.
+    /// Priority weights count for each unit of work rather than for each query.
     pub weight_by_work: bool,
     /// Clients mark queries that repeat an earlier one.
     pub clients_mark_retries: bool,
-    /// Number of aggregators of this tier.
+    /// The number of aggregators that share the traffic.
     pub aggregators: u32,
-    /// Least time between two calls of the module.
+    /// The shortest time between two calls of the balancer.
     pub timer_granularity: Millis,
     /// Cells of the layout; shard `s` is held by cells `(s + j) mod cells`, `j < width`.
     pub cells: u32,
     /// Consecutive cells that hold a shard.
     pub width: u32,
-    /// Parts that may share a call.
+    /// Parts that may share a call to a replica.
     pub parts_per_call: u32,
-    /// How load is reported.
+    /// When replicas report their load.
     pub load_report_mode: LoadReportMode,
-    /// Probes are permitted.
+    /// Health checks may be sent.
     pub health_checks_allowed: bool,
     /// Attempts may be cancelled.
     pub cancellation_allowed: bool,
-    /// Two attempts of a part may be out at once.
+    /// Two attempts of a part may be in flight at once.
     pub hedging_allowed: bool,
-    /// Most attempts for a part.
+    /// The most attempts of a part.
     pub max_attempts: u32,
-    /// Most queries and parts held at once.
+    /// The most queries and parts in flight.
     pub max_in_flight: u32,
-    /// Longest come-back hint, if clients get one.
+    /// The longest Retry-After, if clients are told one.
     pub max_retry_after: Option<Millis>,
-    /// The list must be asked for.
+    /// The endpoint list has to be polled; otherwise it is pushed.
     pub discovery_is_polled: bool,
-    /// Longest time without asking for the list.
+    /// The longest time without a poll of the endpoint list.
     pub max_poll_interval: Millis,
-    /// A replica that has just started runs at this share of its capacity.
+    /// The share of its capacity that a replica has at its start.
     pub slow_start_share: f64,
-    /// And is warm within this time.
+    /// The time within which a replica warms up.
     pub slow_start_window: Millis,
-    /// Sent more than this many times its present capacity by all aggregators together, it falls.
+    /// A replica that gets more than this many times its present capacity, from all aggregators together, fails.
     pub overload_factor: f64,
-    /// Stated budget of further attempts, if any.
+    /// The stated budget of further attempts, if any.
     pub retry_budget: Option<RetryBudget>,
-    /// Price of an attempt that crosses zones.
+    /// The cost of an attempt that crosses zones.
     pub cross_zone_cost: f64,
-    /// Price of one probe a part, as a share of the whole result.
+    /// The cost of one health check a part, as a share of the whole result.
     pub health_check_cost: f64,
-    /// This aggregator's zone.
+    /// The index of this aggregator's zone.
     pub zone: u32,
 }
 
-/// Why settings were turned down.
+/// Why settings are invalid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SettingsError {
-    /// No class at all.
+    /// There is no class.
     NoClass,
-    /// A class with a time, share or worth that makes no sense.
+    /// The class of this index has an invalid time, share or weight.
     InvalidClass(usize),
-    /// No cell, no width, or a width above the number of cells.
+    /// There is no cell, no width, or a width above the number of cells.
     InvalidLayout,
-    /// Some other figure is negative or not a number.
+    /// The setting of this name is negative, zero where it must not be, or not a number.
     InvalidValue(&'static str),
 }
 
 impl Settings {
-    /// Checks that the settings make sense together.
+    /// Checks that the settings are valid together.
     ///
     /// # Errors
-    /// The first setting that does not is named.
+    /// The first setting that is not.
     pub fn validate(&self) -> Result<(), SettingsError> {
-        let s = self;
-        let good = |x: f64| x.is_finite() && x >= 0.0;
-        if s.classes.is_empty() {
+        if self.classes.is_empty() {
             return Err(SettingsError::NoClass);
         }
-        for (i, c) in s.classes.iter().enumerate() {
-            let window = if let Idempotency::Keyed { window } = c.idempotency { window } else { 0.0 };
-            let figures = [
-                c.objective_stretch,
-                c.late_value_factor,
-                c.priority_weight,
-                c.complete_coverage,
-                c.minimum_coverage,
-                c.partial_value_factor,
-                window,
-            ];
-            let bad = !figures.into_iter().all(good) || !good(c.latency_objective) || !good(c.deadline);
-            if bad
-                || c.latency_objective == 0.0
-                || c.deadline == 0.0
-                || c.complete_coverage == 0.0
-                || c.complete_coverage > 1.0 + 1e-4
-            {
-                return Err(SettingsError::InvalidClass(i));
-            }
+        if let Some(index) = self.classes.iter().position(|class| !class.is_valid()) {
+            return Err(SettingsError::InvalidClass(index));
         }
-        if s.cells == 0 || s.width == 0 || s.width > s.cells {
+        if self.cells == 0 || self.width == 0 || self.width > self.cells {
             return Err(SettingsError::InvalidLayout);
         }
-        let budget = s.retry_budget.unwrap_or(RetryBudget { free_attempts: 0.0, share: 0.0, window: 0.0 });
-        let figures = [
-            ("over_share_worth", s.over_quota_weight),
-            ("tick", s.timer_granularity),
-            ("ask_within", s.max_poll_interval),
-            ("cold_share", s.slow_start_share),
-            ("warm_after", s.slow_start_window),
-            ("retry_after", s.max_retry_after.unwrap_or(0.0)),
-            ("probe_price", s.health_check_cost),
-            ("retry_budget.free", budget.free_attempts),
-            ("retry_budget.share", budget.share),
-            ("retry_budget.window", budget.window),
-        ];
-        if s.overload_factor.is_nan() || s.overload_factor <= 0.0 {
+        if self.overload_factor.is_nan() || self.overload_factor <= 0.0 {
             return Err(SettingsError::InvalidValue("overload_factor"));
         }
-        if s.max_attempts == 0 {
+        if self.max_attempts == 0 {
             return Err(SettingsError::InvalidValue("max_attempts"));
         }
-        if let Some((name, _)) = figures.into_iter().find(|f| !good(f.1)) {
-            return Err(SettingsError::InvalidValue(name));
-        }
-        Ok(())
+        let invalid = self.non_negative_values().into_iter().find(|(_, value)| !is_non_negative(*value));
+        invalid.map_or(Ok(()), |(name, _)| Err(SettingsError::InvalidValue(name)))
+    }
+
+    fn non_negative_values(&self) -> [(&'static str, f64); 10] {
+        let budget = self.retry_budget.unwrap_or(RetryBudget { free_attempts: 0.0, share: 0.0, window: 0.0 });
+        [
+            ("over_quota_weight", self.over_quota_weight),
+            ("timer_granularity", self.timer_granularity),
+            ("max_poll_interval", self.max_poll_interval),
+            ("slow_start_share", self.slow_start_share),
+            ("slow_start_window", self.slow_start_window),
+            ("max_retry_after", self.max_retry_after.unwrap_or(0.0)),
+            ("health_check_cost", self.health_check_cost),
+            ("retry_budget.free_attempts", budget.free_attempts),
+            ("retry_budget.share", budget.share),
+            ("retry_budget.window", budget.window),
+        ]
+    }
+}
+
+impl Class {
+    fn is_valid(&self) -> bool {
+        let window = if let Idempotency::Keyed { window } = self.idempotency { window } else { 0.0 };
+        let values = [
+            self.latency_objective,
+            self.objective_stretch,
+            self.deadline,
+            self.late_value_factor,
+            self.priority_weight,
+            self.complete_coverage,
+            self.minimum_coverage,
+            self.partial_value_factor,
+            window,
+        ];
+        values.into_iter().all(is_non_negative)
+            && self.latency_objective > 0.0
+            && self.deadline > 0.0
+            && self.complete_coverage > 0.0
+            && self.complete_coverage <= 1.0 + COVERAGE_ROUNDING
     }
 }
 
-impl std::fmt::Display for SettingsError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+fn is_non_negative(value: f64) -> bool {
+    value.is_finite() && value >= 0.0
+}
+
+impl fmt::Display for SettingsError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::NoClass => write!(f, "settings name no class"),
-            Self::InvalidClass(i) => write!(f, "class {i} has a figure that makes no sense"),
+            Self::InvalidClass(index) => write!(f, "class {index} has an invalid time, share or weight"),
             Self::InvalidLayout => write!(f, "the layout needs 1 <= width <= cells"),
             Self::InvalidValue(name) => {
                 write!(f, "setting {name} is negative, zero where it must not be, or not a number")
