--- a/src/balancer/simulator_protocol/message.rs
+++ b/src/balancer/simulator_protocol/message.rs
@@ -142,6 +142,7 @@
 }
 
 /// What an endpoint-list message says.
+#[derive(Clone, Copy)]
 pub enum ListScope {
     /// The list could not be had.
     Failed,
@@ -222,6 +223,7 @@
 }
 
 /// The result of an attempt or a health check.
+#[derive(Clone, Copy)]
 pub struct CallResult {
     /// How it ended.
     pub outcome: Outcome,
--- a/src/config/platform_settings.rs
+++ b/src/config/platform_settings.rs
@@ -250,13 +250,19 @@
         hedging_allowed: limits.get("secondCopies").as_bool()?,
         max_attempts: limits.get("maxAttempts").as_u32()?,
         max_in_flight: limits.get("maxOpen").as_f64()? as u32,
-        max_retry_after: match limits.get("retryAfter").as_bool()? {
-            true => Some(limits.get("maxRetryAfterMs").as_f64()?),
-            false => None,
-        },
+        max_retry_after: parse_max_retry_after(limits)?,
     })
 }
 
+/// The longest Retry-After; none where clients get no Retry-After.
+fn parse_max_retry_after(limits: &Field<'_>) -> Result<Option<Millis>, FieldError> {
+    let has_retry_after = limits.get("retryAfter").as_bool()?;
+    if !has_retry_after {
+        return Ok(None);
+    }
+    limits.get("maxRetryAfterMs").as_f64().map(Some)
+}
+
 /// What the section `invariants` says to the balancer.
 struct Invariants {
     max_poll_interval: Millis,
