--- a/examples/inventory_scale.rs
+++ b/examples/inventory_scale.rs
@@ -69,7 +69,7 @@
     timed("digest", || digest(&bundle("n.csv", &first)));
     timed("diff, one drained", || old.differing(&one));
     let config = std::env::temp_dir().join(format!("sailmux-scale-{}.json", std::process::id()));
-    std::fs::write(&config, include_str!("../src/cli/demo-config.json"))?;
+    std::fs::write(&config, include_str!("../src/cli/demo/config.json"))?;
     let site = Config::at(&config);
     std::fs::remove_file(&config)?;
     let mut state = State::new(site?.settings, Limits::for_descriptors(1024), 1, Default::default())?;
--- a/examples/inventory_storm.rs
+++ b/examples/inventory_storm.rs
@@ -24,7 +24,7 @@
         let name = format!("s{:02}", turn % u64::from(SERVERS));
         times_ms.push(run.drain(&name).as_secs_f64() * 1e3);
         // Every eighth server drains for long enough that a late part would show.
-        let stay_ms = if turn % 8 == 0 { 1150 } else { 20 + 7 * (turn % 11) };
+        let stay_ms = if turn.is_multiple_of(8) { 1150 } else { 20 + 7 * (turn % 11) };
         thread::sleep(Duration::from_millis(stay_ms));
         run.ready(&name);
         turn += 1;
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -1,9 +1,13 @@
-//! `sailmux check`: all files that the mixer would read, every problem at once.
+//! `sailmux check`: reads all files that the aggregator would read and prints every problem at once.
 
-use super::{Failure, path_in, say};
+use super::failure::Failure;
+use super::inventory::check_cells;
+use super::{path_in_environment, print};
+use crate::config::operator::InventoryFile;
 use crate::config::{Config, Operator};
+use crate::diagnostic::Diagnostic;
 use crate::inventory;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 
 #[derive(clap::Args)]
 pub(super) struct Check {
@@ -15,41 +19,64 @@
     operator: Option<PathBuf>,
 }
 
+/// What was found so far.
+#[derive(Default)]
+struct Report {
+    /// A line for each file without a problem.
+    valid: String,
+    /// The problems of the other files.
+    problems: Vec<String>,
+}
+
+impl Report {
+    fn add(&mut self, path: &Path, problems: impl IntoIterator<Item: ToString>) {
+        let problems: Vec<String> = problems.into_iter().map(|problem| problem.to_string()).collect();
+        if problems.is_empty() {
+            self.valid.push_str(&format!("{}: good\n", path.display()));
+        }
+        self.problems.extend(problems);
+    }
+}
+
 impl Check {
     pub(super) fn run(self) -> Result<(), Failure> {
-        let config = self.config.or_else(|| path_in("RELAY_CONFIG"));
-        let operator = self.operator.or_else(|| path_in("SAILMUX_OPERATOR"));
-        let mut problems: Vec<String> = Vec::new();
-        let mut good: Vec<String> = Vec::new();
-        let mut checked = |path: &PathBuf, found: Vec<String>| match found.is_empty() {
-            true => good.push(format!("{}: good\n", path.display())),
-            false => problems.extend(found),
-        };
+        let config = self.config.or_else(|| path_in_environment("RELAY_CONFIG"));
+        let operator = self.operator.or_else(|| path_in_environment("SAILMUX_OPERATOR"));
+        let mut report = Report::default();
+        if config.is_none() && operator.is_none() {
+            let problem = "nothing to check: name files by --config and --operator";
+            report.problems.push(problem.to_owned());
+        }
         let mut cells = None;
         if let Some(path) = &config {
-            let found = Config::problems(path).iter().map(ToString::to_string).collect();
-            checked(path, found);
-            cells = Config::at(path).ok().map(|c| c.settings.layout().cells);
+            report.add(path, Config::problems(path));
+            cells = Config::at(path).ok().map(|config| config.settings.layout().cells);
         }
         if let Some(path) = &operator {
-            match Operator::read(path) {
-                Err(found) => checked(path, found.0.iter().map(ToString::to_string).collect()),
-                Ok(read) => {
-                    checked(path, Vec::new());
-                    for file in read.inventory.iter().flat_map(|i| &i.files) {
-                        let list = inventory::gather(&file.path, &file.options)
-                            .and_then(|found| inventory::read(&found.bundle, &file.options))
-                            .and_then(|list| super::inventory::within(list, cells));
-                        let found = list.err().map(|p| p.0).unwrap_or_default();
-                        checked(&file.path, found.iter().map(ToString::to_string).collect());
-                    }
-                }
-            }
+            check_operator(path, cells, &mut report);
         }
-        if config.is_none() && operator.is_none() {
-            problems.push("nothing to check: name files by --config and --operator".to_owned());
-        }
-        say(&good.concat())?;
-        if problems.is_empty() { Ok(()) } else { Err(Failure::Diagnostics(problems)) }
+        print(&report.valid)?;
+        if report.problems.is_empty() { Ok(()) } else { Err(Failure::Messages(report.problems)) }
+    }
+}
+
+/// Checks the operator's file and the inventories that it names.
+fn check_operator(path: &Path, cells: Option<u32>, report: &mut Report) {
+    let operator = match Operator::read(path) {
+        Ok(operator) => operator,
+        Err(problems) => return report.add(path, problems.0),
+    };
+    report.add(path, Vec::<Diagnostic>::new());
+    for file in operator.inventory.iter().flat_map(|inventory| &inventory.files) {
+        report.add(&file.path, inventory_problems(file, cells));
+    }
+}
+
+fn inventory_problems(file: &InventoryFile, cells: Option<u32>) -> Vec<Diagnostic> {
+    let list = inventory::gather(&file.path, &file.options)
+        .and_then(|gathered| inventory::read(&gathered.bundle, &file.options));
+    match list.and_then(|list| check_cells(&list, cells)) {
+        Ok(()) => Vec::new(),
+        Err(problems) => problems.0,
     }
 }
--- a/src/cli/config.rs
+++ b/src/cli/config.rs
@@ -1,18 +1,19 @@
-//! `sailmux config`.
+//! `sailmux config`: the schema of the operator's file.
 
-use super::{Failure, say};
+use super::failure::Failure;
+use super::print;
 use crate::config::operator;
 
 #[derive(clap::Subcommand)]
-pub(super) enum Config {
+pub(super) enum Command {
     /// Print the JSON Schema of the operators' file, for editors
     Schema,
 }
 
-impl Config {
+impl Command {
     pub(super) fn run(self) -> Result<(), Failure> {
         match self {
-            Config::Schema => say(&operator::schema()),
+            Command::Schema => print(&operator::schema()),
         }
     }
 }
--- /dev/null
+++ b/src/cli/inventory/check.rs
@@ -0,0 +1,21 @@
+//! `sailmux inventory check`: reads an inventory and prints every problem.
+
+use super::super::failure::Failure;
+use super::super::print;
+use super::source::Source;
+
+#[derive(clap::Args)]
+pub(in crate::cli) struct Check {
+    #[command(flatten)]
+    source: Source,
+}
+
+impl Check {
+    pub(super) fn run(self) -> Result<(), Failure> {
+        let list = self.source.list(&self.source.path)?;
+        let counts = list.summary();
+        let path = self.source.path.display();
+        let ragged = if list.ragged { "; it ends within a line, and would be held back" } else { "" };
+        print(&format!("{path}: good, {} nodes, {} draining{ragged}\n", counts.nodes, counts.draining))
+    }
+}
--- /dev/null
+++ b/src/cli/inventory/explain.rs
@@ -0,0 +1,53 @@
+//! `sailmux inventory explain`: each variable of a host with the places that set it.
+
+use super::super::failure::Failure;
+use super::super::print;
+use super::source::Source;
+use crate::endpoints::SourceLocation;
+use crate::inventory::{self, Bundle, Explained};
+
+#[derive(clap::Args)]
+pub(in crate::cli) struct Explain {
+    #[command(flatten)]
+    source: Source,
+    /// The host's name
+    host: String,
+}
+
+impl Explain {
+    pub(super) fn run(self) -> Result<(), Failure> {
+        let Explain { source, host } = self;
+        let options = source.options(&source.path)?;
+        let bundle = source.bundle(&source.path, &options)?;
+        let hosts = inventory::hosts(&bundle, &options).map_err(Failure::diagnostics)?;
+        if hosts.place(&host).is_none() {
+            let path = source.path.display();
+            return Err(Failure::message(format!("{path}: there is no host {host}")));
+        }
+        let mut text = format!("{host}, in {}\n", hosts.groups_of(&host).join(" < "));
+        for explained in hosts.explain(&host) {
+            text.push_str(&explanation(&explained, &bundle));
+        }
+        print(&text)
+    }
+}
+
+/// The value that has precedence, and below it the ones that it overrides.
+fn explanation(explained: &Explained, bundle: &Bundle) -> String {
+    let Some(((value, layer, location), overridden)) = explained.values.split_first() else {
+        return String::new();
+    };
+    let suffix = if overridden.is_empty() { ", set nowhere else" } else { " stands over" };
+    let mut text = format!("{} = {value}\n", explained.variable);
+    text.push_str(&format!("    {} ({layer}){suffix}\n", place(bundle, location)));
+    for (value, layer, location) in overridden {
+        text.push_str(&format!("    {} ({layer}): {value}\n", place(bundle, location)));
+    }
+    text
+}
+
+/// A location as `file:line`.
+fn place(bundle: &Bundle, location: &SourceLocation) -> String {
+    let file = bundle.files.get(usize::from(location.file)).map_or("", |file| &*file.name);
+    format!("{file}:{}", location.line)
+}
--- /dev/null
+++ b/src/cli/ledger/export.rs
@@ -0,0 +1,40 @@
+//! `sailmux ledger export`: exports what is new in a period.
+
+use super::super::failure::Failure;
+use super::LedgerLocation;
+use crate::ledger::{Format, Period, Request};
+use clap::ValueEnum;
+
+#[derive(clap::Args)]
+pub(in crate::cli) struct Export {
+    #[command(flatten)]
+    location: LedgerLocation,
+    /// As 2026-11
+    period: Period,
+    /// In which form
+    #[arg(long, value_enum, default_value_t = ExportFormat::Csv)]
+    format: ExportFormat,
+}
+
+#[derive(Clone, Copy, ValueEnum)]
+enum ExportFormat {
+    Csv,
+    Jsonl,
+    Arrow,
+}
+
+impl From<ExportFormat> for Format {
+    fn from(format: ExportFormat) -> Self {
+        match format {
+            ExportFormat::Csv => Format::Csv,
+            ExportFormat::Jsonl => Format::JsonLines,
+            ExportFormat::Arrow => Format::Arrow,
+        }
+    }
+}
+
+impl Export {
+    pub(super) fn run(self) -> Result<(), Failure> {
+        self.location.submit(Request::Export(self.period, self.format.into()))
+    }
+}
--- /dev/null
+++ b/src/cli/ledger/reconcile.rs
@@ -0,0 +1,89 @@
+//! `sailmux ledger reconcile`: compares the ledgers of several aggregators and adds them up.
+
+use super::super::failure::Failure;
+use super::super::print;
+use super::LedgerLocation;
+use super::table::totals_table;
+use crate::ledger::{Gap, Ledger, Reconciled, Record, lines, reconcile};
+use serde_json::{Value, json};
+use std::path::PathBuf;
+
+#[derive(clap::Args)]
+pub(in crate::cli) struct Reconcile {
+    /// Their directories
+    #[arg(required = true)]
+    dirs: Vec<PathBuf>,
+    /// The time zone of the periods
+    #[arg(long, default_value = "Asia/Taipei")]
+    time_zone: String,
+    /// JSON instead of a table
+    #[arg(long)]
+    json: bool,
+}
+
+impl Reconcile {
+    pub(super) fn run(self) -> Result<(), Failure> {
+        let mut ledgers = Vec::new();
+        for dir in self.dirs {
+            ledgers.push(read_ledger(LedgerLocation { dir, time_zone: self.time_zone.clone() })?);
+        }
+        let reconciled = reconcile(&ledgers);
+        let text = if self.json { json_text(&reconciled) } else { plain_text(&reconciled) };
+        print(&text)?;
+        if reconciled.is_complete() { Ok(()) } else { Err(Failure::Reported) }
+    }
+}
+
+fn read_ledger(location: LedgerLocation) -> Result<Ledger, Failure> {
+    let mut records = Vec::new();
+    let book = location.read(|sequence, record, _| {
+        if matches!(record, Record::Entry(_)) {
+            records.push((sequence, record.clone()));
+        }
+    })?;
+    Ok(Ledger { place: location.dir.display().to_string(), book, records })
+}
+
+fn json_text(reconciled: &Reconciled) -> String {
+    let gaps: Vec<Value> =
+        reconciled.gaps.iter().map(|(aggregator, gap)| gap_object(aggregator, gap)).collect();
+    let object = json!({
+        "complete": reconciled.is_complete(),
+        "entries": reconciled.entries,
+        "totals": lines(&reconciled.totals),
+        "gaps": gaps,
+        "overlaps": reconciled.overlaps,
+        "clocks": reconciled.clocks,
+        "met_at_two_mixers": reconciled.twice_count,
+    });
+    format!("{object:#}\n")
+}
+
+fn gap_object(aggregator: &str, gap: &Gap) -> Value {
+    json!({
+        "mixer": aggregator,
+        "from": gap.from,
+        "to": gap.to,
+        "entries": gap.entries,
+        "reason": gap.reason,
+    })
+}
+
+fn plain_text(reconciled: &Reconciled) -> String {
+    let mut text = totals_table(&reconciled.totals);
+    for finding in reconciled.overlaps.iter().chain(&reconciled.clocks) {
+        text.push_str(&format!("{finding}\n"));
+    }
+    for (aggregator, gap) in &reconciled.gaps {
+        text.push_str(&format!("{aggregator}: {}\n", Record::Gap(gap.clone())));
+    }
+    if reconciled.twice_count > 0 {
+        let count = reconciled.twice_count;
+        text.push_str(&format!("{count} queries were met at two mixers; by rule both count\n"));
+    }
+    text.push_str(match reconciled.is_complete() {
+        true => "complete: every sequence is whole, no gap is recorded, no ledger stands twice\n",
+        false => "not complete: see above\n",
+    });
+    text
+}
--- /dev/null
+++ b/src/cli/ledger/show.rs
@@ -0,0 +1,120 @@
+//! `sailmux ledger show`: totals and corrections, now or as of an earlier time.
+
+use super::super::failure::Failure;
+use super::super::print;
+use super::LedgerLocation;
+use super::table::totals_table;
+use crate::ledger::{Book, Correction, Period, Record, Totals, UnixMs, lines};
+use jiff::Timestamp;
+use serde_json::{Value, json};
+
+#[derive(clap::Args)]
+pub(in crate::cli) struct Show {
+    #[command(flatten)]
+    location: LedgerLocation,
+    /// Only this tenant
+    #[arg(long)]
+    tenant: Option<String>,
+    /// Only this period, as 2026-11
+    #[arg(long)]
+    period: Option<Period>,
+    /// As it stood then, as 2026-12-01T00:00:00+08:00: later entries and corrections are left out
+    #[arg(long, value_name = "TIME")]
+    as_of: Option<Timestamp>,
+    /// JSON instead of a table
+    #[arg(long)]
+    json: bool,
+}
+
+/// A correction with its sequence number and the period in which it is billed.
+type BilledCorrection = (u64, Period, Correction);
+
+impl Show {
+    pub(super) fn run(self) -> Result<(), Failure> {
+        let book = match self.as_of {
+            Some(time) => book_as_of(&self.location, time.as_millisecond())?,
+            None => self.location.read(|_, _, _| {})?,
+        };
+        let mut totals = book.totals().clone();
+        totals.retain(|line, _| self.is_selected(line.period, &line.account.name()));
+        let corrections = book.corrections().iter();
+        let corrections: Vec<&BilledCorrection> = corrections
+            .filter(|(_, period, correction)| self.is_selected(*period, &correction.tenant))
+            .collect();
+        if self.json {
+            return print(&json_text(&totals, &corrections));
+        }
+        let corrections: String = corrections.into_iter().map(correction_line).collect();
+        print(&format!("{}{corrections}", totals_table(&totals)))
+    }
+
+    fn is_selected(&self, period: Period, tenant: &str) -> bool {
+        let is_period = self.period.is_none_or(|only| only == period);
+        let is_tenant = self.tenant.as_deref().is_none_or(|only| only == tenant);
+        is_period && is_tenant
+    }
+}
+
+/// The book of the records made until a time. It is unknown if the first records were compacted.
+fn book_as_of(location: &LedgerLocation, until: UnixMs) -> Result<Book, Failure> {
+    let mut book = Book::new(location.calendar()?);
+    let mut first_sequence = None;
+    location.read(|sequence, record, _| {
+        first_sequence.get_or_insert(sequence);
+        if made_at(record).is_none_or(|at| at <= until) {
+            book.apply(sequence, record);
+        }
+    })?;
+    match first_sequence {
+        Some(first) if first > 1 => Err(Failure::message(format!(
+            "records before {first} are compacted: how it stood then is not known"
+        ))),
+        _ => Ok(book),
+    }
+}
+
+/// When a record was made, if its kind tells.
+fn made_at(record: &Record) -> Option<UnixMs> {
+    match record {
+        Record::Entry(entry) => Some(entry.at),
+        Record::Correction(correction) => Some(correction.at),
+        Record::Close { at, .. } | Record::Open { at, .. } | Record::Done { at, .. } => Some(*at),
+        Record::End { .. } | Record::Gap(_) | Record::Intent { .. } => None,
+    }
+}
+
+fn json_text(totals: &Totals, corrections: &[&BilledCorrection]) -> String {
+    let corrections: Vec<Value> = corrections.iter().map(|billed| correction_object(billed)).collect();
+    format!("{:#}\n", json!({ "totals": lines(totals), "corrections": corrections }))
+}
+
+fn correction_object((sequence, period, correction): &BilledCorrection) -> Value {
+    json!({
+        "seq": sequence,
+        "billed_in": period.to_string(),
+        "corrects": correction.corrects,
+        "tenant": correction.tenant,
+        "class": correction.class,
+        "share": correction.share.word(),
+        "queries": correction.queries,
+        "parts": correction.parts,
+        "work_milliunits": correction.work,
+        "by": correction.by,
+        "why": correction.why,
+        "at_ms": correction.at,
+    })
+}
+
+fn correction_line((sequence, period, correction): &BilledCorrection) -> String {
+    format!(
+        "correction {sequence}, billed in {period}, of {}: {} {} {:+} queries, {:+} parts, {:+.3} units; by {}: {}\n",
+        correction.corrects,
+        correction.tenant,
+        correction.class,
+        correction.queries,
+        correction.parts,
+        correction.work as f64 / 1e3,
+        correction.by,
+        correction.why
+    )
+}
--- /dev/null
+++ b/src/cli/ledger/verify.rs
@@ -0,0 +1,59 @@
+//! `sailmux ledger verify`: reads every record, and compares exports with the hashes in the journal.
+
+use super::super::failure::Failure;
+use super::super::print;
+use super::LedgerLocation;
+use crate::inventory::hex;
+use crate::ledger::{Begun, Book, Record};
+use sha2::{Digest, Sha256};
+use std::fs;
+use std::io::ErrorKind;
+use std::path::Path;
+
+#[derive(clap::Args)]
+pub(in crate::cli) struct Verify {
+    #[command(flatten)]
+    location: LedgerLocation,
+}
+
+impl Verify {
+    pub(super) fn run(self) -> Result<(), Failure> {
+        let mut entries = 0;
+        let book = self.location.read(|_, record, _| {
+            entries += u64::from(matches!(record, Record::Entry(_)));
+        })?;
+        print(&summary(&self.location.dir, &book, entries))?;
+        let problems: Vec<String> =
+            book.exports().iter().filter_map(|export| export_problem(&self.location.dir, export)).collect();
+        if problems.is_empty() { Ok(()) } else { Err(Failure::Messages(problems)) }
+    }
+}
+
+fn summary(directory: &Path, book: &Book, entries: u64) -> String {
+    let (sequence, aggregator, epoch) = book.position();
+    let directory = directory.display();
+    let mut text =
+        format!("{directory}: {aggregator}, {epoch} runs, records up to {sequence}, {entries} entries\n");
+    for (sequence, gap) in book.gaps() {
+        text.push_str(&format!("record {sequence}: {}\n", Record::Gap(gap.clone())));
+    }
+    let unfinished = book.exports().iter().filter(|export| !export.is_finished());
+    let unfinished: Vec<&str> = unfinished.map(|export| export.name.as_str()).collect();
+    if !unfinished.is_empty() {
+        text.push_str(&format!("exports to be completed at the next start: {}\n", unfinished.join(", ")));
+    }
+    text
+}
+
+/// Why the file of an export is not what the journal says. A missing file is no problem: those who bill may have moved
+/// it.
+fn export_problem(directory: &Path, export: &Begun) -> Option<String> {
+    let hash = export.hash.as_ref()?;
+    let path = directory.join(export.file_name());
+    match fs::read(&path) {
+        Ok(bytes) if hex(&Sha256::digest(&bytes)) == *hash => None,
+        Ok(_) => Some(format!("{}: is not the export that the journal knows", path.display())),
+        Err(error) if error.kind() == ErrorKind::NotFound => None,
+        Err(error) => Some(format!("{}: {error}", path.display())),
+    }
+}
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,15 +1,19 @@
-//! The command line: one file a command; each parses, calls and prints. Exit code 1 tells of a problem, 2 of misuse.
+//! The command line: a file for each command, which parses, calls the library and prints. The exit code is 1 for a
+//! failure and 2 for misuse. Doc comments on arguments are the help texts.
 
 mod check;
 mod config;
 mod demo;
+mod failure;
 mod inventory;
 mod ledger;
+mod man;
 mod run;
 
 use clap::{CommandFactory, Parser, Subcommand};
 use clap_complete::Shell;
-use std::io::{self, Write};
+use failure::Failure;
+use std::io::{self, ErrorKind, Write};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -31,13 +35,13 @@
     Check(check::Check),
     /// Look at inventory files, compare them, and confirm a list that is held back
     #[command(subcommand)]
-    Inventory(inventory::Inventory),
+    Inventory(inventory::Command),
     /// Use by tenant: totals, corrections, periods, exports
     #[command(subcommand)]
     Ledger(ledger::Command),
     /// The operators' file
     #[command(subcommand)]
-    Config(config::Config),
+    Config(config::Command),
     /// Start a mixer with a few stand-in nodes on loopback, ask it a query and show the answer
     Demo(demo::Demo),
     /// Print a shell's completions
@@ -49,42 +53,28 @@
     Man,
 }
 
-/// Why a command did not do what it was asked to.
-#[derive(Debug)]
-enum Failure {
-    /// Lines for standard error.
-    Diagnostics(Vec<String>),
-    /// Everything has been printed.
-    Printed,
-}
-
-impl<E: std::error::Error> From<E> for Failure {
-    fn from(e: E) -> Self {
-        Failure::Diagnostics(vec![e.to_string()])
+impl Command {
+    fn run(self) -> Result<(), Failure> {
+        match self {
+            Command::Run => run::run(),
+            Command::Check(check) => check.run(),
+            Command::Inventory(command) => command.run(),
+            Command::Ledger(command) => command.run(),
+            Command::Config(command) => command.run(),
+            Command::Demo(demo) => demo.run(),
+            Command::Completions { shell } => print_completions(shell),
+            Command::Man => man::print(Cli::command()),
+        }
     }
 }
 
 /// Runs the command line that the process was given.
 pub fn main() -> ExitCode {
-    let result = match Cli::parse().command.unwrap_or(Command::Run) {
-        Command::Run => run::run(),
-        Command::Check(check) => check.run(),
-        Command::Inventory(inventory) => inventory.run(),
-        Command::Ledger(ledger) => ledger.run(),
-        Command::Config(config) => config.run(),
-        Command::Demo(demo) => demo.run(),
-        Command::Completions { shell } => {
-            let mut text = Vec::new();
-            clap_complete::generate(shell, &mut Cli::command(), "sailmux", &mut text);
-            say(&String::from_utf8_lossy(&text))
-        }
-        Command::Man => man(),
-    };
-    match result {
+    let command = Cli::parse().command.unwrap_or(Command::Run);
+    match command.run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(Failure::Printed) => ExitCode::FAILURE,
-        Err(Failure::Diagnostics(lines)) => {
-            for line in lines {
+        Err(failure) => {
+            for line in failure.lines() {
                 eprintln!("sailmux: {line}");
             }
             ExitCode::FAILURE
@@ -92,31 +82,21 @@
     }
 }
 
-/// Prints to standard output; a reader that has had enough is no problem.
-fn say(text: &str) -> Result<(), Failure> {
-    match io::stdout().lock().write_all(text.as_bytes()) {
-        Err(e) if e.kind() != io::ErrorKind::BrokenPipe => Err(e.into()),
-        _ => Ok(()),
-    }
+fn print_completions(shell: Shell) -> Result<(), Failure> {
+    let mut text = Vec::new();
+    clap_complete::generate(shell, &mut Cli::command(), "sailmux", &mut text);
+    print(&String::from_utf8_lossy(&text))
 }
 
-fn man() -> Result<(), Failure> {
-    let mut text = Vec::new();
-    let command = Cli::command();
-    clap_mangen::Man::new(command.clone()).render(&mut text)?;
-    let mut open: Vec<clap::Command> = command.get_subcommands().cloned().collect();
-    open.reverse();
-    while let Some(sub) = open.pop() {
-        clap_mangen::Man::new(sub.clone()).render(&mut text)?;
-        let name = sub.get_name().to_owned();
-        for below in sub.get_subcommands() {
-            open.push(below.clone().name(format!("{name} {}", below.get_name())));
-        }
+/// Prints to standard output. A reader that closed the pipe, such as `head`, is no failure.
+fn print(text: &str) -> Result<(), Failure> {
+    match io::stdout().lock().write_all(text.as_bytes()) {
+        Err(error) if error.kind() != ErrorKind::BrokenPipe => Err(error.into()),
+        _ => Ok(()),
     }
-    say(&String::from_utf8_lossy(&text))
 }
 
-/// The path an environment variable names.
-fn path_in(variable: &str) -> Option<PathBuf> {
-    std::env::var_os(variable).filter(|v| !v.is_empty()).map(PathBuf::from)
+/// The path in an environment variable; `None` if it is not set or empty.
+fn path_in_environment(variable: &str) -> Option<PathBuf> {
+    std::env::var_os(variable).filter(|value| !value.is_empty()).map(PathBuf::from)
 }
--- a/src/cli/run.rs
+++ b/src/cli/run.rs
@@ -1,10 +1,11 @@
-//! `sailmux run`.
+//! `sailmux run`: the aggregator itself.
 
-use super::Failure;
+use super::failure::Failure;
 use crate::config::Config;
 use tokio::runtime::Builder;
 use tokio::task::LocalSet;
 
+/// Serves until a graceful shutdown.
 pub(super) fn run() -> Result<(), Failure> {
     let config = Config::load()?;
     crate::logging::start(&config.operator.log);
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -9,8 +9,8 @@
 
 fn sailmux(args: &[&str]) -> Output {
     let mut command = Command::new(binary());
-    for told in ["RELAY_CONFIG", "SAILMUX_OPERATOR"] {
-        command.env_remove(told);
+    for variable in ["RELAY_CONFIG", "SAILMUX_OPERATOR"] {
+        command.env_remove(variable);
     }
     command.args(args).output().expect("it runs")
 }
@@ -22,13 +22,13 @@
     (out.status.code().expect("a code"), text(out.stdout), text(out.stderr))
 }
 
-fn file(name: &str, text: &str) -> PathBuf {
+fn scratch_file(name: &str, text: &str) -> PathBuf {
     let path = scratch("cli").join(name);
     fs::write(&path, text).expect("written");
     path
 }
 
-fn str(path: &Path) -> &str {
+fn path_text(path: &Path) -> &str {
     path.to_str().expect("text")
 }
 
@@ -36,25 +36,25 @@
     "name,host,port,cell,state\na0,h,1,0,\nb0,h,2,0,\na1,h,3,1,\nb1,h,4,1,\na2,h,5,2,\nb2,h,6,2,\n";
 
 #[test]
-fn misuse_is_told_with_2_and_problems_with_1() {
+fn exit_code_is_2_for_misuse_and_1_for_problems() {
     assert_eq!(run(&["--nonsense"]).0, 2);
     assert_eq!(run(&["inventory", "show"]).0, 2);
     assert_eq!(run(&["inventory", "check", "/nowhere/n.csv"]).0, 1);
-    let (code, _, words) = run(&["run"]);
-    assert!(code == 1 && words.contains("RELAY_CONFIG"), "{words}");
+    let (code, _, stderr) = run(&["run"]);
+    assert!(code == 1 && stderr.contains("RELAY_CONFIG"), "{stderr}");
     assert_eq!(run(&["--help"]).0, 0);
     assert_eq!(run(&["check"]).0, 1);
 }
 
 #[test]
-fn an_inventory_is_checked_shown_and_compared() {
-    let six = file("n.csv", SIX);
-    let (code, words, _) = run(&["inventory", "check", str(&six)]);
-    assert!(code == 0 && words.contains("good, 6 nodes, 0 draining"), "{words}");
-    let (code, _, words) = run(&["inventory", "check", str(&six), "--cells", "2"]);
+fn inventory_check_show_and_diff_print_problems_endpoints_and_changes() {
+    let six = scratch_file("n.csv", SIX);
+    let (code, stdout, _) = run(&["inventory", "check", path_text(&six)]);
+    assert!(code == 0 && stdout.contains("good, 6 nodes, 0 draining"), "{stdout}");
+    let (code, _, stderr) = run(&["inventory", "check", path_text(&six), "--cells", "2"]);
     assert!(
-        code == 1 && words.contains("n.csv:6: a2.cell: 2 is not below 2") && words.contains("b2.cell"),
-        "{words}"
+        code == 1 && stderr.contains("n.csv:6: a2.cell: 2 is not below 2") && stderr.contains("b2.cell"),
+        "{stderr}"
     );
     for (text, wanted) in [
         ("name,host,port,cell\n", "names no node"),
@@ -62,11 +62,11 @@
         ("name,host,port,cell\na,h,70000,0\n", "n.csv:2: a.port"),
         ("name,host,port,cell\na,h,1,-3\n", "n.csv:2: a.cell"),
     ] {
-        let (code, _, words) = run(&["inventory", "check", str(&file("n.csv", text))]);
-        assert!(code == 1 && words.contains(wanted), "{words}");
+        let (code, _, stderr) = run(&["inventory", "check", path_text(&scratch_file("n.csv", text))]);
+        assert!(code == 1 && stderr.contains(wanted), "{stderr}");
     }
-    let (_, words, _) = run(&["inventory", "show", str(&six), "--format", "json"]);
-    let object: serde_json::Value = serde_json::from_str(&words).expect("JSON");
+    let (_, stdout, _) = run(&["inventory", "show", path_text(&six), "--format", "json"]);
+    let object: serde_json::Value = serde_json::from_str(&stdout).expect("JSON");
     let first = &object["nodes"][0];
     assert_eq!((&first["name"], &first["address"], &first["cell"]), (&"a0".into(), &"h:1".into(), &0.into()));
     assert_eq!(
@@ -74,56 +74,60 @@
         (&"ready".into(), &1.0.into(), &"".into())
     );
     for format in ["csv", "yaml", "json"] {
-        let (_, words, _) = run(&["inventory", "show", str(&six), "--format", format]);
-        let again = file(&format!("again.{format}"), &words);
-        let (code, words, _) = run(&["inventory", "diff", str(&six), str(&again)]);
-        assert_eq!((code, words.as_str()), (0, "0 added, 0 gone, 0 drained, 0 readied, 0 changed\n"));
+        let (_, stdout, _) = run(&["inventory", "show", path_text(&six), "--format", format]);
+        let again = scratch_file(&format!("again.{format}"), &stdout);
+        let (code, stdout, _) = run(&["inventory", "diff", path_text(&six), path_text(&again)]);
+        assert_eq!((code, stdout.as_str()), (0, "0 added, 0 gone, 0 drained, 0 readied, 0 changed\n"));
     }
-    let (_, table, _) = run(&["inventory", "show", str(&six)]);
+    let (_, table, _) = run(&["inventory", "show", path_text(&six)]);
     assert!(table.starts_with("NAME  ADDRESS  CELL") && table.lines().count() == 7, "{table}");
-    let other = file("m.csv", &SIX.replace("a0,h,1,0,", "a0,h,1,0,draining").replace("b1,h,4", "c1,h,7"));
-    let (_, words, _) = run(&["inventory", "diff", str(&six), str(&other)]);
+    let other =
+        scratch_file("m.csv", &SIX.replace("a0,h,1,0,", "a0,h,1,0,draining").replace("b1,h,4", "c1,h,7"));
+    let (_, stdout, _) = run(&["inventory", "diff", path_text(&six), path_text(&other)]);
     for wanted in
         ["drained  a0", "gone     b1  h:4, cell 1", "added    c1  h:7, cell 1", "1 added, 1 gone, 1 drained"]
     {
-        assert!(words.contains(wanted), "{words}");
+        assert!(stdout.contains(wanted), "{stdout}");
     }
 }
 
 #[test]
-fn a_plan_says_what_would_be_done_and_what_would_be_held() {
-    let six = file("n.csv", SIX);
-    let same = |text: &str| file("next.csv", text);
+fn inventory_plan_prints_changes_and_what_would_be_held_back() {
+    let six = scratch_file("n.csv", SIX);
+    let next_file = |text: &str| scratch_file("next.csv", text);
     let plan = |next: &Path, more: &[&str]| {
-        run(&[&["inventory", "plan", str(next), "--current", str(&six), "--cells", "3"], more].concat())
+        run(&[&["inventory", "plan", path_text(next), "--current", path_text(&six), "--cells", "3"], more]
+            .concat())
     };
-    let (code, words, _) = plan(&same(&SIX.replace("a0,h,1,0,", "a0,h,1,0,draining")), &[]);
+    let (code, stdout, _) = plan(&next_file(&SIX.replace("a0,h,1,0,", "a0,h,1,0,draining")), &[]);
     assert!(
-        code == 0 && words.contains("taken at once") && words.contains("shard 0 (of each 3): 1 nodes"),
-        "{words}"
+        code == 0 && stdout.contains("taken at once") && stdout.contains("shard 0 (of each 3): 1 nodes"),
+        "{stdout}"
     );
-    let (code, words, _) = plan(&same(&SIX.replace("a2,h,5,2,\nb2,h,6,2,\n", "a2,h,5,2,\n")), &[]);
-    assert!(code == 0 && words.contains("nodes: 6 -> 5"), "{words}");
-    let short = same(&SIX.replace("a2,h,5,2,\nb2,h,6,2,\n", ""));
-    let (code, words, _) = plan(&short, &[]);
-    assert!(code == 1 && words.contains("held back: 2 of 6 nodes would be lost at once"), "{words}");
-    let (code, words, _) = plan(&short, &["--most-lost", "50"]);
-    assert!(code == 1 && words.contains("held back: shard 2 would be left without a node"), "{words}");
+    let (code, stdout, _) = plan(&next_file(&SIX.replace("a2,h,5,2,\nb2,h,6,2,\n", "a2,h,5,2,\n")), &[]);
+    assert!(code == 0 && stdout.contains("nodes: 6 -> 5"), "{stdout}");
+    let short = next_file(&SIX.replace("a2,h,5,2,\nb2,h,6,2,\n", ""));
+    let (code, stdout, _) = plan(&short, &[]);
+    assert!(code == 1 && stdout.contains("held back: 2 of 6 nodes would be lost at once"), "{stdout}");
+    let (code, stdout, _) = plan(&short, &["--most-lost", "50"]);
+    assert!(code == 1 && stdout.contains("held back: shard 2 would be left without a node"), "{stdout}");
 }
 
 #[test]
-fn a_hosts_variables_are_explained_with_their_places() {
-    let path =
-        file("n.yaml", "all:\n  vars: {zone: far}\n  hosts:\n    s0: {port: 1, cell: 0, zone: near}\n");
-    let (code, words, _) = run(&["inventory", "explain", str(&path), "s0"]);
+fn inventory_explain_prints_each_variable_with_file_line_and_layer() {
+    let path = scratch_file(
+        "n.yaml",
+        "all:\n  vars: {zone: far}\n  hosts:\n    s0: {port: 1, cell: 0, zone: near}\n",
+    );
+    let (code, stdout, _) = run(&["inventory", "explain", path_text(&path), "s0"]);
     assert_eq!(code, 0);
-    assert!(words.contains("zone = near\n") && words.contains("n.yaml:4 (host) stands over\n"), "{words}");
-    assert!(words.contains("n.yaml:2 (group all): far\n"), "{words}");
-    assert_eq!(run(&["inventory", "explain", str(&path), "s1"]).0, 1);
+    assert!(stdout.contains("zone = near\n") && stdout.contains("n.yaml:4 (host) stands over\n"), "{stdout}");
+    assert!(stdout.contains("n.yaml:2 (group all): far\n"), "{stdout}");
+    assert_eq!(run(&["inventory", "explain", path_text(&path), "s1"]).0, 1);
 }
 
 #[test]
-fn check_tells_every_problem_of_every_file_at_once() {
+fn check_prints_every_problem_of_every_file_at_once() {
     let dir = scratch("check");
     let config = Setup::new(&[])
         .config()
@@ -136,7 +140,8 @@
     fs::write(dir.join("bad.yaml"), operator).expect("written");
     fs::write(dir.join("good.yaml"), "inventory: {file: n.csv}\n").expect("written");
     let path = |name: &str| dir.join(name).to_str().expect("text").to_owned();
-    let (code, _, words) = run(&["check", "--config", &path("config.json"), "--operator", &path("bad.yaml")]);
+    let (code, _, stderr) =
+        run(&["check", "--config", &path("config.json"), "--operator", &path("bad.yaml")]);
     assert_eq!(code, 1);
     for wanted in [
         "config.json: field listen: is no address and port",
@@ -150,29 +155,32 @@
         "bad.yaml:8: inventory.files[0].fields.adress: is no field; there are name, address",
         "bad.yaml:9: inventory.files[0].delimiter: must be one character",
     ] {
-        assert!(words.contains(wanted), "{wanted}:\n{words}");
+        assert!(stderr.contains(wanted), "{wanted}:\n{stderr}");
     }
-    let (code, _, words) = run(&["check", "--operator", &path("good.yaml")]);
-    assert!(code == 1 && words.contains("n.csv:2: a.port") && words.contains("n.csv:3: b.cell"), "{words}");
+    let (code, _, stderr) = run(&["check", "--operator", &path("good.yaml")]);
+    assert!(
+        code == 1 && stderr.contains("n.csv:2: a.port") && stderr.contains("n.csv:3: b.cell"),
+        "{stderr}"
+    );
     fs::write(dir.join("n.csv"), SIX).expect("written");
-    let (code, words, _) = run(&["check", "--operator", &path("good.yaml")]);
-    assert!(code == 0 && words.contains("n.csv: good"), "{words}");
+    let (code, stdout, _) = run(&["check", "--operator", &path("good.yaml")]);
+    assert!(code == 0 && stdout.contains("n.csv: good"), "{stdout}");
     // A field that is unknown stops the start.
     let out = Command::new(binary())
         .env("RELAY_CONFIG", path("config.json"))
         .env("SAILMUX_OPERATOR", path("bad.yaml"))
         .output()
         .expect("it runs");
-    let words = String::from_utf8_lossy(&out.stderr).into_owned();
-    assert!(out.status.code() == Some(1) && words.contains("bad.yaml:3: log.colour"), "{words}");
+    let stderr = String::from_utf8_lossy(&out.stderr).into_owned();
+    assert!(out.status.code() == Some(1) && stderr.contains("bad.yaml:3: log.colour"), "{stderr}");
 }
 
 #[test]
-fn the_schema_knows_the_fields_that_the_reader_knows() {
+fn schema_has_exactly_the_fields_of_the_reader() {
     use sailmux::config::operator::*;
-    let (code, words, _) = run(&["config", "schema"]);
+    let (code, stdout, _) = run(&["config", "schema"]);
     assert_eq!(code, 0);
-    let schema: serde_json::Value = serde_json::from_str(&words).expect("JSON");
+    let schema: serde_json::Value = serde_json::from_str(&stdout).expect("JSON");
     let of = |name: &str| match name {
         "OperatorFile" => &schema,
         name => &schema["$defs"][name],
@@ -201,14 +209,17 @@
 }
 
 #[test]
-fn the_demo_asks_a_query_and_shows_its_answer() {
-    let (code, words, _) = run(&["demo", "--once"]);
-    assert!(code == 0 && words.contains(r#""total":true"#) && words.contains("answers_whole 1"), "{words}");
+fn demo_prints_a_complete_answer_and_stays_on_loopback() {
+    let (code, stdout, _) = run(&["demo", "--once"]);
+    assert!(
+        code == 0 && stdout.contains(r#""total":true"#) && stdout.contains("answers_whole 1"),
+        "{stdout}"
+    );
     assert_eq!(run(&["demo", "--once", "--listen", "0.0.0.0:0"]).0, 1);
 }
 
 #[test]
-fn completions_and_a_man_page_are_printed() {
+fn completions_and_man_page_name_the_commands() {
     for shell in ["bash", "zsh", "fish"] {
         assert!(run(&["completions", shell]).1.contains("inventory"), "{shell}");
     }
@@ -217,13 +228,13 @@
 }
 
 #[test]
-fn the_log_can_be_json_and_its_level_set() {
+fn log_events_are_json_if_so_configured() {
     let dir = scratch("log");
     fs::write(dir.join("n.csv"), SIX).expect("written");
     let operator = format!("log: {{format: json}}\ninventory: {{file: {}}}\n", dir.join("n.csv").display());
-    let mut mixer = Setup { operator: Some(operator), ..Setup::new(&[]) };
-    mixer.max_attempts = 2;
-    let mut child = common::process::spawn(&mixer.config(), mixer.operator.as_deref());
+    let mut setup = Setup { operator: Some(operator), ..Setup::new(&[]) };
+    setup.max_attempts = 2;
+    let mut child = common::process::spawn(&setup.config(), setup.operator.as_deref());
     use std::io::{BufRead, BufReader};
     let lines = BufReader::new(child.stderr.take().expect("piped")).lines().map_while(Result::ok);
     let taken = lines.take(8).find(|l| l.contains("list taken")).expect("an event");
