--- a/src/gossip/mod.rs
+++ b/src/gossip/mod.rs
@@ -1,4 +1,4 @@
-//! Membership of the aggregators' own fleet, after SWIM and Lifeguard (see `docs/design/membership.md`). Sans-IO: times
+//! Membership of the aggregators' own fleet, after SWIM and Lifeguard (see `docs/design/gossip.md`). Sans-IO: times
 //! are arguments, randomness comes from a seed, messages are values.
 //!
 //! - [`MemberTable`] keeps what is known of each member: alive, suspect, dead or left, ordered by incarnation. It
