--- a/examples/ledger_cost.rs
+++ b/examples/ledger_cost.rs
@@ -64,7 +64,7 @@
     );
     drop(store);
     let start = Instant::now();
-    read_all(&RealDisk::look(&dir), &calendar(), |_, _, _| {})?;
+    read_all(&RealDisk::open_read_only(&dir), &calendar(), |_, _, _| {})?;
     println!("all records read from the first: {:.0} ms", start.elapsed().as_secs_f64() * 1e3);
     let (mut store, _) = Store::open(RealDisk::own(&dir)?, calendar(), Options::default(), "n1", AT)?;
     let start = Instant::now();
--- a/src/cli/ledger/mod.rs
+++ b/src/cli/ledger/mod.rs
@@ -72,7 +72,7 @@
         if !self.dir.is_dir() {
             return Err(Failure::message(format!("{}: is no directory", self.dir.display())));
         }
-        Ok(read_all(&RealDisk::look(&self.dir), &calendar, each)?)
+        Ok(read_all(&RealDisk::open_read_only(&self.dir), &calendar, each)?)
     }
 }
 
--- a/src/cli/ledger/reconcile.rs
+++ b/src/cli/ledger/reconcile.rs
@@ -53,8 +53,8 @@
         "totals": lines(&reconciled.totals),
         "gaps": gaps,
         "overlaps": reconciled.overlaps,
-        "clocks": reconciled.clocks,
-        "met_at_two_mixers": reconciled.twice_count,
+        "clocks": reconciled.clock_differences,
+        "met_at_two_mixers": reconciled.duplicate_count,
     });
     format!("{object:#}\n")
 }
@@ -71,14 +71,14 @@
 
 fn plain_text(reconciled: &Reconciled) -> String {
     let mut text = totals_table(&reconciled.totals);
-    for finding in reconciled.overlaps.iter().chain(&reconciled.clocks) {
+    for finding in reconciled.overlaps.iter().chain(&reconciled.clock_differences) {
         text.push_str(&format!("{finding}\n"));
     }
     for (aggregator, gap) in &reconciled.gaps {
         text.push_str(&format!("{aggregator}: {}\n", Record::Gap(gap.clone())));
     }
-    if reconciled.twice_count > 0 {
-        let count = reconciled.twice_count;
+    if reconciled.duplicate_count > 0 {
+        let count = reconciled.duplicate_count;
         text.push_str(&format!("{count} queries were met at two mixers; by rule both count\n"));
     }
     text.push_str(match reconciled.is_complete() {
--- a/src/cli/ledger/show.rs
+++ b/src/cli/ledger/show.rs
@@ -78,8 +78,8 @@
     match record {
         Record::Entry(entry) => Some(entry.at),
         Record::Correction(correction) => Some(correction.at),
-        Record::Close { at, .. } | Record::Open { at, .. } | Record::Done { at, .. } => Some(*at),
-        Record::End { .. } | Record::Gap(_) | Record::Intent { .. } => None,
+        Record::Close { at, .. } | Record::Open { at, .. } | Record::ExportFinished { at, .. } => Some(*at),
+        Record::End { .. } | Record::Gap(_) | Record::ExportIntent { .. } => None,
     }
 }
 
--- a/src/cli/ledger/table.rs
+++ b/src/cli/ledger/table.rs
@@ -23,7 +23,7 @@
         line.share.word().to_owned(),
         sums.queries.to_string(),
         sums.billed.to_string(),
-        sums.refused.to_string(),
+        sums.rejected.to_string(),
         sums.failed.to_string(),
         sums.parts.to_string(),
         sums.attempts.to_string(),
--- a/src/cli/ledger/verify.rs
+++ b/src/cli/ledger/verify.rs
@@ -4,7 +4,7 @@
 use super::super::print;
 use super::LedgerLocation;
 use crate::inventory::hex;
-use crate::ledger::{Begun, Book, Record};
+use crate::ledger::{Book, ExportRecord, Record};
 use sha2::{Digest, Sha256};
 use std::fs;
 use std::io::ErrorKind;
@@ -47,7 +47,7 @@
 
 /// Why the file of an export is not what the journal says. A missing file is no problem: those who bill may have moved
 /// it.
-fn export_problem(directory: &Path, export: &Begun) -> Option<String> {
+fn export_problem(directory: &Path, export: &ExportRecord) -> Option<String> {
     let hash = export.hash.as_ref()?;
     let path = directory.join(export.file_name());
     match fs::read(&path) {
--- a/src/ledger/accounts.rs
+++ b/src/ledger/accounts.rs
@@ -74,11 +74,11 @@
     /// Queries that are billed.
     pub billed: u64,
     /// Queries that were rejected.
-    pub refused: u64,
+    pub rejected: u64,
     /// Queries that failed, expired or lost their client.
     pub failed: u64,
     /// Parts requested.
-    pub asked: u64,
+    pub requested_parts: u64,
     /// Parts billed: served in answers, each once.
     pub parts: u64,
     /// Attempts sent.
@@ -99,10 +99,10 @@
                 self.parts += u64::from(entry.served);
                 self.work += entry.work;
             }
-            Outcome::Refused => self.refused += 1,
+            Outcome::Refused => self.rejected += 1,
             _ => self.failed += 1,
         }
-        self.asked += u64::from(entry.asked);
+        self.requested_parts += u64::from(entry.asked);
         self.attempts += u64::from(entry.attempts);
         self.late += u64::from(late);
     }
@@ -111,9 +111,9 @@
     pub(super) fn add(&mut self, other: &Sums) {
         self.queries += other.queries;
         self.billed += other.billed;
-        self.refused += other.refused;
+        self.rejected += other.rejected;
         self.failed += other.failed;
-        self.asked += other.asked;
+        self.requested_parts += other.requested_parts;
         self.parts += other.parts;
         self.attempts += other.attempts;
         self.work += other.work;
--- a/src/ledger/book.rs
+++ b/src/ledger/book.rs
@@ -18,7 +18,7 @@
 
 /// An export whose intent is in the journal.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Begun {
+pub struct ExportRecord {
     /// The export's name, which is unique.
     pub name: String,
     /// The period that it covers.
@@ -31,7 +31,7 @@
     pub hash: Option<String>,
 }
 
-impl Begun {
+impl ExportRecord {
     /// The export's file and its manifest are in place.
     pub fn is_finished(&self) -> bool {
         self.hash.is_some()
@@ -59,7 +59,7 @@
     pub(super) gaps: Vec<(u64, Gap)>,
     /// Closed periods, and when each was closed.
     pub(super) closed_periods: BTreeMap<Period, UnixMs>,
-    pub(super) exports: Vec<Begun>,
+    pub(super) exports: Vec<ExportRecord>,
     /// The latest time of any entry.
     pub(super) latest_entry: UnixMs,
     /// The last run ended by a graceful shutdown, or there was none.
@@ -106,14 +106,14 @@
                     self.closed_periods.entry(period).or_insert(*at);
                 }
             }
-            Record::Intent { name, period, format, after, upto } => self.exports.push(Begun {
+            Record::ExportIntent { name, period, format, after, up_to } => self.exports.push(ExportRecord {
                 name: name.clone(),
                 period: period.clone(),
                 format: format.clone(),
-                range: (*after, *upto),
+                range: (*after, *up_to),
                 hash: None,
             }),
-            Record::Done { name, hash, .. } => {
+            Record::ExportFinished { name, hash, .. } => {
                 if let Some(export) = self.exports.iter_mut().find(|export| export.name == *name) {
                     export.hash = Some(hash.clone());
                 }
@@ -163,7 +163,7 @@
     }
 
     /// Exports in the order in which they were begun, finished or not.
-    pub fn exports(&self) -> &[Begun] {
+    pub fn exports(&self) -> &[ExportRecord] {
         &self.exports
     }
 
@@ -198,7 +198,7 @@
 
     /// The next export of a period: the records since its last export up to the newest one. `None` if nothing in the
     /// period changed since.
-    pub fn next_export(&self, period: Period, format: &str) -> Option<Begun> {
+    pub fn next_export(&self, period: Period, format: &str) -> Option<ExportRecord> {
         let period_name = period.to_string();
         let earlier = || self.exports.iter().filter(|export| export.period == period_name);
         let after = earlier().map(|export| export.range.1).max().unwrap_or(0);
@@ -208,7 +208,7 @@
         let aggregator = file_name_part(&self.aggregator);
         let epoch = self.epoch;
         let number = earlier().count() + 1;
-        Some(Begun {
+        Some(ExportRecord {
             name: format!("{aggregator}-e{epoch}-{period_name}-{number:04}"),
             period: period_name,
             format: format.to_owned(),
--- a/src/ledger/disk.rs
+++ b/src/ledger/disk.rs
@@ -93,7 +93,7 @@
     }
 
     /// Opens a directory for reading; another process may own it. The caller must not write.
-    pub fn look(directory: &Path) -> Self {
+    pub fn open_read_only(directory: &Path) -> Self {
         RealDisk::new(directory, None)
     }
 
--- a/src/ledger/export.rs
+++ b/src/ledger/export.rs
@@ -2,7 +2,7 @@
 //! turns it into bytes.
 
 use super::accounts::{Account, Line, Sums, Totals};
-use super::book::{Begun, Book};
+use super::book::{Book, ExportRecord};
 use super::record::{Correction, Entry, Record};
 use serde_json::{Value, json};
 
@@ -45,7 +45,7 @@
 
 impl Export {
     /// An export without content.
-    pub(super) fn new(begun: &Begun) -> Self {
+    pub(super) fn new(begun: &ExportRecord) -> Self {
         Export {
             name: begun.name.clone(),
             period: begun.period.clone(),
@@ -125,9 +125,9 @@
         "share": line.share.word(),
         "queries": sums.queries,
         "billed": sums.billed,
-        "refused": sums.refused,
+        "refused": sums.rejected,
         "failed": sums.failed,
-        "asked": sums.asked,
+        "asked": sums.requested_parts,
         "parts": sums.parts,
         "attempts": sums.attempts,
         "work_milliunits": sums.work,
--- a/src/ledger/journal/mod.rs
+++ b/src/ledger/journal/mod.rs
@@ -28,13 +28,13 @@
     /// Records with their sequence numbers and the offsets behind their frames.
     pub records: Vec<(u64, Record, usize)>,
     /// Length of the readable part, in bytes.
-    pub good: usize,
+    pub readable_bytes: usize,
     /// Length of the torn tail behind it, in bytes.
-    pub torn: usize,
+    pub torn_bytes: usize,
 }
 
 /// The header of a segment that begins with that sequence number.
-pub fn head(first_sequence: u64) -> [u8; HEADER_BYTES] {
+pub fn segment_header(first_sequence: u64) -> [u8; HEADER_BYTES] {
     let mut header = [0; HEADER_BYTES];
     header[..8].copy_from_slice(&MAGIC);
     header[8..].copy_from_slice(&first_sequence.to_le_bytes());
@@ -63,7 +63,7 @@
         // The header of the last segment may never have been synced; then nothing behind it was.
         let is_unsynced = bytes.len() < HEADER_BYTES || bytes.iter().all(|byte| *byte == 0);
         if is_last && is_unsynced {
-            return Ok(Scanned { torn: bytes.len(), ..Scanned::default() });
+            return Ok(Scanned { torn_bytes: bytes.len(), ..Scanned::default() });
         }
         return Err(Damage { offset: 0, kind });
     }
@@ -73,7 +73,7 @@
     while offset < bytes.len() {
         let Some(frame) = Frame::read(&bytes[offset..]) else {
             check_torn_tail(bytes, offset, sequence, is_last)?;
-            scanned.torn = bytes.len() - offset;
+            scanned.torn_bytes = bytes.len() - offset;
             break;
         };
         let record = expected_record(&frame, sequence).map_err(|kind| Damage { offset, kind })?;
@@ -81,7 +81,7 @@
         scanned.records.push((sequence, record, offset));
         sequence += 1;
     }
-    scanned.good = offset;
+    scanned.readable_bytes = offset;
     Ok(scanned)
 }
 
@@ -89,7 +89,7 @@
     if bytes.len() < HEADER_BYTES {
         return Some(DamageKind::ShortHeader);
     }
-    if bytes[..HEADER_BYTES] != head(first_sequence) {
+    if bytes[..HEADER_BYTES] != segment_header(first_sequence) {
         return Some(DamageKind::UnknownHeader);
     }
     None
--- a/src/ledger/journal/record.rs
+++ b/src/ledger/journal/record.rs
@@ -42,15 +42,15 @@
             put_text(into, period);
             put_signed(into, *at);
         }
-        Record::Intent { name, period, format, after, upto } => {
+        Record::ExportIntent { name, period, format, after, up_to } => {
             into.push(kind::INTENT);
             put_text(into, name);
             put_text(into, period);
             put_text(into, format);
             put_number(into, *after);
-            put_number(into, *upto);
+            put_number(into, *up_to);
         }
-        Record::Done { name, hash, at } => {
+        Record::ExportFinished { name, hash, at } => {
             into.push(kind::DONE);
             put_text(into, name);
             put_text(into, hash);
@@ -105,14 +105,16 @@
         }),
         kind::CORRECTION => Record::Correction(decode_correction(&mut fields)?),
         kind::CLOSE => Record::Close { period: fields.text()?, at: fields.signed()? },
-        kind::INTENT => Record::Intent {
+        kind::INTENT => Record::ExportIntent {
             name: fields.text()?,
             period: fields.text()?,
             format: fields.text()?,
             after: fields.number()?,
-            upto: fields.number()?,
+            up_to: fields.number()?,
         },
-        kind::DONE => Record::Done { name: fields.text()?, hash: fields.text()?, at: fields.signed()? },
+        kind::DONE => {
+            Record::ExportFinished { name: fields.text()?, hash: fields.text()?, at: fields.signed()? }
+        }
         kind::END => Record::End { at: fields.signed()? },
         _ => return None,
     };
--- a/src/ledger/reconcile.rs
+++ b/src/ledger/reconcile.rs
@@ -21,13 +21,13 @@
     pub entries: u64,
     /// Queries that two aggregators recorded. A client's retry is a new query with an id of its own, so one client
     /// request reached both; by rule both count, since both did the work.
-    pub twice: Vec<String>,
+    pub duplicates: Vec<String>,
     /// Number of such queries, including those that are not listed.
-    pub twice_count: usize,
+    pub duplicate_count: usize,
     /// Gaps, each with the aggregator that recorded it.
     pub gaps: Vec<(String, Gap)>,
     /// Descriptions of clocks that disagree.
-    pub clocks: Vec<String>,
+    pub clock_differences: Vec<String>,
     /// Descriptions of ledgers of the same aggregator, of which it is unknown whether they hold the same queries.
     pub overlaps: Vec<String>,
 }
@@ -125,9 +125,9 @@
         if other.ledger == index {
             return;
         }
-        self.result.twice_count += 1;
-        if self.result.twice.len() < MAX_LISTED {
-            self.result.twice.push(entry.query.clone());
+        self.result.duplicate_count += 1;
+        if self.result.duplicates.len() < MAX_LISTED {
+            self.result.duplicates.push(entry.query.clone());
         }
         let apart = (other.at - entry.at).abs();
         if apart > CLOCK_TOLERANCE_MS {
@@ -139,8 +139,8 @@
     }
 
     fn report_clock(&mut self, finding: String) {
-        if self.result.clocks.len() < MAX_LISTED {
-            self.result.clocks.push(finding);
+        if self.result.clock_differences.len() < MAX_LISTED {
+            self.result.clock_differences.push(finding);
         }
     }
 }
--- a/src/ledger/record.rs
+++ b/src/ledger/record.rs
@@ -180,7 +180,7 @@
         at: UnixMs,
     },
     /// An export is about to be written.
-    Intent {
+    ExportIntent {
         /// The export's name.
         name: String,
         /// The period that it covers.
@@ -190,10 +190,10 @@
         /// It covers the records after this sequence number,
         after: u64,
         /// up to and including this one.
-        upto: u64,
+        up_to: u64,
     },
     /// An export and its manifest are in place.
-    Done {
+    ExportFinished {
         /// The export's name.
         name: String,
         /// SHA-256 of its bytes, in hex.
@@ -214,10 +214,10 @@
             }
             Record::Correction(correction) => write_correction(f, correction),
             Record::Close { period, .. } => write!(f, "close    {period}"),
-            Record::Intent { name, after, upto, .. } => {
-                write!(f, "intent   {name}, records {} to {upto}", after + 1)
+            Record::ExportIntent { name, after, up_to, .. } => {
+                write!(f, "intent   {name}, records {} to {up_to}", after + 1)
             }
-            Record::Done { name, hash, .. } => write!(f, "exported {name}, {hash}"),
+            Record::ExportFinished { name, hash, .. } => write!(f, "exported {name}, {hash}"),
         }
     }
 }
--- a/src/ledger/store/exports.rs
+++ b/src/ledger/store/exports.rs
@@ -3,7 +3,7 @@
 //! can take an export's name as an idempotency key.
 
 use super::super::UnixMs;
-use super::super::book::Begun;
+use super::super::book::ExportRecord;
 use super::super::disk::Disk;
 use super::super::error::LedgerError;
 use super::super::export::Export;
@@ -25,7 +25,7 @@
         period: Period,
         format: Format,
         now: UnixMs,
-    ) -> Result<Option<Begun>, LedgerError> {
+    ) -> Result<Option<ExportRecord>, LedgerError> {
         let interrupted = self.book.exports().iter().find(|export| !export.is_finished()).cloned();
         if let Some(interrupted) = interrupted {
             self.complete_export(&interrupted, now)?;
@@ -33,13 +33,13 @@
         let Some(begun) = self.book.next_export(period, format.word()) else {
             return Ok(None);
         };
-        let (after, upto) = begun.range;
-        let intent = Record::Intent {
+        let (after, up_to) = begun.range;
+        let intent = Record::ExportIntent {
             name: begun.name.clone(),
             period: begun.period.clone(),
             format: begun.format.clone(),
             after,
-            upto,
+            up_to,
         };
         self.append(&[intent])?;
         self.commit()?;
@@ -50,7 +50,8 @@
     /// Completes all exports that a crash interrupted and returns their number.
     pub(super) fn complete_interrupted_exports(&mut self, now: UnixMs) -> Result<usize, LedgerError> {
         let exports = self.book.exports().iter();
-        let interrupted: Vec<Begun> = exports.filter(|export| !export.is_finished()).cloned().collect();
+        let interrupted: Vec<ExportRecord> =
+            exports.filter(|export| !export.is_finished()).cloned().collect();
         for export in &interrupted {
             self.complete_export(export, now)?;
         }
@@ -58,7 +59,7 @@
     }
 
     /// Writes an export whose intent is in the journal: the file, its manifest, and the record that it is done.
-    fn complete_export(&mut self, begun: &Begun, now: UnixMs) -> Result<(), LedgerError> {
+    fn complete_export(&mut self, begun: &ExportRecord, now: UnixMs) -> Result<(), LedgerError> {
         let content = self.export_content(begun)?;
         let Some(format) = Format::named(&begun.format) else {
             return Err(LedgerError::UnknownFormat(begun.format.clone()));
@@ -68,16 +69,16 @@
         let manifest = content.manifest(&hash).to_json();
         self.place_file(&begun.file_name(), &bytes)?;
         self.place_file(&format!("{}.manifest.json", begun.name), manifest.as_bytes())?;
-        self.append(&[Record::Done { name: begun.name.clone(), hash, at: now }])?;
+        self.append(&[Record::ExportFinished { name: begun.name.clone(), hash, at: now }])?;
         self.commit()
     }
 
     /// The content of an export: the same at any time, since its records never change.
-    fn export_content(&self, begun: &Begun) -> Result<Export, LedgerError> {
+    fn export_content(&self, begun: &ExportRecord) -> Result<Export, LedgerError> {
         let mut content = Export::new(begun);
-        let (after, upto) = begun.range;
+        let (after, up_to) = begun.range;
         recovery::load(&self.disk, self.book.calendar(), Start::FirstRecord, |sequence, record, book| {
-            if sequence > after && sequence <= upto {
+            if sequence > after && sequence <= up_to {
                 content.add(sequence, record, book);
             }
         })?;
--- a/src/ledger/store/recovery.rs
+++ b/src/ledger/store/recovery.rs
@@ -29,7 +29,7 @@
 pub(super) struct LastSegment {
     pub name: String,
     /// Length of its readable part.
-    pub good_bytes: usize,
+    pub readable_bytes: usize,
     /// Length of the torn tail behind that.
     pub torn_bytes: usize,
 }
@@ -77,7 +77,11 @@
             }
         }
         if next.is_none() {
-            last_segment = Some(LastSegment { name, good_bytes: scanned.good, torn_bytes: scanned.torn });
+            last_segment = Some(LastSegment {
+                name,
+                readable_bytes: scanned.readable_bytes,
+                torn_bytes: scanned.torn_bytes,
+            });
         }
     }
     Ok(Loaded { book, last_segment, records })
@@ -130,7 +134,7 @@
     match next {
         Some(next) if next != expected => {
             let kind = DamageKind::MissingAfter { first: expected, last: next - 1 };
-            Some(Damage { offset: scanned.good, kind })
+            Some(Damage { offset: scanned.readable_bytes, kind })
         }
         _ => None,
     }
--- a/src/ledger/store/segments.rs
+++ b/src/ledger/store/segments.rs
@@ -26,15 +26,16 @@
 impl<D: Disk> Store<D> {
     /// Goes on in the last segment of an earlier run, without its torn tail.
     pub(super) fn adopt_segment(&mut self, last: LastSegment) -> Result<(), LedgerError> {
-        if last.good_bytes < journal::HEADER_BYTES {
+        if last.readable_bytes < journal::HEADER_BYTES {
             // Not even its header was durable: the next append begins it again.
             return Ok(self.disk.remove(&last.name)?);
         }
         if last.torn_bytes > 0 {
-            self.disk.truncate(&last.name, last.good_bytes as u64)?;
+            self.disk.truncate(&last.name, last.readable_bytes as u64)?;
             self.disk.sync(&last.name)?;
         }
-        self.segment = ActiveSegment { name: last.name, length: last.good_bytes, synced: last.good_bytes };
+        self.segment =
+            ActiveSegment { name: last.name, length: last.readable_bytes, synced: last.readable_bytes };
         Ok(())
     }
 
@@ -104,7 +105,7 @@
         let first_sequence = self.book.sequence + 1;
         let name = file_names::segment(first_sequence);
         // A crash or a failed write may have left a file of that name, with no synced record in it.
-        self.write_file(&name, &journal::head(first_sequence))?;
+        self.write_file(&name, &journal::segment_header(first_sequence))?;
         self.disk.sync_names()?;
         self.segment = ActiveSegment { name, length: journal::HEADER_BYTES, synced: journal::HEADER_BYTES };
         Ok(())
--- a/src/ledger/store/snapshot.rs
+++ b/src/ledger/store/snapshot.rs
@@ -2,7 +2,7 @@
 //! an older one, or the records themselves, take its place.
 
 use super::super::accounts::{Account, Line, Sums};
-use super::super::book::{Begun, Book};
+use super::super::book::{Book, ExportRecord};
 use super::super::journal::{self, FieldReader, put_bytes, put_number, put_signed, put_text, read_frame};
 use super::super::period::Calendar;
 use super::super::record::Record;
@@ -114,9 +114,9 @@
 fn encode_sums(into: &mut Vec<u8>, sums: &Sums) {
     put_number(into, sums.queries);
     put_number(into, sums.billed);
-    put_number(into, sums.refused);
+    put_number(into, sums.rejected);
     put_number(into, sums.failed);
-    put_number(into, sums.asked);
+    put_number(into, sums.requested_parts);
     put_number(into, sums.parts);
     put_number(into, sums.attempts);
     put_number(into, sums.work);
@@ -128,9 +128,9 @@
     Some(Sums {
         queries: fields.number()?,
         billed: fields.number()?,
-        refused: fields.number()?,
+        rejected: fields.number()?,
         failed: fields.number()?,
-        asked: fields.number()?,
+        requested_parts: fields.number()?,
         parts: fields.number()?,
         attempts: fields.number()?,
         work: fields.number()?,
@@ -237,7 +237,7 @@
         let format = fields.text()?;
         let hash = Some(fields.text()?).filter(|hash| !hash.is_empty());
         let range = (fields.number()?, fields.number()?);
-        book.exports.push(Begun { name, period, format, range, hash });
+        book.exports.push(ExportRecord { name, period, format, range, hash });
     }
     Some(())
 }
--- a/src/ledger/writer/mod.rs
+++ b/src/ledger/writer/mod.rs
@@ -11,7 +11,7 @@
 pub use queue::{Handle, Intake, NumberedRecord, queue};
 
 use super::UnixMs;
-use super::book::Begun;
+use super::book::ExportRecord;
 use super::disk::Disk;
 use super::error::LedgerError;
 use super::export_format::Format;
@@ -210,7 +210,7 @@
         }
     }
 
-    fn close_and_export(&mut self, period: Period, now: UnixMs) -> Result<Option<Begun>, LedgerError> {
+    fn close_and_export(&mut self, period: Period, now: UnixMs) -> Result<Option<ExportRecord>, LedgerError> {
         self.store.close(period, now)?;
         (self.emit)(LedgerEvent::PeriodClosed(period.to_string()));
         match self.export_format {
--- a/tests/ledger.rs
+++ b/tests/ledger.rs
@@ -424,13 +424,17 @@
         Ledger { place: aggregator.to_owned(), book, records }
     };
     let found = reconcile(&[make("n1", 0, 50, 0), make("n2", 50, 80, 0)]);
-    assert!(found.is_complete() && found.entries == 80 && found.twice_count == 0);
+    assert!(found.is_complete() && found.entries == 80 && found.duplicate_count == 0);
     assert_eq!(found.totals.values().map(|s| s.queries).sum::<u64>(), 80);
     let found = reconcile(&[make("n1", 0, 50, 0), make("n2", 40, 80, 60_000), make("n1", 0, 10, 0)]);
     assert!(!found.is_complete());
     assert_eq!(found.overlaps.len(), 1);
-    assert_eq!(found.twice_count, 20, "ten at n2, ten at the other n1");
-    assert!(found.clocks.iter().any(|c| c.contains("60000 ms apart")), "{:?}", found.clocks);
+    assert_eq!(found.duplicate_count, 20, "ten at n2, ten at the other n1");
+    assert!(
+        found.clock_differences.iter().any(|c| c.contains("60000 ms apart")),
+        "{:?}",
+        found.clock_differences
+    );
 }
 
 #[test]
--- a/tests/ledger_process.rs
+++ b/tests/ledger_process.rs
@@ -51,7 +51,7 @@
 fn entries(dir: &Path) -> (Vec<Entry>, usize) {
     let mut all = Vec::new();
     let calendar = Calendar::new("Asia/Taipei").expect("a zone");
-    let book = read_all(&RealDisk::look(dir), &calendar, |_, record, _| {
+    let book = read_all(&RealDisk::open_read_only(dir), &calendar, |_, record, _| {
         if let Record::Entry(e) = record {
             all.push(e.clone());
         }
--- a/tests/stored_formats.rs
+++ b/tests/stored_formats.rs
@@ -9,8 +9,9 @@
     Override, OverrideSubject, Overrides, ProcessStatus, SharedDirectory, Sibling, StoredOverrides, snapshot,
 };
 use sailmux::ledger::{
-    Account, Begun, Calendar, Correction, Entry, Format, Gap, Line, Options, Outcome, Period, PeriodState,
-    RealDisk, Record, Request, Share, Store, Sums, Totals, journal, read_all, reply_name, request_name,
+    Account, Calendar, Correction, Entry, ExportRecord, Format, Gap, Line, Options, Outcome, Period,
+    PeriodState, RealDisk, Record, Request, Share, Store, Sums, Totals, journal, read_all, reply_name,
+    request_name,
 };
 use serde_json::{Value, json};
 use std::fs;
@@ -221,14 +222,14 @@
 
 fn exported(number: usize) -> [Record; 2] {
     let (name, format, hash, (after, upto), at) = EXPORTS[number];
-    let intent = Record::Intent {
+    let intent = Record::ExportIntent {
         name: name.to_owned(),
         period: "2026-11".to_owned(),
         format: format.to_owned(),
         after,
-        upto,
+        up_to: upto,
     };
-    [intent, Record::Done { name: name.to_owned(), hash: hash.to_owned(), at: NOVEMBER + at }]
+    [intent, Record::ExportFinished { name: name.to_owned(), hash: hash.to_owned(), at: NOVEMBER + at }]
 }
 
 /// Records 1 to 33: the first segment.
@@ -264,12 +265,12 @@
     let stored = bytes(&format!("ledger/{name}"));
     assert_eq!(stored[..8], *b"SMXLEDG\x01");
     let scanned = journal::scan(&stored, first, true).expect("undamaged");
-    assert_eq!((scanned.good, scanned.torn), (stored.len(), 0));
+    assert_eq!((scanned.readable_bytes, scanned.torn_bytes), (stored.len(), 0));
     let records: Vec<Record> = scanned.records.iter().map(|(_, r, _)| r.clone()).collect();
     assert_eq!(records, expected);
     assert!(scanned.records.iter().map(|(seq, _, _)| *seq).eq((first..).take(expected.len())));
     // The length of the synced part stands in bytes 16 to 20 of each frame; `scan` does not return it.
-    let mut encoded = journal::head(first).to_vec();
+    let mut encoded = journal::segment_header(first).to_vec();
     for (i, record) in expected.iter().enumerate() {
         let at = encoded.len() + 16;
         let synced = u32::from_le_bytes(stored[at..at + 4].try_into().expect("four bytes"));
@@ -299,13 +300,13 @@
     let acme = || Account::Tenant("acme".to_owned());
     let zoe = Account::Tenant("zo\u{eb}, \"b\"".to_owned());
     let unknown = |name: &str| Account::Unknown(name.to_owned());
-    // Queries, billed, refused, failed, asked, parts, attempts, work, late.
-    let sums = |[queries, billed, refused, failed, asked, parts, attempts, work, late]: [u64; 9]| Sums {
+    // Queries, billed, rejected, failed, requested parts, parts, attempts, work, late.
+    let sums = |[queries, billed, rejected, failed, asked, parts, attempts, work, late]: [u64; 9]| Sums {
         queries,
         billed,
-        refused,
+        rejected,
         failed,
-        asked,
+        requested_parts: asked,
         parts,
         attempts,
         work,
@@ -323,9 +324,9 @@
     .collect()
 }
 
-fn begun(number: usize) -> Begun {
+fn begun(number: usize) -> ExportRecord {
     let (name, format, hash, range, _) = EXPORTS[number];
-    Begun {
+    ExportRecord {
         name: name.to_owned(),
         period: "2026-11".to_owned(),
         format: format.to_owned(),
@@ -338,9 +339,10 @@
 fn ledger_without_its_first_segment_is_read_from_the_stored_snapshot() {
     let dir = copied("ledger", &[SNAPSHOT, SECOND]);
     let mut read = Vec::new();
-    let book =
-        read_all(&RealDisk::look(&dir), &calendar(), |seq, record, _| read.push((seq, record.clone())))
-            .expect("undamaged");
+    let book = read_all(&RealDisk::open_read_only(&dir), &calendar(), |seq, record, _| {
+        read.push((seq, record.clone()))
+    })
+    .expect("undamaged");
     // Only the records behind the snapshot are read one by one.
     assert_eq!(read, (34..).zip(second_segment()).collect::<Vec<_>>());
     assert_eq!(book.position(), (36, "n0", 3));
@@ -355,7 +357,7 @@
     assert_eq!(book.state(period("2026-12")), PeriodState::Open);
     // The last change of each period: none in November since its last export, one in December.
     assert_eq!(book.next_export(november, "csv"), None);
-    let next = Begun {
+    let next = ExportRecord {
         name: "n0-e3-2026-12-0001".to_owned(),
         period: "2026-12".to_owned(),
         format: "csv".to_owned(),
@@ -384,7 +386,7 @@
 fn snapshot_made_from_the_stored_snapshot_has_the_stored_bytes() {
     use std::os::unix::fs::MetadataExt;
     let dir = copied("ledger", &[SNAPSHOT]);
-    fs::write(dir.join(SECOND), journal::head(34)).expect("written");
+    fs::write(dir.join(SECOND), journal::segment_header(34)).expect("written");
     let path = dir.join(SNAPSHOT);
     // Held open, so that its inode number is not given to the new file.
     let old = fs::File::open(&path).expect("there");
@@ -530,7 +532,7 @@
     let scanned = journal::scan(&segment, 1, true).expect("undamaged");
     for (name, format, ..) in EXPORTS {
         // The journal ends behind the record that the export was begun; opening the ledger completes it.
-        let begun = |r: &Record| matches!(r, Record::Intent { name: n, .. } if n == name);
+        let begun = |r: &Record| matches!(r, Record::ExportIntent { name: n, .. } if n == name);
         let (_, _, end) = scanned.records.iter().find(|(_, r, _)| begun(r)).expect("it was begun");
         let dir = scratch("stored");
         fs::write(dir.join(FIRST), &segment[..*end]).expect("written");
