--- a/src/ledger/store/mod.rs
+++ b/src/ledger/store/mod.rs
@@ -1,7 +1,7 @@
-//! A ledger on a [`Disk`]. A file each: `recovery` reads what a directory holds, `segments` appends records and makes
-//! them durable, `snapshot` encodes the book so that a start reads few records, `compaction` removes what is no longer
-//! needed, `exports` writes exports in steps of which each may be the last before a crash, `requests` carries out what
-//! operators ask for.
+//! A ledger on a [`Disk`]. A concern each: `recovery` reads what a directory holds, `segments` appends records and
+//! makes them durable, `snapshot` saves the book so that a start reads few records, `compaction` removes what is
+//! no longer needed, `exports` writes exports in steps of which each may be the last before a crash, `requests`
+//! carries out what operators ask for.
 //!
 //! The writer's thread owns the store of a running aggregator; the command line owns it where no aggregator runs.
 
