--- a/src/inventory/ansible/hosts.rs
+++ b/src/inventory/ansible/hosts.rs
@@ -87,18 +87,18 @@
     pub(super) fn layers(&self, name: &str) -> Vec<LayerVariables<'_>> {
         let mut layers = Vec::new();
         let Some(host) = self.hosts.get(name) else { return layers };
-        push_layers(&mut layers, Layer::HostVars, self.host_vars.get(name));
-        push_layers(&mut layers, Layer::Host, Some(&host.variables));
+        push_layers(&mut layers, || Layer::HostVars, self.host_vars.get(name));
+        push_layers(&mut layers, || Layer::Host, Some(&host.variables));
         let groups = self.groups_of(name);
         // `group_vars/all` is weaker than all other files of `group_vars`.
         let others = groups.iter().rev().filter(|group| *group != ALL);
         let all = groups.iter().filter(|group| *group == ALL);
         for group in others.chain(all) {
-            push_layers(&mut layers, Layer::GroupVars(group.clone()), self.group_vars.get(group));
+            push_layers(&mut layers, || Layer::GroupVars(group.clone()), self.group_vars.get(group));
         }
         for group in groups.iter().rev() {
             let variables = self.groups.get(group).map(|group| &group.variables);
-            push_layers(&mut layers, Layer::Group(group.clone()), variables);
+            push_layers(&mut layers, || Layer::Group(group.clone()), variables);
         }
         layers
     }
@@ -191,11 +191,11 @@
 /// Adds the files of one layer; of several files the later one has precedence.
 fn push_layers<'a>(
     layers: &mut Vec<LayerVariables<'a>>,
-    layer: Layer,
+    layer: impl Fn() -> Layer,
     files: Option<&'a Vec<Rc<VariableMap>>>,
 ) {
     for variables in files.into_iter().flatten().rev() {
-        layers.push(LayerVariables { layer: layer.clone(), variables });
+        layers.push(LayerVariables { layer: layer(), variables });
     }
 }
 
