--- a/examples/inventory_scale.rs
+++ b/examples/inventory_scale.rs
@@ -67,16 +67,16 @@
     let one = timed("read CSV, one drained", || list("n.csv", &drained))?;
     let tenth = timed("read CSV, a tenth moved", || list("n.csv", &many))?;
     timed("digest", || digest(&bundle("n.csv", &first)));
-    timed("diff, one drained", || old.differing(&one));
+    timed("diff, one drained", || old.changed_names(&one));
     let config = std::env::temp_dir().join(format!("sailmux-scale-{}.json", std::process::id()));
     std::fs::write(&config, include_str!("../src/cli/demo/config.json"))?;
     let site = Config::at(&config);
     std::fs::remove_file(&config)?;
-    let mut state = State::new(site?.settings, Limits::for_descriptors(1024), 1, Default::default())?;
+    let mut state = State::new(site?.settings, Limits::of_max_descriptors(1024), 1, Default::default())?;
     let mut now = 1e6;
     let mut step = |what: &str, input: Input| {
         now += 5.0;
-        timed(what, || reduce(&mut state, now, Event::EndpointSource { input, wall_ahead: 0.0 })).len()
+        timed(what, || reduce(&mut state, now, Event::EndpointSource { input, wall_clock_offset: 0.0 })).len()
     };
     step(
         "the aggregator applies all, at the start",
--- a/examples/ledger_cost.rs
+++ b/examples/ledger_cost.rs
@@ -19,15 +19,15 @@
     Entry {
         at: AT + n as UnixMs,
         tenant: ["hsinyi-realty", "kaohsiung-hr", "lanyang-law"][n as usize % 3].to_owned(),
-        known: true,
+        tenant_is_known: true,
         class: "envelope-search".to_owned(),
         query: format!("{n:016x}"),
-        asked: 4,
-        served: 4,
+        parts: 4,
+        parts_served: 4,
         attempts: 4,
         work: 4000,
-        outcome: Outcome::Whole,
-        share: Share::Within,
+        outcome: Outcome::Complete,
+        share: Share::WithinQuota,
     }
 }
 
@@ -83,7 +83,7 @@
     let all: Vec<Entry> = (0..ENTRIES).map(entry).collect();
     let start = Instant::now();
     for entry in all {
-        handle.put(entry);
+        handle.enqueue(entry);
     }
     println!(
         "brought to the thread, in the event loop: {:.0} ns an entry",
--- a/src/aggregator/admin.rs
+++ b/src/aggregator/admin.rs
@@ -33,7 +33,7 @@
     /// Yes, or done.
     Accepted,
     /// No, or there are too many overrides.
-    Refused,
+    Rejected,
     /// No endpoint has that name.
     UnknownEndpoint,
 }
@@ -52,7 +52,7 @@
 
     fn answer_ready_check(&mut self, call: AdminCallId) {
         let can_serve = self.state.lifecycle.can_serve();
-        let outcome = if can_serve { AdminOutcome::Accepted } else { AdminOutcome::Refused };
+        let outcome = if can_serve { AdminOutcome::Accepted } else { AdminOutcome::Rejected };
         self.effects.push(Effect::AnswerAdmin(call, outcome));
     }
 
@@ -68,7 +68,7 @@
 
     fn set_override(&mut self, call: AdminCallId, subject: OverrideSubject, active: bool) {
         let wall_clock = self.now + self.state.wall_clock_ahead;
-        match self.state.overrides.give(subject, active, wall_clock) {
+        match self.state.overrides.set(subject, active, wall_clock) {
             Ok(changed) => {
                 if changed {
                     self.apply_overrides();
@@ -76,7 +76,7 @@
                 // Stored even if nothing changed: the override may be in force here but not be stored yet.
                 self.effects.push(Effect::StoreOverrides(call, self.state.overrides.clone()));
             }
-            Err(_) => self.reject_admin_command(call, AdminOutcome::Refused),
+            Err(_) => self.reject_admin_command(call, AdminOutcome::Rejected),
         }
     }
 
--- a/src/aggregator/clients.rs
+++ b/src/aggregator/clients.rs
@@ -88,8 +88,8 @@
         let Some(client) = self.state.clients.remove(&client) else { return };
         self.state.counters.clients_closed += 1;
         if let Some(query) = client.query {
-            self.count_outcome(ledger::Outcome::Gone);
-            self.record_in_ledger(query, ledger::Outcome::Gone);
+            self.count_outcome(ledger::Outcome::ClientDisconnected);
+            self.record_in_ledger(query, ledger::Outcome::ClientDisconnected);
             self.forget_query(query);
             self.balancer_events.push_back(balancer::Event::ClientDisconnected { query });
         }
--- a/src/aggregator/endpoint_updates.rs
+++ b/src/aggregator/endpoint_updates.rs
@@ -154,7 +154,7 @@
             weight: endpoint.weight,
             state: replica_state(endpoint.state),
             started_at: server.started_at,
-            zone: config::index_of(&state.settings.zones, &endpoint.zone),
+            zone: config::zone_index(&state.settings.zones, &endpoint.zone),
         }
     }
 
--- a/src/aggregator/event.rs
+++ b/src/aggregator/event.rs
@@ -69,14 +69,14 @@
         /// The list or its changes.
         list: EndpointList,
         /// How far the wall clock is ahead of the aggregator's clock.
-        wall_ahead: Millis,
+        wall_clock_offset: Millis,
     },
     /// Inventory files or the settings have changed what is known of the endpoints.
     EndpointSource {
         /// The change.
         input: Input,
         /// How far the wall clock is ahead of the aggregator's clock.
-        wall_ahead: Millis,
+        wall_clock_offset: Millis,
     },
     /// Discovery is being polled for its list.
     DiscoveryPolled,
--- a/src/aggregator/queries.rs
+++ b/src/aggregator/queries.rs
@@ -51,7 +51,7 @@
             class: new.class.into(),
             tenant: new.tenant,
             tenant_is_known: indices.tenant.is_some(),
-            share: Share::Within,
+            share: Share::WithinQuota,
             name: new.name,
             payload: new.payload,
             idempotency_key: new.idempotency_key,
@@ -93,7 +93,7 @@
         if let Some(query) = self.state.queries.get_mut(&query)
             && !within_quota
         {
-            query.share = Share::Beyond;
+            query.share = Share::OverQuota;
         }
     }
 
@@ -118,12 +118,12 @@
     pub(super) fn count_outcome(&mut self, outcome: ledger::Outcome) {
         let counters = &mut self.state.counters;
         let counter = match outcome {
-            ledger::Outcome::Whole => &mut counters.answers_complete,
+            ledger::Outcome::Complete => &mut counters.answers_complete,
             ledger::Outcome::Partial => &mut counters.answers_partial,
-            ledger::Outcome::Refused => &mut counters.queries_rejected,
+            ledger::Outcome::Rejected => &mut counters.queries_rejected,
             ledger::Outcome::Failed => &mut counters.queries_failed,
             ledger::Outcome::Expired => &mut counters.queries_expired,
-            ledger::Outcome::Gone => &mut counters.clients_disconnected,
+            ledger::Outcome::ClientDisconnected => &mut counters.clients_disconnected,
         };
         *counter += 1;
     }
@@ -161,9 +161,9 @@
 /// How a query with this final answer ended.
 fn ledger_outcome(reply: &Reply) -> ledger::Outcome {
     match reply {
-        Reply::Answer { complete: true, .. } => ledger::Outcome::Whole,
+        Reply::Answer { complete: true, .. } => ledger::Outcome::Complete,
         Reply::Answer { complete: false, .. } => ledger::Outcome::Partial,
-        Reply::Rejected { .. } => ledger::Outcome::Refused,
+        Reply::Rejected { .. } => ledger::Outcome::Rejected,
         Reply::Expired => ledger::Outcome::Expired,
         Reply::Failed | Reply::BadRequest(_) | Reply::Health { .. } | Reply::Metrics(_) => {
             ledger::Outcome::Failed
--- a/src/aggregator/reduce.rs
+++ b/src/aggregator/reduce.rs
@@ -51,8 +51,12 @@
             Event::ConnectionEnded { connection, reason, protocol_error } => {
                 self.connection_ended(connection, reason, protocol_error);
             }
-            Event::EndpointList { list, wall_ahead } => self.discovery_answered(list, wall_ahead),
-            Event::EndpointSource { input, wall_ahead } => self.endpoint_source_changed(input, wall_ahead),
+            Event::EndpointList { list, wall_clock_offset } => {
+                self.discovery_answered(list, wall_clock_offset)
+            }
+            Event::EndpointSource { input, wall_clock_offset } => {
+                self.endpoint_source_changed(input, wall_clock_offset)
+            }
             Event::DiscoveryPolled => self.state.counters.discovery_polls += 1,
             Event::DiscoveryWatchLost { unreadable } => self.discovery_watch_lost(unreadable),
             Event::Ledger(event) => self.count_ledger_event(&event),
--- a/src/aggregator/state.rs
+++ b/src/aggregator/state.rs
@@ -98,7 +98,7 @@
     }
 
     /// Records each final answer in a ledger from now on, billed by these prices.
-    pub fn keep_ledger(&mut self, prices: PriceList) {
+    pub fn enable_ledger(&mut self, prices: PriceList) {
         self.billing = Some(Billing::new(prices));
     }
 
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -49,7 +49,7 @@
         }
         let mut cells = None;
         if let Some(path) = &config {
-            report.add(path, Config::problems(path));
+            report.add(path, Config::check_file(path));
             cells = Config::at(path).ok().map(|config| config.settings.layout().cells);
         }
         if let Some(path) = &operator {
--- a/src/cli/inventory/changes.rs
+++ b/src/cli/inventory/changes.rs
@@ -19,7 +19,7 @@
     let count = Difference::of(changes.values());
     text.push_str(&format!(
         "{} added, {} gone, {} drained, {} readied, {} changed\n",
-        count.added, count.gone, count.drained, count.readied, count.changed
+        count.added, count.removed, count.started_draining, count.stopped_draining, count.changed
     ));
     text
 }
--- a/src/cli/inventory/check.rs
+++ b/src/cli/inventory/check.rs
@@ -15,7 +15,8 @@
         let list = self.source.list(&self.source.path)?;
         let counts = list.summary();
         let path = self.source.path.display();
-        let ragged = if list.ragged { "; it ends within a line, and would be held back" } else { "" };
-        print(&format!("{path}: good, {} nodes, {} draining{ragged}\n", counts.nodes, counts.draining))
+        let truncated =
+            if list.truncated_mid_line { "; it ends within a line, and would be held back" } else { "" };
+        print(&format!("{path}: good, {} nodes, {} draining{truncated}\n", counts.endpoints, counts.draining))
     }
 }
--- a/src/cli/inventory/plan.rs
+++ b/src/cli/inventory/plan.rs
@@ -46,11 +46,11 @@
         let plan = registry.plan(replaced, &candidate);
         let mut text = changes_text(&plan.changes);
         text.push_str(&format!("nodes: {} -> {}\n", plan.loss.before, plan.loss.after));
-        for (shard, holders) in plan.holders.iter().enumerate() {
+        for (shard, holders) in plan.ready_holders_by_shard.iter().enumerate() {
             let cells = layout.cells;
             text.push_str(&format!("shard {shard} (of each {cells}): {holders} nodes take work\n"));
         }
-        let Some(reason) = plan.hold else {
+        let Some(reason) = plan.hold_reason else {
             text.push_str("taken at once\n");
             return print(&text);
         };
@@ -88,7 +88,7 @@
     fn guard(&self, configured: Option<&Inventory>) -> GuardSettings {
         let mut guard = configured.map(|inventory| inventory.guard).unwrap_or_default();
         if let Some(percent) = self.most_lost {
-            guard.most_lost = f64::from(percent) / 100.0;
+            guard.max_removed_fraction = f64::from(percent) / 100.0;
         }
         guard
     }
--- a/src/cli/inventory/source.rs
+++ b/src/cli/inventory/source.rs
@@ -109,7 +109,7 @@
         let Some(cell) = record.cell.as_ref().filter(|cell| cell.value >= cells) else { continue };
         let field = format!("{}.cell", record.name);
         let message = format!("{} is not below {cells}", cell.value);
-        problems.push(Diagnostic::at(list.file(cell.location), cell.location.line, field, message));
+        problems.push(Diagnostic::at(list.file_name(cell.location), cell.location.line, field, message));
     }
     if problems.is_empty() { Ok(()) } else { Err(Diagnostics(problems)) }
 }
--- a/src/cli/ledger/correct.rs
+++ b/src/cli/ledger/correct.rs
@@ -46,7 +46,7 @@
             tenant: self.tenant,
             class: self.class,
             corrects: self.corrects.to_string(),
-            share: if self.beyond { Share::Beyond } else { Share::Within },
+            share: if self.beyond { Share::OverQuota } else { Share::WithinQuota },
             queries: self.queries,
             parts: self.parts,
             work: self.work,
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -47,7 +47,7 @@
     }
 
     /// How far the system's wall clock is ahead of this one; other than 0 if it has been stepped since the start.
-    pub fn wall_ahead(&self) -> Millis {
+    pub fn wall_clock_offset(&self) -> Millis {
         match self.fixed.get() {
             Some(_) => 0.0,
             None => unix_now() - self.now(),
--- a/src/config/load.rs
+++ b/src/config/load.rs
@@ -42,7 +42,7 @@
     /// The platform's settings.
     pub settings: SiteSettings,
     /// The keys that the file has in `settings` and `limits`, for [`Config::reload`].
-    pub shape: KeyPaths,
+    pub setting_keys: KeyPaths,
     /// What the operator's file sets up.
     pub operator: Operator,
 }
@@ -73,7 +73,7 @@
     pub fn reload(in_force: &KeyPaths) -> Result<Self, ConfigError> {
         let path = config_path()?;
         let config = Self::read(Path::new(&path), no_override)?;
-        if let Some(key) = in_force.difference(&config.shape).next() {
+        if let Some(key) = in_force.difference(&config.setting_keys).next() {
             let message = "is missing, the file in force has it".to_owned();
             return Err(ConfigError::Field(path, FieldError { field: key.clone(), message }));
         }
@@ -90,7 +90,7 @@
 
     /// Everything that is wrong with a platform's file, for `sailmux check`. What the settings say together is checked
     /// only once each field by itself is right.
-    pub fn problems(path: &Path) -> Vec<ConfigError> {
+    pub fn check_file(path: &Path) -> Vec<ConfigError> {
         let file = path.display().to_string();
         let value = match read_json(path, &file) {
             Ok(value) => value,
@@ -126,7 +126,7 @@
             max_descriptors: limits.get("sockets").f64_or(DEFAULT_MAX_DESCRIPTORS)? as usize,
             known_endpoints: parse_known_endpoints(root)?,
             settings: parse_platform_settings(&settings)?,
-            shape: &settings.key_paths() | &limits.key_paths(),
+            setting_keys: &settings.key_paths() | &limits.key_paths(),
             operator: Operator::default(),
         })
     }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -12,11 +12,7 @@
 mod platform_settings;
 
 pub use endpoint_list::parse_endpoint_list;
-/// The earlier name of [`parse_endpoint_list`].
-pub use endpoint_list::parse_endpoint_list as node_list;
 pub use error::ConfigError;
 pub use load::Config;
 pub use operator::Operator;
-/// The earlier name of [`zone_index`].
-pub use platform_settings::zone_index as index_of;
 pub use platform_settings::{SiteSettings, parse_platform_settings, zone_index};
--- a/src/config/operator/inventory.rs
+++ b/src/config/operator/inventory.rs
@@ -190,7 +190,7 @@
 impl GuardRecord {
     fn resolve(&self) -> GuardSettings {
         GuardSettings {
-            most_lost: self.most_lost_percent.0 as f64 / 100.0,
+            max_removed_fraction: self.most_lost_percent.0 as f64 / 100.0,
             confirm_after: self.confirm_after_s.map(|seconds| seconds.0 as f64 * 1e3),
         }
     }
@@ -225,7 +225,7 @@
             partial: self.partial,
             end_marker: self.end_marker.clone(),
             checksum: self.checksum,
-            ragged_is_whole: self.final_newline == NewlineRecord::Optional,
+            accepts_missing_final_newline: self.final_newline == NewlineRecord::Optional,
             bounds,
         }
     }
--- a/src/config/operator/mod.rs
+++ b/src/config/operator/mod.rs
@@ -88,7 +88,7 @@
         let file = path.display().to_string();
         match fs::read_to_string(path) {
             Ok(text) => Self::parse(&file, &text),
-            Err(error) => Err(Diagnostics(vec![Diagnostic::whole(&file, error.to_string())])),
+            Err(error) => Err(Diagnostics(vec![Diagnostic::for_file(&file, error.to_string())])),
         }
     }
 
@@ -100,7 +100,7 @@
         let tree = match yaml::parse(text, &yaml::Bounds::default()) {
             Ok(tree) => tree,
             Err(error) => {
-                return Err(Diagnostics(vec![Diagnostic::at(file, error.line, "", error.problem)]));
+                return Err(Diagnostics(vec![Diagnostic::at(file, error.line, "", error.message)]));
             }
         };
         let base = Path::new(file).parent().unwrap_or(Path::new(""));
--- a/src/config/operator/setting.rs
+++ b/src/config/operator/setting.rs
@@ -65,7 +65,7 @@
         return Some(record);
     }
     let Some(entries) = node.map() else {
-        context.report(node.line, format!("must be fields by name, not {}", node.what()));
+        context.report(node.line, format!("must be fields by name, not {}", node.kind_name()));
         return None;
     };
     for entry in entries {
@@ -149,7 +149,7 @@
                 node: &$crate::yaml::Node,
                 context: &mut $crate::config::operator::setting::FieldContext<'_>,
             ) -> Option<Self> {
-                match node.text() {
+                match node.as_str() {
                     $(Some($word) => Some($name::$variant),)*
                     _ => {
                         context.report(node.line, format!("must be one of {}", [$($word),*].join(", ")));
@@ -168,7 +168,7 @@
 
 impl<const MIN: u64, const MAX: u64> Setting for Count<MIN, MAX> {
     fn read(node: &Node, context: &mut FieldContext<'_>) -> Option<Self> {
-        let number = node.text().and_then(|text| text.parse::<u64>().ok());
+        let number = node.as_str().and_then(|text| text.parse::<u64>().ok());
         match number {
             Some(number) if (MIN..=MAX).contains(&number) => Some(Count(number)),
             _ => {
@@ -199,7 +199,7 @@
 
 impl Setting for Address {
     fn read(node: &Node, context: &mut FieldContext<'_>) -> Option<Self> {
-        let address = node.text().and_then(|text| text.parse().ok());
+        let address = node.as_str().and_then(|text| text.parse().ok());
         if address.is_none() {
             context.report(node.line, "is no address and port");
         }
@@ -223,9 +223,9 @@
 
 impl Setting for String {
     fn read(node: &Node, context: &mut FieldContext<'_>) -> Option<Self> {
-        let text = node.text();
+        let text = node.as_str();
         if text.is_none() {
-            context.report(node.line, format!("must be a text, not {}", node.what()));
+            context.report(node.line, format!("must be a text, not {}", node.kind_name()));
         }
         text.map(str::to_owned)
     }
@@ -233,7 +233,7 @@
 
 impl Setting for bool {
     fn read(node: &Node, context: &mut FieldContext<'_>) -> Option<Self> {
-        let flag = node.flag();
+        let flag = node.as_bool();
         if flag.is_none() {
             context.report(node.line, "must be true or false");
         }
@@ -250,7 +250,7 @@
 impl<T: Setting> Setting for Vec<T> {
     fn read(node: &Node, context: &mut FieldContext<'_>) -> Option<Self> {
         let Some(nodes) = node.list() else {
-            context.report(node.line, format!("must be a list, not {}", node.what()));
+            context.report(node.line, format!("must be a list, not {}", node.kind_name()));
             return None;
         };
         let mut entries = Vec::new();
@@ -264,7 +264,7 @@
 impl<T: Setting> Setting for BTreeMap<String, T> {
     fn read(node: &Node, context: &mut FieldContext<'_>) -> Option<Self> {
         let Some(entries) = node.map() else {
-            context.report(node.line, format!("must be entries by name, not {}", node.what()));
+            context.report(node.line, format!("must be entries by name, not {}", node.kind_name()));
             return None;
         };
         let mut values = BTreeMap::new();
--- a/src/diagnostic.rs
+++ b/src/diagnostic.rs
@@ -19,7 +19,7 @@
 
 impl Diagnostic {
     /// A diagnostic of a whole file.
-    pub fn whole(file: &str, message: impl Into<String>) -> Self {
+    pub fn for_file(file: &str, message: impl Into<String>) -> Self {
         Diagnostic { file: file.to_owned(), line: None, field: String::new(), message: message.into() }
     }
 
--- a/src/endpoints/effective.rs
+++ b/src/endpoints/effective.rs
@@ -44,14 +44,15 @@
     pub fn replace(&mut self, name: &Arc<str>, after: Option<MergedEndpoint>) -> Replaced {
         let before = self.by_name.remove(name);
         if let Some(before) = &before {
-            self.holders.remove(&before.entry);
-            self.leave_address(&before.entry.address);
+            self.holders.remove(&before.endpoint);
+            self.leave_address(&before.endpoint.address);
         }
         let mut joined_shared_address = false;
         if let Some(after) = after {
-            self.holders.add(&after.entry);
-            let endpoints_at_address = self.join_address(&after.entry.address);
-            let address_changed = before.as_ref().is_none_or(|b| b.entry.address != after.entry.address);
+            self.holders.add(&after.endpoint);
+            let endpoints_at_address = self.join_address(&after.endpoint.address);
+            let address_changed =
+                before.as_ref().is_none_or(|b| b.endpoint.address != after.endpoint.address);
             joined_shared_address = endpoints_at_address > 1 && address_changed;
             self.by_name.insert(name.clone(), after);
         }
--- a/src/endpoints/file_polling.rs
+++ b/src/endpoints/file_polling.rs
@@ -90,7 +90,7 @@
     }
 
     /// Takes the result of opening the files, with the signature found before.
-    pub fn opened(&mut self, now: Millis, signature: Signature, check: FileCheck) -> PollDecision {
+    pub fn on_checked(&mut self, now: Millis, signature: Signature, check: FileCheck) -> PollDecision {
         match check {
             FileCheck::Unreadable(problem) => {
                 let absent_since = *self.absent_since.get_or_insert(now);
@@ -100,7 +100,7 @@
                 // Reported once; the files are opened again when their signature changes.
                 self.last_signature = Some(signature);
                 self.absent_since = None;
-                self.refused(now, problem)
+                self.on_rejected(now, problem)
             }
             FileCheck::BeingWritten => {
                 self.absent_since = None;
@@ -120,14 +120,14 @@
     }
 
     /// The content was parsed; its list is submitted now.
-    pub fn read(&mut self, digest: Arc<str>) {
+    pub fn on_submitted(&mut self, digest: Arc<str>) {
         self.submitted_digest = digest;
         self.reported_problem.clear();
     }
 
     /// The content could not be read or parsed. A repeated problem, or one that comes too soon after the last, is not
     /// reported.
-    pub fn refused(&mut self, now: Millis, problem: String) -> PollDecision {
+    pub fn on_rejected(&mut self, now: Millis, problem: String) -> PollDecision {
         // The next good list is submitted even if unchanged: it withdraws a list that is held back.
         self.submitted_digest = "".into();
         let reported_recently = self.problem_reported_at.is_some_and(|at| now - at < MIN_PROBLEM_INTERVAL);
@@ -140,14 +140,14 @@
     }
 
     /// A confirmation file that names a list's digest was found.
-    pub fn confirmation(&mut self, now: Millis, digest: &str) {
+    pub fn on_confirmation_found(&mut self, now: Millis, digest: &str) {
         if self.pending_confirmation.is_none() {
             self.pending_confirmation = Some(PendingConfirmation { digest: digest.into(), found_at: now });
         }
     }
 
     /// The digest to confirm now, once: when the list that it names was submitted, or has not appeared in time.
-    pub fn confirmed(&mut self, now: Millis) -> Option<Arc<str>> {
+    pub fn take_due_confirmation(&mut self, now: Millis) -> Option<Arc<str>> {
         let submitted = &self.submitted_digest;
         let due = self.pending_confirmation.take_if(|pending| {
             pending.digest == *submitted || now - pending.found_at >= CONFIRMATION_TIMEOUT
--- a/src/endpoints/file_source.rs
+++ b/src/endpoints/file_source.rs
@@ -62,7 +62,7 @@
 
     /// The names whose endpoints may change once `list` is applied or held back in place of the present lists.
     pub fn changed_names(&self, list: &FileList) -> BTreeSet<Arc<str>> {
-        let mut names = BTreeSet::from_iter(self.applied.differing(list));
+        let mut names = BTreeSet::from_iter(self.applied.changed_names(list));
         if let Some(held_back) = self.held_back() {
             names.extend(held_back.draining_names());
         }
--- a/src/endpoints/guard.rs
+++ b/src/endpoints/guard.rs
@@ -8,14 +8,14 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GuardSettings {
     /// Largest fraction of the endpoints that one list may remove. Removing a single endpoint is always allowed.
-    pub most_lost: f64,
+    pub max_removed_fraction: f64,
     /// A list held back for this long without a change is confirmed; `None`: only by an operator's command.
     pub confirm_after: Option<Millis>,
 }
 
 impl Default for GuardSettings {
     fn default() -> Self {
-        GuardSettings { most_lost: 0.25, confirm_after: None }
+        GuardSettings { max_removed_fraction: 0.25, confirm_after: None }
     }
 }
 
@@ -58,7 +58,7 @@
     /// Endpoints after.
     pub after: usize,
     /// Endpoints that are there before and not after.
-    pub lost: usize,
+    pub removed: usize,
 }
 
 /// What a list would change, as far as the guard needs to know.
@@ -82,12 +82,12 @@
 impl ListGuard {
     /// Why a change must be held back; `None` if it may take effect.
     pub fn check(&self, change: &ProposedChange<'_>) -> Option<HoldReason> {
-        let Loss { before, after, lost } = change.loss;
+        let Loss { before, after, removed: lost } = change.loss;
         let list_is_empty = !change.names_endpoints && lost > 0;
         if before > 0 && (after == 0 || list_is_empty) {
             return Some(HoldReason::Empty);
         }
-        if lost > 1 && lost as f64 > self.settings.most_lost * before as f64 {
+        if lost > 1 && lost as f64 > self.settings.max_removed_fraction * before as f64 {
             return Some(HoldReason::TooManyRemoved { removed: lost, total: before });
         }
         // One round over the cells is enough: shards that start at the same cell have the same holders.
--- a/src/endpoints/history.rs
+++ b/src/endpoints/history.rs
@@ -39,11 +39,11 @@
     /// Added endpoints.
     pub added: usize,
     /// Removed endpoints.
-    pub gone: usize,
+    pub removed: usize,
     /// Endpoints that began draining.
-    pub drained: usize,
+    pub started_draining: usize,
     /// Endpoints that stopped draining.
-    pub readied: usize,
+    pub stopped_draining: usize,
     /// Endpoints whose other fields changed.
     pub changed: usize,
 }
@@ -67,9 +67,13 @@
         let is_draining = |endpoint: &Endpoint| endpoint.state == EndpointState::Draining;
         match (&change.before, &change.after) {
             (None, Some(_)) => self.added += 1,
-            (Some(_), None) => self.gone += 1,
-            (Some(before), Some(after)) if !is_draining(before) && is_draining(after) => self.drained += 1,
-            (Some(before), Some(after)) if is_draining(before) && !is_draining(after) => self.readied += 1,
+            (Some(_), None) => self.removed += 1,
+            (Some(before), Some(after)) if !is_draining(before) && is_draining(after) => {
+                self.started_draining += 1
+            }
+            (Some(before), Some(after)) if is_draining(before) && !is_draining(after) => {
+                self.stopped_draining += 1
+            }
             _ => self.changed += 1,
         }
     }
--- a/src/endpoints/input.rs
+++ b/src/endpoints/input.rs
@@ -28,7 +28,7 @@
     /// The overrides of all endpoints, by name; replaces those before.
     Overrides(BTreeMap<Arc<str>, Override>),
     /// The aggregator needs the complete list again.
-    Resend,
+    SendAll,
     /// A timer set by [`Output::SetTimer`](super::Output::SetTimer) has fired.
     TimerFired,
 }
--- a/src/endpoints/merge.rs
+++ b/src/endpoints/merge.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct MergedEndpoint {
     /// The endpoint.
-    pub entry: Endpoint,
+    pub endpoint: Endpoint,
     /// The origin of each of its fields.
     pub provenance: Provenance,
 }
@@ -87,7 +87,7 @@
     }
     let provenance = fields.provenance();
     let entry = fields.into_endpoint(name)?;
-    Some(MergedEndpoint { entry, provenance })
+    Some(MergedEndpoint { endpoint: entry, provenance })
 }
 
 /// The fields of an endpoint, each as the statement of highest precedence so far gives it.
--- a/src/endpoints/overrides.rs
+++ b/src/endpoints/overrides.rs
@@ -14,7 +14,7 @@
     /// When the operator gave it.
     pub given_at: Millis,
     /// When the endpoint was last taken out of service; equal to `given_at` while active.
-    pub since: Millis,
+    pub active_since: Millis,
 }
 
 impl Override {
@@ -26,7 +26,7 @@
 
     fn precedence(&self, other: &Override) -> Option<Ordering> {
         // The earlier `since` breaks the last tie, so that merging does not depend on the order.
-        let key = |record: &Override| (record.given_at, record.active, -record.since);
+        let key = |record: &Override| (record.given_at, record.active, -record.active_since);
         key(self).partial_cmp(&key(other))
     }
 
@@ -38,7 +38,7 @@
             if endpoint.state == EndpointState::Ready {
                 endpoint.state = EndpointState::Draining;
             }
-        } else if endpoint.started_at_unix <= self.since {
+        } else if endpoint.started_at_unix <= self.active_since {
             endpoint.started_at_unix = self.given_at;
         }
     }
--- a/src/endpoints/plan.rs
+++ b/src/endpoints/plan.rs
@@ -22,11 +22,11 @@
     /// Counts of the changes.
     pub difference: Difference,
     /// Why the list would be held back; `None` if it would be applied.
-    pub hold: Option<HoldReason>,
+    pub hold_reason: Option<HoldReason>,
     /// Numbers of endpoints before and after.
     pub loss: Loss,
     /// Ready endpoints of each shard after it, for the first shards, one for each cell; others repeat these.
-    pub holders: Vec<u32>,
+    pub ready_holders_by_shard: Vec<u32>,
 }
 
 /// Makes a plan for the list of a file, which need not be one of the sources' files.
@@ -55,9 +55,11 @@
     Plan {
         changed_names,
         difference: Difference::of(projection.changes.values()),
-        hold,
+        hold_reason: hold,
         loss: projection.loss,
-        holders: shards.map(|shard| projection.holders_if_applied.of_shard(guard.layout, shard)).collect(),
+        ready_holders_by_shard: shards
+            .map(|shard| projection.holders_if_applied.of_shard(guard.layout, shard))
+            .collect(),
         changes: projection.changes,
     }
 }
@@ -81,7 +83,7 @@
     fn new(effective: &EffectiveEndpoints) -> Self {
         let endpoints = effective.len();
         Projection {
-            loss: Loss { before: endpoints, after: endpoints, lost: 0 },
+            loss: Loss { before: endpoints, after: endpoints, removed: 0 },
             holders_if_held_back: effective.holders().clone(),
             holders_if_applied: effective.holders().clone(),
             changes: BTreeMap::new(),
@@ -97,25 +99,25 @@
         after: Option<MergedEndpoint>,
     ) {
         if let Some(before) = before {
-            self.holders_if_held_back.remove(&before.entry);
-            self.holders_if_applied.remove(&before.entry);
+            self.holders_if_held_back.remove(&before.endpoint);
+            self.holders_if_applied.remove(&before.endpoint);
         }
         if let Some(held_back) = held_back {
-            self.holders_if_held_back.add(&held_back.entry);
+            self.holders_if_held_back.add(&held_back.endpoint);
         }
         if let Some(after) = &after {
-            self.holders_if_applied.add(&after.entry);
+            self.holders_if_applied.add(&after.endpoint);
         }
         match (before, &after) {
             (Some(_), None) => {
-                self.loss.lost += 1;
+                self.loss.removed += 1;
                 self.loss.after -= 1;
             }
             (None, Some(_)) => self.loss.after += 1,
             _ => {}
         }
-        let before = before.map(|merged| &merged.entry);
-        let after = after.map(|merged| merged.entry);
+        let before = before.map(|merged| &merged.endpoint);
+        let after = after.map(|merged| merged.endpoint);
         if before != after.as_ref() {
             self.changes.insert(name.clone(), Change { before: before.cloned(), after });
         }
@@ -132,6 +134,6 @@
 
     /// A truncated list is held back only if it would change something.
     fn truncation(&self, list: &FileList) -> Option<HoldReason> {
-        (list.ragged && !self.changes.is_empty()).then_some(HoldReason::TruncatedMidLine)
+        (list.truncated_mid_line && !self.changes.is_empty()).then_some(HoldReason::TruncatedMidLine)
     }
 }
--- a/src/endpoints/record.rs
+++ b/src/endpoints/record.rs
@@ -47,7 +47,7 @@
 
 impl EndpointRecord {
     /// A record that names an endpoint and states nothing else.
-    pub fn named(name: &str, location: SourceLocation) -> Self {
+    pub fn new(name: &str, location: SourceLocation) -> Self {
         EndpointRecord {
             name: name.into(),
             location,
@@ -91,7 +91,7 @@
     /// Digest of the content: the first digits, in hex, of a SHA-256 over all files.
     pub digest: Arc<str>,
     /// The file is truncated within a line: its writer may not have finished.
-    pub ragged: bool,
+    pub truncated_mid_line: bool,
     /// The list only adds to endpoints that another source names.
     pub partial: bool,
 }
@@ -104,7 +104,7 @@
     }
 
     /// The names, in order, of the records that differ between two lists. Walks both lists once.
-    pub fn differing(&self, other: &FileList) -> Vec<Arc<str>> {
+    pub fn changed_names(&self, other: &FileList) -> Vec<Arc<str>> {
         let mut left = self.records.iter().peekable();
         let mut right = other.records.iter().peekable();
         let mut names = Vec::new();
@@ -133,11 +133,11 @@
     /// Counts of the list, for the log and the command line.
     pub fn summary(&self) -> Summary {
         let draining = self.records.iter().filter(|record| record.is_draining()).count();
-        Summary { nodes: self.records.len(), draining }
+        Summary { endpoints: self.records.len(), draining }
     }
 
     /// The name of the file of a place; empty if there is none.
-    pub fn file(&self, location: SourceLocation) -> &str {
+    pub fn file_name(&self, location: SourceLocation) -> &str {
         self.files.get(usize::from(location.file)).map_or("", |file| file)
     }
 }
@@ -146,7 +146,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Summary {
     /// Endpoints named.
-    pub nodes: usize,
+    pub endpoints: usize,
     /// Those that are draining.
     pub draining: usize,
 }
--- a/src/endpoints/registry.rs
+++ b/src/endpoints/registry.rs
@@ -59,7 +59,7 @@
             Input::FileConfirmed(file, digest) => self.on_file_confirmed(now, file, digest, outputs),
             Input::Layout(layout) => self.guard.layout = layout,
             Input::Overrides(overrides) => self.on_overrides(overrides, outputs),
-            Input::Resend => outputs.push(Output::List(self.complete_list())),
+            Input::SendAll => outputs.push(Output::List(self.complete_list())),
             Input::TimerFired => self.on_timer(now, outputs),
         }
         for output in &mut outputs[first_new..] {
@@ -95,7 +95,7 @@
     }
 
     fn complete_list(&self) -> EndpointList {
-        let entries = self.endpoints().into_values().map(|merged| merged.entry.clone()).collect();
+        let entries = self.endpoints().into_values().map(|merged| merged.endpoint.clone()).collect();
         EndpointList { generation: self.version, complete: true, entries }
     }
 
@@ -123,7 +123,7 @@
                 source: SourceId::File(index as u16),
                 digest: list.digest.clone(),
                 summary,
-                difference: Difference { added: summary.nodes, ..Difference::default() },
+                difference: Difference { added: summary.endpoints, ..Difference::default() },
                 confirmed: false,
             }));
         }
@@ -169,7 +169,7 @@
             return;
         }
         let plan = self.plan(file, &list);
-        let Some(reason) = plan.hold else {
+        let Some(reason) = plan.hold_reason else {
             self.apply_list(now, file, list, plan, false, outputs);
             return;
         };
@@ -242,7 +242,7 @@
     fn on_overrides(&mut self, overrides: BTreeMap<Arc<str>, Override>, outputs: &mut Vec<Output>) {
         let mut entries = Vec::new();
         for change in self.overrides.replace(overrides) {
-            entries.extend(self.effective.get(&change.name).map(|merged| merged.entry.clone()));
+            entries.extend(self.effective.get(&change.name).map(|merged| merged.endpoint.clone()));
             if change.was_active != change.is_active {
                 let (name, active) = (change.name, change.is_active);
                 outputs.push(Output::Audit(AuditEvent::OverrideChanged { name, active }));
@@ -281,7 +281,7 @@
         let mut changes = BTreeMap::new();
         for name in names {
             let merged = self.sources.merged(&name);
-            let after = merged.as_ref().map(|merged| merged.entry.clone());
+            let after = merged.as_ref().map(|merged| merged.endpoint.clone());
             let replaced = self.effective.replace(&name, merged);
             if let Some(endpoint) = &after
                 && replaced.joined_shared_address
@@ -290,7 +290,7 @@
                 let address = endpoint.address.clone();
                 outputs.push(Output::Audit(AuditEvent::SharedAddress { address, name: name.clone() }));
             }
-            let before = replaced.before.map(|merged| merged.entry);
+            let before = replaced.before.map(|merged| merged.endpoint);
             if before == after {
                 continue;
             }
@@ -316,7 +316,7 @@
     for record in &list.records {
         let Some(cell) = &record.cell else { continue };
         if cell.value >= cells {
-            let file = list.file(cell.location);
+            let file = list.file_name(cell.location);
             let line = cell.location.line;
             return Some(format!("{file}:{line}: {}.cell: {} is not below {cells}", record.name, cell.value));
         }
--- a/src/hot_restart/overrides.rs
+++ b/src/hot_restart/overrides.rs
@@ -49,7 +49,7 @@
     ///
     /// # Errors
     /// [`TooManyOverrides`] if the subject is new and there is no space for it.
-    pub fn give(
+    pub fn set(
         &mut self,
         subject: OverrideSubject,
         active: bool,
@@ -63,14 +63,14 @@
                     return Ok(false);
                 }
                 let given_at = now.max(previous.given_at + MIN_OVERRIDE_INTERVAL);
-                let since = if active { given_at } else { previous.since };
-                occupied.insert(Override { active, given_at, since });
+                let since = if active { given_at } else { previous.active_since };
+                occupied.insert(Override { active, given_at, active_since: since });
                 Ok(true)
             }
             Entry::Vacant(_) if !active => Ok(false),
             Entry::Vacant(_) if full => Err(TooManyOverrides),
             Entry::Vacant(vacant) => {
-                vacant.insert(Override { active, given_at: now, since: now });
+                vacant.insert(Override { active, given_at: now, active_since: now });
                 Ok(true)
             }
         }
--- a/src/hot_restart/snapshot.rs
+++ b/src/hot_restart/snapshot.rs
@@ -80,7 +80,12 @@
             OverrideSubject::Aggregator => None,
             OverrideSubject::LeafServer(name) => Some(name.to_string()),
         };
-        StoredOverride { leaf_server, active: record.active, given_at: record.given_at, since: record.since }
+        StoredOverride {
+            leaf_server,
+            active: record.active,
+            given_at: record.given_at,
+            since: record.active_since,
+        }
     }
 
     fn has_valid_times(&self) -> bool {
@@ -92,7 +97,7 @@
             None => OverrideSubject::Aggregator,
             Some(name) => OverrideSubject::LeafServer(name.into()),
         };
-        (subject, Override { active: self.active, given_at: self.given_at, since: self.since })
+        (subject, Override { active: self.active, given_at: self.given_at, active_since: self.since })
     }
 }
 
--- a/src/inventory/ansible/tree.rs
+++ b/src/inventory/ansible/tree.rs
@@ -137,7 +137,7 @@
         variables: Rc<VariableMap>,
         names: &mut BTreeSet<String>,
     ) -> Result<(), HostError> {
-        let name = variables.get("name").and_then(|name| name.value.text());
+        let name = variables.get("name").and_then(|name| name.value.as_str());
         let name = name.ok_or(HostError::MissingName)?.to_owned();
         if !names.insert(name.clone()) {
             return Err(HostError::Duplicate(name));
@@ -180,7 +180,7 @@
         let Some(variables) = self.read_variables(path, &field.value) else { return };
         let mut priority = None;
         if let Some(variable) = variables.get(GROUP_PRIORITY) {
-            priority = variable.value.text().and_then(|text| text.parse().ok());
+            priority = variable.value.as_str().and_then(|text| text.parse().ok());
             if priority.is_none() {
                 let path = format!("{path}.{GROUP_PRIORITY}");
                 self.report(variable.location.line, &path, TreeError::InvalidPriority);
--- a/src/inventory/completeness.rs
+++ b/src/inventory/completeness.rs
@@ -53,11 +53,11 @@
         "" => "has no checksum file beside it".to_owned(),
         _ => format!("is {found}, but its checksum file says {expected}: it is not whole"),
     };
-    Err(Diagnostic::whole(&file.name, message))
+    Err(Diagnostic::for_file(&file.name, message))
 }
 
 /// Whether an inventory file ends within a line, so that its last line may be cut short.
-pub(super) fn is_ragged(file: &BundleFile) -> bool {
+pub(super) fn is_truncated_mid_line(file: &BundleFile) -> bool {
     if file.role != Role::Inventory {
         return false;
     }
@@ -69,14 +69,14 @@
 }
 
 /// The files without the last lines of those that end within a line.
-pub(super) fn without_ragged_lines(bundle: &Bundle) -> Bundle {
-    let without_ragged_line = |file: &BundleFile| {
+pub(super) fn without_truncated_lines(bundle: &Bundle) -> Bundle {
+    let without_truncated_line = |file: &BundleFile| {
         let mut file = file.clone();
-        if is_ragged(&file) {
+        if is_truncated_mid_line(&file) {
             let last_line_end = file.text.iter().rposition(|byte| *byte == b'\n');
             file.text.truncate(last_line_end.map_or(0, |position| position + 1));
         }
         file
     };
-    Bundle { files: bundle.files.iter().map(without_ragged_line).collect() }
+    Bundle { files: bundle.files.iter().map(without_truncated_line).collect() }
 }
--- a/src/inventory/files/gather.rs
+++ b/src/inventory/files/gather.rs
@@ -48,13 +48,13 @@
 
 impl Gathered {
     /// Whether a file was modified less than `age` ago, so that its stamp may not show another change.
-    pub fn is_young(&self, age: Duration) -> bool {
+    pub fn modified_within(&self, age: Duration) -> bool {
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         self.open_files.iter().any(|open| now.saturating_sub(open.stamp.modified()) < age)
     }
 
     /// Whether all files are unchanged since they were read. A file that was renamed is unchanged.
-    pub fn stood_still(&mut self) -> bool {
+    pub fn is_stable(&mut self) -> bool {
         let mut files = self.open_files.iter_mut().zip(&self.bundle.files);
         files.all(|(open, file)| open.is_unchanged(&file.text))
     }
@@ -176,7 +176,7 @@
 }
 
 fn whole_file(path: &Path, message: impl Into<String>) -> Diagnostic {
-    Diagnostic::whole(&path.display().to_string(), message)
+    Diagnostic::for_file(&path.display().to_string(), message)
 }
 
 /// The name of a file; empty if it is not UTF-8.
--- a/src/inventory/list.rs
+++ b/src/inventory/list.rs
@@ -37,7 +37,7 @@
     if records.is_empty() && !options.partial && problems.is_empty() {
         let file = bundle.files.iter().find(|file| file.role == Role::Inventory);
         let name = file.map_or("", |file| &*file.name);
-        problems.push(Diagnostic::whole(name, "names no node"));
+        problems.push(Diagnostic::for_file(name, "names no node"));
     }
     if !problems.is_empty() {
         return Err(Diagnostics(problems));
@@ -46,7 +46,7 @@
         records,
         files: bundle.files.iter().map(|file| file.name.clone()).collect(),
         digest: digest(bundle),
-        ragged: false,
+        truncated_mid_line: false,
         partial: options.partial,
     })
 }
--- a/src/inventory/mapping/reader.rs
+++ b/src/inventory/mapping/reader.rs
@@ -201,7 +201,7 @@
     if value.tag == "vault" {
         return Err(FieldError::Encrypted);
     }
-    let text = value.text().ok_or_else(|| FieldError::NotScalar(value.what()))?;
+    let text = value.as_str().ok_or_else(|| FieldError::NotScalar(value.kind_name()))?;
     if TEMPLATE_MARKS.iter().any(|mark| text.contains(mark)) {
         return Err(FieldError::Template(text.to_owned()));
     }
--- a/src/inventory/options.rs
+++ b/src/inventory/options.rs
@@ -61,7 +61,7 @@
     /// Whether a complete file has its SHA-256 in a file of the same name with `.sha256`.
     pub checksum: bool,
     /// Whether a complete file may lack the last line end.
-    pub ragged_is_whole: bool,
+    pub accepts_missing_final_newline: bool,
     /// Upper bounds.
     pub bounds: Bounds,
 }
--- a/src/inventory/read.rs
+++ b/src/inventory/read.rs
@@ -1,7 +1,7 @@
 //! From the files of an inventory to its hosts, and from those to a list of endpoint records.
 
 use super::ansible::Hosts;
-use super::completeness::{complete_text, is_ragged, without_ragged_lines};
+use super::completeness::{complete_text, is_truncated_mid_line, without_truncated_lines};
 use super::files::{Bundle, BundleFile, Role};
 use super::list::endpoint_list;
 use super::options::{Format, Options};
@@ -17,16 +17,16 @@
 pub fn read(bundle: &Bundle, options: &Options) -> Result<FileList, Diagnostics> {
     let hosts = hosts(bundle, options)?;
     let mut list = endpoint_list(&hosts, bundle, options)?;
-    if !options.ragged_is_whole && bundle.files.iter().any(is_ragged) {
-        list.ragged = true;
+    if !options.accepts_missing_final_newline && bundle.files.iter().any(is_truncated_mid_line) {
+        list.truncated_mid_line = true;
         withdraw_uncertain_drains(&mut list, bundle, options);
     }
     Ok(list)
 }
 
-/// A name may be cut short in the last line of a ragged file: a host is draining only if complete lines say so.
+/// A name may be cut short in the last line of a file that is truncated mid-line: a host is draining only if complete lines say so.
 fn withdraw_uncertain_drains(list: &mut FileList, bundle: &Bundle, options: &Options) {
-    let complete_lines = without_ragged_lines(bundle);
+    let complete_lines = without_truncated_lines(bundle);
     let certain = hosts(&complete_lines, options)
         .and_then(|hosts| endpoint_list(&hosts, &complete_lines, options))
         .unwrap_or_default();
@@ -71,7 +71,7 @@
     // A group nests its hosts and children one level deeper than itself.
     let bounds = yaml::Bounds { depth: options.bounds.depth * 2, values: options.bounds.values };
     let tree = yaml::parse(text, &bounds)
-        .map_err(|error| Diagnostic::at(&file.name, error.line, "", error.problem))?;
+        .map_err(|error| Diagnostic::at(&file.name, error.line, "", error.message))?;
     hosts.add_yaml(number, file, &tree, problems);
     Ok(())
 }
--- a/src/json.rs
+++ b/src/json.rs
@@ -10,9 +10,6 @@
 use std::fmt;
 use std::rc::Rc;
 
-/// The earlier name of [`ObjectScanner`].
-pub use self::ObjectScanner as Object;
-
 /// A field that is missing or has a value that cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FieldError {
@@ -315,7 +312,7 @@
 
 impl ObjectScanner {
     /// Whether no object has begun in the bytes scanned so far.
-    pub fn is_outside(&self) -> bool {
+    pub fn is_before_object(&self) -> bool {
         self.depth == 0
     }
 
@@ -324,7 +321,7 @@
     ///
     /// # Errors
     /// The body holds something other than an object.
-    pub fn end(&mut self, body: &[u8]) -> Result<Option<usize>, ScanError> {
+    pub fn find_end(&mut self, body: &[u8]) -> Result<Option<usize>, ScanError> {
         while let Some(byte) = body.get(self.scanned) {
             self.scanned += 1;
             match byte {
--- a/src/ledger/accounts.rs
+++ b/src/ledger/accounts.rs
@@ -39,7 +39,7 @@
 impl UnknownTenants {
     /// The account that an entry is billed to; a new unknown name gets an account while there is capacity.
     pub(super) fn account_of(&mut self, entry: &Entry) -> Account {
-        if entry.known {
+        if entry.tenant_is_known {
             return Account::Tenant(entry.tenant.clone());
         }
         if self.names.len() < MAX_UNKNOWN_TENANTS {
@@ -96,13 +96,13 @@
         match entry.outcome {
             outcome if outcome.is_billed() => {
                 self.billed += 1;
-                self.parts += u64::from(entry.served);
+                self.parts += u64::from(entry.parts_served);
                 self.work += entry.work;
             }
-            Outcome::Refused => self.rejected += 1,
+            Outcome::Rejected => self.rejected += 1,
             _ => self.failed += 1,
         }
-        self.requested_parts += u64::from(entry.asked);
+        self.requested_parts += u64::from(entry.parts);
         self.attempts += u64::from(entry.attempts);
         self.late += u64::from(late);
     }
--- a/src/ledger/export.rs
+++ b/src/ledger/export.rs
@@ -70,7 +70,7 @@
             return;
         }
         // An export names each unknown tenant: unlike the book it is written once and needs no bound.
-        let account = match entry.known {
+        let account = match entry.tenant_is_known {
             true => Account::Tenant(entry.tenant.clone()),
             false => Account::Unknown(entry.tenant.clone()),
         };
--- a/src/ledger/journal/field.rs
+++ b/src/ledger/journal/field.rs
@@ -88,8 +88,8 @@
 
     pub fn share(&mut self) -> Option<Share> {
         match self.byte()? {
-            0 => Some(Share::Within),
-            1 => Some(Share::Beyond),
+            0 => Some(Share::WithinQuota),
+            1 => Some(Share::OverQuota),
             _ => None,
         }
     }
--- a/src/ledger/journal/record.rs
+++ b/src/ledger/journal/record.rs
@@ -63,11 +63,11 @@
     into.push(kind::ENTRY);
     put_signed(into, entry.at);
     put_text(into, &entry.tenant);
-    into.push(u8::from(entry.known));
+    into.push(u8::from(entry.tenant_is_known));
     put_text(into, &entry.class);
     put_text(into, &entry.query);
-    put_number(into, u64::from(entry.asked));
-    put_number(into, u64::from(entry.served));
+    put_number(into, u64::from(entry.parts));
+    put_number(into, u64::from(entry.parts_served));
     put_number(into, u64::from(entry.attempts));
     put_number(into, entry.work);
     into.push(entry.outcome as u8);
@@ -127,11 +127,11 @@
     Some(Entry {
         at: fields.signed()?,
         tenant: fields.text()?,
-        known: fields.flag()?,
+        tenant_is_known: fields.flag()?,
         class: fields.text()?,
         query: fields.text()?,
-        asked: fields.small_number()?,
-        served: fields.small_number()?,
+        parts: fields.small_number()?,
+        parts_served: fields.small_number()?,
         attempts: fields.small_number()?,
         work: fields.number()?,
         outcome: *Outcome::ALL.get(usize::from(fields.byte()?))?,
--- a/src/ledger/metrics.rs
+++ b/src/ledger/metrics.rs
@@ -51,7 +51,7 @@
 impl TenantMetrics {
     /// Counts an entry.
     pub fn count(&self, entry: &Entry) {
-        let tenant = if entry.known { entry.tenant.as_str() } else { UNKNOWN_TENANT };
+        let tenant = if entry.tenant_is_known { entry.tenant.as_str() } else { UNKNOWN_TENANT };
         let labels = Labels {
             tenant: tenant.to_owned(),
             class: entry.class.clone(),
@@ -60,7 +60,7 @@
         };
         self.queries.get_or_create(&labels).inc();
         if entry.outcome.is_billed() {
-            self.parts.get_or_create(&labels).inc_by(u64::from(entry.served));
+            self.parts.get_or_create(&labels).inc_by(u64::from(entry.parts_served));
             self.work.get_or_create(&labels).inc_by(entry.work);
         }
         self.attempts.get_or_create(&labels).inc_by(u64::from(entry.attempts));
--- a/src/ledger/record.rs
+++ b/src/ledger/record.rs
@@ -7,44 +7,44 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Outcome {
     /// A complete answer.
-    Whole,
+    Complete,
     /// A partial answer.
     Partial,
     /// Rejected; not billed.
-    Refused,
+    Rejected,
     /// Failed; not billed.
     Failed,
     /// Its deadline passed; not billed.
     Expired,
     /// Its client disconnected before the answer; not billed.
-    Gone,
+    ClientDisconnected,
 }
 
 impl Outcome {
     /// All outcomes; the index is the number in the journal.
     pub const ALL: [Outcome; 6] = [
-        Outcome::Whole,
+        Outcome::Complete,
         Outcome::Partial,
-        Outcome::Refused,
+        Outcome::Rejected,
         Outcome::Failed,
         Outcome::Expired,
-        Outcome::Gone,
+        Outcome::ClientDisconnected,
     ];
 
     /// Whether a query with this outcome is billed: only answered ones are.
     pub fn is_billed(self) -> bool {
-        matches!(self, Outcome::Whole | Outcome::Partial)
+        matches!(self, Outcome::Complete | Outcome::Partial)
     }
 
     /// The name in exports, metric labels and command output.
     pub fn word(self) -> &'static str {
         match self {
-            Outcome::Whole => "whole",
+            Outcome::Complete => "whole",
             Outcome::Partial => "partial",
-            Outcome::Refused => "refused",
+            Outcome::Rejected => "refused",
             Outcome::Failed => "failed",
             Outcome::Expired => "expired",
-            Outcome::Gone => "gone",
+            Outcome::ClientDisconnected => "gone",
         }
     }
 }
@@ -53,17 +53,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Share {
     /// Within the quota.
-    Within,
+    WithinQuota,
     /// Beyond the quota; counted on a line of its own.
-    Beyond,
+    OverQuota,
 }
 
 impl Share {
     /// The name in exports, metric labels and command output.
     pub fn word(self) -> &'static str {
         match self {
-            Share::Within => "within",
-            Share::Beyond => "beyond",
+            Share::WithinQuota => "within",
+            Share::OverQuota => "beyond",
         }
     }
 }
@@ -76,15 +76,15 @@
     /// The tenant as the client named it.
     pub tenant: String,
     /// Whether the settings know that tenant.
-    pub known: bool,
+    pub tenant_is_known: bool,
     /// The query class.
     pub class: String,
     /// The client's id of the query.
     pub query: String,
     /// Parts requested.
-    pub asked: u32,
+    pub parts: u32,
     /// Parts served, each counted once however many attempts it took.
-    pub served: u32,
+    pub parts_served: u32,
     /// Attempts sent; a cost that is not billed.
     pub attempts: u32,
     /// Work billed, in thousandths of a unit of the price list.
@@ -229,8 +229,8 @@
         entry.tenant,
         entry.class,
         entry.query,
-        entry.served,
-        entry.asked,
+        entry.parts_served,
+        entry.parts,
         entry.attempts,
         entry.work / 1000,
         entry.work % 1000,
--- a/src/ledger/writer/queue.rs
+++ b/src/ledger/writer/queue.rs
@@ -51,7 +51,7 @@
 impl Handle {
     /// Enqueues an entry and returns its number, without waiting. If the queue is full the entry is lost; a gap that
     /// says so goes ahead of the next entry that fits.
-    pub fn put(&mut self, entry: Entry) -> u64 {
+    pub fn enqueue(&mut self, entry: Entry) -> u64 {
         self.newest += 1;
         let at = entry.at;
         if let Some(gap) = self.lost.gap()
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -16,9 +16,6 @@
 use tracing_subscriber::util::SubscriberInitExt;
 use tracing_subscriber::{Layer, fmt, registry};
 
-/// The earlier name of [`endpoint_event`].
-pub use self::endpoint_event as notice;
-
 /// Starts the log for the whole process; a second start changes nothing. Libraries log warnings and errors only.
 pub fn start(record: &LogRecord) {
     let level = level_filter(record.level);
@@ -53,12 +50,12 @@
         AuditEvent::ListApplied { source, digest, summary, difference, confirmed } => info!(
             file = file(source),
             digest = &**digest,
-            nodes = summary.nodes,
+            nodes = summary.endpoints,
             draining = summary.draining,
             added = difference.added,
-            gone = difference.gone,
-            drained = difference.drained,
-            readied = difference.readied,
+            gone = difference.removed,
+            drained = difference.started_draining,
+            readied = difference.stopped_draining,
             changed = difference.changed,
             confirmed,
             "list taken"
@@ -69,9 +66,9 @@
             complete,
             nodes,
             added = difference.added,
-            gone = difference.gone,
-            drained = difference.drained,
-            readied = difference.readied,
+            gone = difference.removed,
+            drained = difference.started_draining,
+            readied = difference.stopped_draining,
             changed = difference.changed,
             "discovery's list taken"
         ),
@@ -80,9 +77,9 @@
             digest = &**digest,
             reason = %reason,
             added = difference.added,
-            gone = difference.gone,
-            drained = difference.drained,
-            readied = difference.readied,
+            gone = difference.removed,
+            drained = difference.started_draining,
+            readied = difference.stopped_draining,
             changed = difference.changed,
             "list held back, its drains are taken; confirm it by: sailmux inventory confirm {}",
             file(source)
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -154,7 +154,7 @@
         Err(status) => (status, "no such call\n"),
         Ok(command) => match execute(command, &requests).await {
             AdminOutcome::Accepted => (StatusCode::OK, "yes\n"),
-            AdminOutcome::Refused => (StatusCode::SERVICE_UNAVAILABLE, "no\n"),
+            AdminOutcome::Rejected => (StatusCode::SERVICE_UNAVAILABLE, "no\n"),
             AdminOutcome::UnknownEndpoint => (StatusCode::NOT_FOUND, "no such leaf server\n"),
         },
     };
@@ -171,8 +171,8 @@
     let description = format!("{command:?}");
     let (reply, outcome) = oneshot::channel();
     let outcome = match requests.send(AdminRequest { command, reply }).await {
-        Ok(()) => outcome.await.unwrap_or(AdminOutcome::Refused),
-        Err(_) => AdminOutcome::Refused,
+        Ok(()) => outcome.await.unwrap_or(AdminOutcome::Rejected),
+        Err(_) => AdminOutcome::Rejected,
     };
     if !is_question {
         info!(command = description, outcome = ?outcome, "admin command");
--- a/src/net/discovery_watch/answer.rs
+++ b/src/net/discovery_watch/answer.rs
@@ -1,6 +1,6 @@
 //! Reads discovery's answer: its head, and the JSON lines of its body. Nothing here reads a socket.
 
-use crate::config::node_list;
+use crate::config::parse_endpoint_list;
 use crate::endpoints::EndpointList;
 use crate::json::{Field, FieldError, ObjectScanner, ScanError};
 use crate::net::chunked::{BodyState, ChunkDecoder, MalformedChunk};
@@ -61,7 +61,7 @@
 
     /// Whether what has arrived of the body ends between two lists.
     pub fn is_between_lines(&self) -> bool {
-        self.object.is_outside()
+        self.object.is_before_object()
     }
 
     /// # Errors
@@ -89,7 +89,9 @@
     /// # Errors
     /// It cannot be read.
     pub fn next_list(&mut self) -> Result<Option<EndpointList>, MalformedAnswer> {
-        let Some(end) = self.object.end(&self.body).map_err(MalformedAnswer::Line)? else { return Ok(None) };
+        let Some(end) = self.object.find_end(&self.body).map_err(MalformedAnswer::Line)? else {
+            return Ok(None);
+        };
         let list = parse_list(&self.body.split_to(end))?;
         self.object = ObjectScanner::default();
         Ok(Some(list))
@@ -97,7 +99,7 @@
 
     /// Drops what is outside of objects; whether there was any. Discovery sends empty lines as a heartbeat.
     pub fn skip_empty_lines(&mut self) -> bool {
-        if !self.object.is_outside() {
+        if !self.object.is_before_object() {
             return false;
         }
         let has_skipped = !self.body.is_empty();
@@ -139,5 +141,5 @@
 fn parse_list(line: &[u8]) -> Result<EndpointList, MalformedAnswer> {
     let text = std::str::from_utf8(line).map_err(MalformedAnswer::NotText)?;
     let value: Value = miniserde::json::from_str(text).map_err(|_| MalformedAnswer::NotJson)?;
-    node_list(&Field::root(&value)).map_err(MalformedAnswer::List)
+    parse_endpoint_list(&Field::root(&value)).map_err(MalformedAnswer::List)
 }
--- a/src/net/discovery_watch/mod.rs
+++ b/src/net/discovery_watch/mod.rs
@@ -217,8 +217,8 @@
     /// The generation is kept for the next watch only once the aggregator has the list.
     async fn send_list(&self, list: EndpointList) -> Result<(), AggregatorStopped> {
         let generation = list.generation;
-        let wall_ahead = self.clock.wall_ahead();
-        self.events.send(Event::EndpointList { list, wall_ahead }).await?;
+        let wall_clock_offset = self.clock.wall_clock_offset();
+        self.events.send(Event::EndpointList { list, wall_clock_offset }).await?;
         self.generation.set(generation);
         Ok(())
     }
--- a/src/net/effects.rs
+++ b/src/net/effects.rs
@@ -91,7 +91,7 @@
             Effect::OverridesApplied(digest) => self.overrides_applied(digest),
             Effect::LifecycleChanged { from, to, ready } => self.lifecycle_changed(from, to, ready),
             Effect::Log(event) => logging::aggregator_event(&event),
-            Effect::EndpointAudit(event) => logging::notice(&event, &self.inventory_paths),
+            Effect::EndpointAudit(event) => logging::endpoint_event(&event, &self.inventory_paths),
             Effect::Exit => return ControlFlow::Break(()),
         }
         ControlFlow::Continue(())
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -185,12 +185,12 @@
                 return Event::ReloadRejected;
             }
         };
-        self.config_keys = config.shape;
+        self.config_keys = config.setting_keys;
         if let Some(watch) = &mut self.discovery_watch {
             watch.follow(config.discovery, self.state.settings());
         }
         info!("sailmux {name}: configuration reloaded");
-        let limits = Limits::for_descriptors(config.max_descriptors);
+        let limits = Limits::of_max_descriptors(config.max_descriptors);
         Event::SettingsReloaded(Box::new(config.settings), limits)
     }
 
--- a/src/net/hot_restart.rs
+++ b/src/net/hot_restart.rs
@@ -203,7 +203,7 @@
     }
 
     fn store(&mut self, overrides: &Overrides, reply: oneshot::Sender<AdminOutcome>) {
-        let now = self.clock.now() + self.clock.wall_ahead();
+        let now = self.clock.now() + self.clock.wall_clock_offset();
         let (merged, found) = match self.directory.merge_overrides(overrides, now - CANCELLED_RETENTION) {
             Ok(merged) => merged,
             Err(error) => {
--- a/src/net/inventory_watch/mod.rs
+++ b/src/net/inventory_watch/mod.rs
@@ -150,7 +150,7 @@
             let InventoryFile { path, options, .. } = &watched.file;
             let confirmation = fs::read_to_string(confirmation_path(path)).unwrap_or_default();
             if let Some(digest) = confirmation.split_whitespace().next() {
-                watched.poller.confirmation(now, digest);
+                watched.poller.on_confirmation_found(now, digest);
             }
             let signature = inventory::signature(path);
             if watched.poller.must_open(now, &signature) {
@@ -167,18 +167,18 @@
         let watched = &mut self.files[index];
         let number = watched.number;
         let (check, bundle) = check(content);
-        let mut decision = watched.poller.opened(self.clock.now(), signature, check);
+        let mut decision = watched.poller.on_checked(self.clock.now(), signature, check);
         if let (PollDecision::Read, Some(bundle)) = (&decision, bundle) {
             match inventory::read(&bundle, &watched.file.options) {
                 Ok(list) => {
                     let list = Arc::new(list);
-                    watched.poller.read(list.digest.clone());
+                    watched.poller.on_submitted(list.digest.clone());
                     watched.retain(list.clone());
                     self.send(endpoints::Input::File(number, list))?;
                     return Ok(Stability::Stable);
                 }
                 Err(problems) => {
-                    decision = watched.poller.refused(self.clock.now(), summary(&problems));
+                    decision = watched.poller.on_rejected(self.clock.now(), summary(&problems));
                 }
             }
         }
@@ -199,7 +199,7 @@
     fn send_confirmations(&mut self) -> Result<(), AggregatorStopped> {
         for index in 0..self.files.len() {
             let watched = &mut self.files[index];
-            let Some(digest) = watched.poller.confirmed(self.clock.now()) else { continue };
+            let Some(digest) = watched.poller.take_due_confirmation(self.clock.now()) else { continue };
             let number = watched.number;
             let path = confirmation_path(&watched.file.path);
             // One that cannot be removed is passed on again, which changes nothing.
@@ -213,8 +213,8 @@
     }
 
     fn send(&self, input: endpoints::Input) -> Result<(), AggregatorStopped> {
-        let wall_ahead = self.clock.wall_ahead();
-        self.events.blocking_send(Event::EndpointSource { input, wall_ahead })
+        let wall_clock_offset = self.clock.wall_clock_offset();
+        self.events.blocking_send(Event::EndpointSource { input, wall_clock_offset })
     }
 }
 
@@ -224,9 +224,9 @@
         Ok(gathered) => gathered,
         Err(problems) => return (FileCheck::Unreadable(summary(&problems)), None),
     };
-    let is_stable = gathered.stood_still();
+    let is_stable = gathered.is_stable();
     let granularity = Duration::from_secs_f64(FilePoller::<Signature>::timestamp_granularity() / 1e3);
-    let recently_modified = gathered.is_young(granularity);
+    let recently_modified = gathered.modified_within(granularity);
     if !is_stable {
         return (FileCheck::BeingWritten, None);
     }
--- a/src/net/ledger_writer.rs
+++ b/src/net/ledger_writer.rs
@@ -59,7 +59,7 @@
         clock: Clock,
     ) -> io::Result<Self> {
         let wall_clock = clock.clone();
-        let unix_now = move || (wall_clock.now() + wall_clock.wall_ahead()) as i64;
+        let unix_now = move || (wall_clock.now() + wall_clock.wall_clock_offset()) as i64;
         let directory = settings.dir.display().to_string();
         let disk = RealDisk::own(&settings.dir)?;
         let (store, recovery) =
@@ -94,8 +94,8 @@
 
     /// Records the end of a client's query; its reply follows.
     pub fn record(&mut self, client: ClientId, mut entry: Entry) {
-        entry.at += self.clock.wall_ahead() as i64;
-        let number = self.entries.put(entry);
+        entry.at += self.clock.wall_clock_offset() as i64;
+        let number = self.entries.enqueue(entry);
         if self.max_reply_wait.is_some() {
             self.entry_numbers.insert(client, number);
         }
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -54,7 +54,7 @@
 async fn start(listener: TcpListener, config: Config) -> io::Result<EventLoop> {
     let clock = Rc::new(Clock::system());
     let signals = Signals::install()?;
-    let limits = Limits::for_descriptors(config.max_descriptors);
+    let limits = Limits::of_max_descriptors(config.max_descriptors);
     let (events, inputs) = event_queue();
     let InitialOverrides { hot_restart, overrides } = load_overrides(&config, &events, &clock);
     debug!("{limits:?} {:?}", config.settings);
@@ -65,7 +65,7 @@
     let admin_requests = start_admin(config.admin_address, &config.name)?;
     let ledger = match ledger {
         Some(settings) => {
-            state.keep_ledger(settings.prices.clone());
+            state.enable_ledger(settings.prices.clone());
             Some(LedgerWriter::start(settings, &config.name, events.clone(), (*clock).clone())?)
         }
         None => None,
@@ -89,7 +89,7 @@
         inputs,
         admin_requests,
         signals,
-        config_keys: config.shape,
+        config_keys: config.setting_keys,
         discovery_watch: None,
     };
     let digest = snapshot::digest(&overrides);
@@ -173,8 +173,8 @@
         known: uses_discovery.then_some(discovery.known),
         files: inventory.as_ref().map(inventory_watch::initial_lists).unwrap_or_default(),
     };
-    let wall_ahead = event_loop.clock.wall_ahead();
-    let _ = event_loop.handle(Event::EndpointSource { input, wall_ahead });
+    let wall_clock_offset = event_loop.clock.wall_clock_offset();
+    let _ = event_loop.handle(Event::EndpointSource { input, wall_clock_offset });
     if let Some(inventory) = inventory {
         inventory_watch::start(inventory, events.clone(), (*event_loop.clock).clone())?;
     }
--- a/src/yaml.rs
+++ b/src/yaml.rs
@@ -34,18 +34,18 @@
     /// The line, from 1.
     pub line: u32,
     /// What is wrong.
-    pub problem: String,
+    pub message: String,
 }
 
 impl YamlError {
     fn at(line: u32, message: impl Into<String>) -> Self {
-        YamlError { line, problem: message.into() }
+        YamlError { line, message: message.into() }
     }
 }
 
 impl fmt::Display for YamlError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "line {}: {}", self.line, self.problem)
+        write!(f, "line {}: {}", self.line, self.message)
     }
 }
 
@@ -98,7 +98,7 @@
     }
 
     /// A scalar's text as written; `None` for null, lists and maps.
-    pub fn text(&self) -> Option<&str> {
+    pub fn as_str(&self) -> Option<&str> {
         match &self.kind {
             Kind::Scalar(text, _) if !self.is_null() => Some(text),
             _ => None,
@@ -128,7 +128,7 @@
     }
 
     /// A truth value, in the words of YAML 1.1 that configuration tools use.
-    pub fn flag(&self) -> Option<bool> {
+    pub fn as_bool(&self) -> Option<bool> {
         let Kind::Scalar(text, true) = &self.kind else { return None };
         match text.to_ascii_lowercase().as_str() {
             "true" | "yes" | "on" => Some(true),
@@ -138,7 +138,7 @@
     }
 
     /// What kind of value it is, for error messages.
-    pub fn what(&self) -> &'static str {
+    pub fn kind_name(&self) -> &'static str {
         match &self.kind {
             Kind::Scalar(..) if self.is_null() => "nothing",
             Kind::Scalar(..) => "a single value",
--- a/tests/aggregator.rs
+++ b/tests/aggregator.rs
@@ -27,7 +27,7 @@
 }
 
 fn change_endpoints(state: &mut State, now: f64, input: Input) -> Vec<Effect> {
-    reduce(state, now, Event::EndpointSource { input, wall_ahead: 0.0 })
+    reduce(state, now, Event::EndpointSource { input, wall_clock_offset: 0.0 })
 }
 
 /// An aggregator with these leaf servers and a configuration.
@@ -35,7 +35,7 @@
     let path = scratch("aggregator").join("config.json");
     std::fs::write(&path, config).expect("written");
     let settings = Config::at(&path).expect("a valid configuration").settings;
-    let limits = Limits::for_descriptors(1024);
+    let limits = Limits::of_max_descriptors(1024);
     let mut state = State::new(settings, limits, 7, Default::default()).expect("valid settings");
     let files = vec![inventory(servers)];
     change_endpoints(&mut state, START, Input::Started { known: None, files });
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -188,11 +188,11 @@
     assert_eq!(paths, [Path::new("/etc/sailmux/n.csv"), Path::new("/abs/drains.csv")]);
     assert!(!inventory.discovery && inventory.watch == WatchRecord::Poll);
     assert_eq!((inventory.poll, inventory.settle), (Duration::from_millis(100), Duration::from_millis(25)));
-    assert_eq!((inventory.guard.most_lost, inventory.guard.confirm_after), (0.5, Some(2000.0)));
+    assert_eq!((inventory.guard.max_removed_fraction, inventory.guard.confirm_after), (0.5, Some(2000.0)));
     let options = &inventory.files[0].options;
     assert!(options.format == Some(Format::Csv) && options.delimiter == Some(b';'));
     assert_eq!(options.mapping.fields[&EndpointField::Zone], "Site");
-    assert!(options.ragged_is_whole && !options.partial && inventory.files[1].options.partial);
+    assert!(options.accepts_missing_final_newline && !options.partial && inventory.files[1].options.partial);
 
     let ledger = operator.ledger.expect("a ledger");
     assert_eq!(ledger.dir, Path::new("/etc/sailmux/book"));
--- a/tests/endpoints/harness.rs
+++ b/tests/endpoints/harness.rs
@@ -15,7 +15,7 @@
         address: sourced(format!("{name}:1").into()),
         cell: sourced(cell),
         state: state.and_then(sourced),
-        ..EndpointRecord::named(name, LOCATION)
+        ..EndpointRecord::new(name, LOCATION)
     }
 }
 
@@ -59,7 +59,7 @@
     }
 
     pub fn state(&self, name: &str) -> Option<EndpointState> {
-        self.registry.endpoint(name).map(|merged| merged.entry.state)
+        self.registry.endpoint(name).map(|merged| merged.endpoint.state)
     }
 
     pub fn hold_reason(&self) -> Option<HoldReason> {
--- a/tests/endpoints/main.rs
+++ b/tests/endpoints/main.rs
@@ -89,11 +89,11 @@
     let mut harness = Harness::new(None, vec![ready_list("six", &SIX)]);
     let mut seven = SIX.to_vec();
     seven.push(("c0", 0));
-    let truncated = FileList { ragged: true, ..(*ready_list("truncated", &seven)).clone() };
+    let truncated = FileList { truncated_mid_line: true, ..(*ready_list("truncated", &seven)).clone() };
     harness.handle(1.0, Input::File(0, Arc::new(truncated)));
     assert_eq!(harness.hold_reason(), Some(HoldReason::TruncatedMidLine));
     assert_eq!(harness.endpoint_count(), 6);
-    let unchanged = FileList { ragged: true, ..(*ready_list("unchanged", &SIX)).clone() };
+    let unchanged = FileList { truncated_mid_line: true, ..(*ready_list("unchanged", &SIX)).clone() };
     harness.handle(2.0, Input::File(0, Arc::new(unchanged)));
     assert!(harness.list_was_applied());
 }
@@ -106,7 +106,7 @@
         entries: names.iter().map(|name| entry(name, 0, EndpointState::Ready)).collect(),
     };
     let mut harness = Harness::new(Some(complete(&["a0", "b0"])), vec![ready_list("six", &SIX)]);
-    let address = harness.registry.endpoint("a0").map(|merged| merged.entry.address.to_string());
+    let address = harness.registry.endpoint("a0").map(|merged| merged.endpoint.address.to_string());
     assert_eq!(address, Some("a0:9".into()), "discovery's address");
     // Discovery removes all it had: that takes effect, and the files do not bring it back.
     harness.handle(1.0, Input::Discovery(complete(&[])));
@@ -151,7 +151,7 @@
     let mut harness = Harness::new(None, vec![ready_list("six", &SIX), Arc::new(partial.clone())]);
     let draining = |name: &str| EndpointRecord {
         state: sourced(EndpointState::Draining),
-        ..EndpointRecord::named(name, SourceLocation::default())
+        ..EndpointRecord::new(name, SourceLocation::default())
     };
     partial.records = vec![draining("a1"), draining("nobody")];
     partial.digest = "d2".into();
@@ -189,8 +189,8 @@
         Some(Difference::of(changes.values()))
     };
     assert_eq!(difference(1, 2), Some(Difference { added: 1, ..Default::default() }));
-    assert_eq!(difference(2, 3), Some(Difference { gone: 1, changed: 1, ..Default::default() }));
-    assert_eq!(difference(1, 3), Some(Difference { added: 1, gone: 1, ..Default::default() }));
+    assert_eq!(difference(2, 3), Some(Difference { removed: 1, changed: 1, ..Default::default() }));
+    assert_eq!(difference(1, 3), Some(Difference { added: 1, removed: 1, ..Default::default() }));
     assert_eq!(difference(3, 3), Some(Difference::default()));
     assert_eq!(difference(1, 4), None);
     for i in 0..500 {
--- a/tests/endpoints/precedence.rs
+++ b/tests/endpoints/precedence.rs
@@ -165,7 +165,7 @@
     #[test]
     fn precedence_agrees_with_the_model(updates in updates()) {
         // A guard that holds back only empty lists, and confirms them at once.
-        let guard = GuardSettings { most_lost: 1.0, confirm_after: Some(0.0) };
+        let guard = GuardSettings { max_removed_fraction: 1.0, confirm_after: Some(0.0) };
         let empty = || list("empty", vec![]);
         let mut harness =
             Harness::with_guard(guard, Some(EndpointList::default()), vec![empty(), empty()]);
@@ -184,7 +184,7 @@
             for number in 0..5u8 {
                 let name = endpoint_name(number);
                 let expected = model.endpoint(number);
-                let merged = harness.registry.endpoint(&name).map(|merged| Expected::of(&merged.entry));
+                let merged = harness.registry.endpoint(&name).map(|merged| Expected::of(&merged.endpoint));
                 prop_assert_eq!(merged, expected, "{} after step {}", name, step);
                 let received = aggregator.get(name.as_str()).map(Expected::of);
                 prop_assert_eq!(received, expected, "the aggregator's {} after step {}", name, step);
--- a/tests/file_polling.rs
+++ b/tests/file_polling.rs
@@ -10,19 +10,23 @@
 fn a_file_is_opened_when_its_signature_changes_and_again_while_it_is_recently_modified() {
     let mut poller = FilePoller::new("one".into());
     assert!(poller.must_open(0.0, &1));
-    assert_eq!(poller.opened(0.0, 1, stable("one", false)), PollDecision::Nothing, "submitted at the start");
+    assert_eq!(
+        poller.on_checked(0.0, 1, stable("one", false)),
+        PollDecision::Nothing,
+        "submitted at the start"
+    );
     assert!(!poller.must_open(200.0, &1));
     assert_eq!(poller.next_poll_after(200.0), 200.0);
     assert!(poller.must_open(400.0, &2));
-    assert_eq!(poller.opened(400.0, 2, FileCheck::BeingWritten), PollDecision::ReadAgain);
+    assert_eq!(poller.on_checked(400.0, 2, FileCheck::BeingWritten), PollDecision::ReadAgain);
     assert!(poller.must_open(425.0, &2), "it was not stable");
-    assert_eq!(poller.opened(425.0, 2, stable("two", true)), PollDecision::Read);
-    poller.read("two".into());
+    assert_eq!(poller.on_checked(425.0, 2, stable("two", true)), PollDecision::Read);
+    poller.on_submitted("two".into());
     // Recently modified: a further write may leave the modification time unchanged.
     assert!(poller.next_poll_after(200.0) < 50.0);
     assert!(!poller.must_open(426.0, &2));
     assert!(poller.must_open(470.0, &2));
-    assert_eq!(poller.opened(470.0, 2, stable("two", false)), PollDecision::Nothing);
+    assert_eq!(poller.on_checked(470.0, 2, stable("two", false)), PollDecision::Nothing);
     assert!(!poller.must_open(700.0, &2));
 }
 
@@ -30,15 +34,19 @@
 fn a_file_absent_for_a_moment_is_not_reported_and_one_that_stays_absent_is_reported_once() {
     let mut poller = FilePoller::new("one".into());
     let absent = || FileCheck::Unreadable("no such file".into());
-    assert_eq!(poller.opened(0.0, 1, absent()), PollDecision::Nothing);
-    assert_eq!(poller.opened(300.0, 1, absent()), PollDecision::Nothing);
-    assert_eq!(poller.opened(400.0, 2, stable("one", false)), PollDecision::Nothing, "it is back unchanged");
-    assert_eq!(poller.opened(600.0, 3, absent()), PollDecision::Nothing, "the time counts anew");
+    assert_eq!(poller.on_checked(0.0, 1, absent()), PollDecision::Nothing);
+    assert_eq!(poller.on_checked(300.0, 1, absent()), PollDecision::Nothing);
+    assert_eq!(
+        poller.on_checked(400.0, 2, stable("one", false)),
+        PollDecision::Nothing,
+        "it is back unchanged"
+    );
+    assert_eq!(poller.on_checked(600.0, 3, absent()), PollDecision::Nothing, "the time counts anew");
     assert!(poller.must_open(700.0, &3));
-    assert_eq!(poller.opened(1100.0, 3, absent()), PollDecision::Reject("no such file".into()));
+    assert_eq!(poller.on_checked(1100.0, 3, absent()), PollDecision::Reject("no such file".into()));
     assert!(!poller.must_open(9000.0, &3), "not before its signature changes");
     // Back unchanged: submitted again, since another list may be held back meanwhile.
-    assert_eq!(poller.opened(9100.0, 4, stable("one", false)), PollDecision::Read);
+    assert_eq!(poller.on_checked(9100.0, 4, stable("one", false)), PollDecision::Read);
 }
 
 #[test]
@@ -46,7 +54,7 @@
     let mut poller: FilePoller<u32> = FilePoller::new("one".into());
     let reported = (0..100).filter(|i| {
         let problem = format!("line {i} is broken");
-        matches!(poller.refused(f64::from(*i) * 50.0, problem), PollDecision::Reject(_))
+        matches!(poller.on_rejected(f64::from(*i) * 50.0, problem), PollDecision::Reject(_))
     });
     assert_eq!(reported.count(), 5);
 }
@@ -54,21 +62,29 @@
 #[test]
 fn a_repeated_problem_is_reported_once_until_a_list_is_read() {
     let mut poller: FilePoller<u32> = FilePoller::new("one".into());
-    assert_eq!(poller.refused(0.0, "x".into()), PollDecision::Reject("x".into()));
-    assert_eq!(poller.refused(5000.0, "x".into()), PollDecision::Nothing);
-    poller.read("two".into());
-    assert_eq!(poller.refused(9000.0, "x".into()), PollDecision::Reject("x".into()), "a list came between");
+    assert_eq!(poller.on_rejected(0.0, "x".into()), PollDecision::Reject("x".into()));
+    assert_eq!(poller.on_rejected(5000.0, "x".into()), PollDecision::Nothing);
+    poller.on_submitted("two".into());
+    assert_eq!(
+        poller.on_rejected(9000.0, "x".into()),
+        PollDecision::Reject("x".into()),
+        "a list came between"
+    );
 }
 
 #[test]
 fn a_confirmation_waits_for_its_list_until_a_timeout() {
     let mut poller: FilePoller<u32> = FilePoller::new("one".into());
-    poller.confirmation(0.0, "two");
-    assert_eq!(poller.confirmed(100.0), None);
-    poller.read("two".into());
-    assert_eq!(poller.confirmed(200.0).as_deref(), Some("two"));
-    assert_eq!(poller.confirmed(200.0), None, "passed on once");
-    poller.confirmation(300.0, "nine");
-    assert_eq!(poller.confirmed(5299.0), None);
-    assert_eq!(poller.confirmed(5300.0).as_deref(), Some("nine"), "passed on, for the registry to report");
+    poller.on_confirmation_found(0.0, "two");
+    assert_eq!(poller.take_due_confirmation(100.0), None);
+    poller.on_submitted("two".into());
+    assert_eq!(poller.take_due_confirmation(200.0).as_deref(), Some("two"));
+    assert_eq!(poller.take_due_confirmation(200.0), None, "passed on once");
+    poller.on_confirmation_found(300.0, "nine");
+    assert_eq!(poller.take_due_confirmation(5299.0), None);
+    assert_eq!(
+        poller.take_due_confirmation(5300.0).as_deref(),
+        Some("nine"),
+        "passed on, for the registry to report"
+    );
 }
--- a/tests/formats/json_scanner.rs
+++ b/tests/formats/json_scanner.rs
@@ -11,7 +11,7 @@
         let mut ends = Vec::new();
         for bytes in text.as_bytes().chunks(piece) {
             body.extend_from_slice(bytes);
-            ends.extend(scanner.end(&body).expect("an object"));
+            ends.extend(scanner.find_end(&body).expect("an object"));
         }
         assert_eq!(ends, [text.len()], "pieces of {piece}");
     }
@@ -20,6 +20,6 @@
 #[test]
 fn what_is_no_object_is_rejected() {
     for text in ["noise", "\n[", "{\"a\n", "}"] {
-        assert!(ObjectScanner::default().end(text.as_bytes()).is_err(), "{text:?}");
+        assert!(ObjectScanner::default().find_end(text.as_bytes()).is_err(), "{text:?}");
     }
 }
--- a/tests/formats/truncation.rs
+++ b/tests/formats/truncation.rs
@@ -100,7 +100,7 @@
             continue;
         };
         let registry = registry_after(&old, &list);
-        let effective: Vec<Endpoint> = registry.endpoints().values().map(|e| e.entry.clone()).collect();
+        let effective: Vec<Endpoint> = registry.endpoints().values().map(|e| e.endpoint.clone()).collect();
         if registry.held_back(0).is_some() {
             counts.held_back += 1;
             assert_only_drains_applied(&effective, &old, &new, &format!("{name} cut at {cut}"));
--- a/tests/hot_restart.rs
+++ b/tests/hot_restart.rs
@@ -19,7 +19,7 @@
 fn overrides() -> impl Strategy<Value = Overrides> {
     let item = (subject(), any::<bool>(), 0u32..6).prop_map(|(subject, active, time)| {
         let given_at = f64::from(time);
-        (subject, Override { active, given_at, since: if active { given_at } else { 0.0 } })
+        (subject, Override { active, given_at, active_since: if active { given_at } else { 0.0 } })
     });
     proptest::collection::vec(item, 0..8).prop_map(|items| items.into_iter().collect())
 }
@@ -47,7 +47,7 @@
         let mut overrides = Overrides::default();
         for (subject, active, now) in commands {
             let was_active = overrides.is_active(&subject);
-            let changed = overrides.give(subject.clone(), active, f64::from(now)).expect("few");
+            let changed = overrides.set(subject.clone(), active, f64::from(now)).expect("few");
             prop_assert_eq!(overrides.is_active(&subject), active);
             prop_assert_eq!(changed, was_active != active, "a repeated command changes nothing");
         }
@@ -80,10 +80,10 @@
 fn a_leaf_server_put_back_counts_as_started_then_or_at_a_later_stated_start() {
     let mut overrides = Overrides::default();
     let subject = leaf_server("a");
-    overrides.give(subject.clone(), true, 100.0).expect("few");
-    overrides.give(subject.clone(), false, 900.0).expect("few");
+    overrides.set(subject.clone(), true, 100.0).expect("few");
+    overrides.set(subject.clone(), false, 900.0).expect("few");
     let put_back = *overrides.get(&subject).expect("recorded");
-    assert_eq!(put_back, Override { active: false, given_at: 900.0, since: 100.0 });
+    assert_eq!(put_back, Override { active: false, given_at: 900.0, active_since: 100.0 });
     for (stated, expected) in [(0.0, 900.0), (50.0, 900.0), (400.0, 400.0)] {
         let mut endpoint = Endpoint {
             name: "a".into(),
@@ -103,11 +103,11 @@
 fn overrides_are_bounded_and_old_inactive_ones_are_forgotten() {
     let mut overrides = Overrides::default();
     for i in 0..MAX_OVERRIDES {
-        overrides.give(leaf_server(format!("n{i}")), true, 1.0).expect("within the bound");
+        overrides.set(leaf_server(format!("n{i}")), true, 1.0).expect("within the bound");
     }
-    assert_eq!(overrides.give(leaf_server("one more"), true, 2.0), Err(TooManyOverrides));
+    assert_eq!(overrides.set(leaf_server("one more"), true, 2.0), Err(TooManyOverrides));
     for i in 0..MAX_OVERRIDES {
-        overrides.give(leaf_server(format!("n{i}")), false, 3.0).expect("within the bound");
+        overrides.set(leaf_server(format!("n{i}")), false, 3.0).expect("within the bound");
     }
     overrides.forget_before(4.0);
     assert_eq!(overrides.iter().count(), 0);
@@ -120,9 +120,9 @@
     let other_aggregator = SharedDirectory::open(&parent, "n1", "127.0.0.1:1").expect("created");
 
     let mut first_overrides = Overrides::default();
-    first_overrides.give(leaf_server("a"), true, 1.0).expect("few");
+    first_overrides.set(leaf_server("a"), true, 1.0).expect("few");
     let mut second_overrides = Overrides::default();
-    second_overrides.give(OverrideSubject::Aggregator, true, 2.0).expect("few");
+    second_overrides.set(OverrideSubject::Aggregator, true, 2.0).expect("few");
     directory.merge_overrides(&first_overrides, 0.0).expect("written");
     let (both, _) = directory.merge_overrides(&second_overrides, 0.0).expect("written");
     assert!(both.is_active(&OverrideSubject::Aggregator));
--- a/tests/ledger.rs
+++ b/tests/ledger.rs
@@ -22,15 +22,15 @@
     Entry {
         at,
         tenant: ["hsinyi-realty", "kaohsiung-hr", "lanyang-law"][n as usize % 3].to_owned(),
-        known: true,
+        tenant_is_known: true,
         class: "envelope-search".to_owned(),
         query: format!("q{n}"),
-        asked: 3,
-        served: 3,
+        parts: 3,
+        parts_served: 3,
         attempts: 4,
         work: 3000,
-        outcome: Outcome::Whole,
-        share: if n.is_multiple_of(5) { Share::Beyond } else { Share::Within },
+        outcome: Outcome::Complete,
+        share: if n.is_multiple_of(5) { Share::OverQuota } else { Share::WithinQuota },
     }
 }
 
@@ -41,7 +41,7 @@
         tenant: "lanyang-law".to_owned(),
         class: "envelope-search".to_owned(),
         corrects: "2026-11".to_owned(),
-        share: Share::Within,
+        share: Share::WithinQuota,
         queries: -1,
         parts: -3,
         work: -3000,
@@ -403,7 +403,7 @@
 fn accounts_of_unknown_tenants_are_bounded() {
     let mut book = Book::new(calendar());
     for n in 0..10_000 {
-        let stranger = Entry { tenant: format!("x{n}"), known: false, ..entry(n, NOVEMBER) };
+        let stranger = Entry { tenant: format!("x{n}"), tenant_is_known: false, ..entry(n, NOVEMBER) };
         book.apply(n + 1, &Record::Entry(stranger));
     }
     assert!(book.totals().len() <= 1002, "{} lines", book.totals().len());
@@ -466,7 +466,7 @@
         let disk = FaultyDisk::default();
         let (mut store, _) = open(&disk, NOVEMBER).expect("new");
         for (i, (n, day, outcome, known)) in entries.iter().enumerate() {
-            let e = Entry { known: *known, outcome: Outcome::ALL[*outcome], ..entry(*n, NOVEMBER + day * DAY) };
+            let e = Entry { tenant_is_known: *known, outcome: Outcome::ALL[*outcome], ..entry(*n, NOVEMBER + day * DAY) };
             store.append(&[Record::Entry(e)]).expect("written");
             if close && i == entries.len() / 2 {
                 store.close("2026-11".parse().expect("a period"), NOVEMBER + 20 * DAY).expect("closed");
--- a/tests/ledger_process.rs
+++ b/tests/ledger_process.rs
@@ -105,8 +105,9 @@
     assert!(answered.len() > 100, "{} answers", answered.len());
     for (id, status) in &answered {
         let e = by_name.get(id.as_str()).unwrap_or_else(|| panic!("{id} was answered and is not entered"));
-        let wanted = if *status == 200 { (Outcome::Whole, 3, 1250) } else { (e.outcome, e.served, 0) };
-        assert_eq!((e.outcome, e.served, e.work), wanted, "{id}: {status}");
+        let wanted =
+            if *status == 200 { (Outcome::Complete, 3, 1250) } else { (e.outcome, e.parts_served, 0) };
+        assert_eq!((e.outcome, e.parts_served, e.work), wanted, "{id}: {status}");
     }
     assert_eq!(gaps, 0);
     // Those that no client saw were answered when the kill came: one a client and round at most.
@@ -117,7 +118,7 @@
         answered.len()
     );
     assert!(ledger.fleet.broken().is_empty(), "{:?}", ledger.fleet.broken());
-    let ours = |e: &Entry| e.known && e.tenant == "acme";
+    let ours = |e: &Entry| e.tenant_is_known && e.tenant == "acme";
     assert!(entries.iter().all(ours), "strangers were turned away with a 4xx: nothing of theirs is entered");
 }
 
--- a/tests/stored_formats.rs
+++ b/tests/stored_formats.rs
@@ -101,26 +101,26 @@
     let acme = Entry {
         at: at + 1,
         tenant: "acme".to_owned(),
-        known: true,
+        tenant_is_known: true,
         class: "c".to_owned(),
         query: format!("q{from}-1"),
-        asked: 3,
-        served: 3,
+        parts: 3,
+        parts_served: 3,
         attempts: 4,
         work: 1250,
-        outcome: Outcome::Whole,
-        share: Share::Within,
+        outcome: Outcome::Complete,
+        share: Share::WithinQuota,
     };
     let all = [
         acme.clone(),
         Entry {
             at: at + 2,
             query: format!("q{from}-2"),
-            served: 2,
+            parts_served: 2,
             attempts: 5,
             work: 900,
             outcome: Outcome::Partial,
-            share: Share::Beyond,
+            share: Share::OverQuota,
             ..acme.clone()
         },
         Entry {
@@ -128,32 +128,32 @@
             tenant: "zo\u{eb}, \"b\"".to_owned(),
             class: "slow".to_owned(),
             query: format!("q{from}-3"),
-            asked: 0,
-            served: 0,
+            parts: 0,
+            parts_served: 0,
             attempts: 0,
             work: 0,
-            outcome: Outcome::Refused,
+            outcome: Outcome::Rejected,
             ..acme.clone()
         },
         Entry {
             at: at + 4,
             tenant: "stranger".to_owned(),
-            known: false,
+            tenant_is_known: false,
             query: format!("q{from}-4"),
-            served: 1,
+            parts_served: 1,
             attempts: 9,
             work: 700,
             outcome: Outcome::Failed,
-            share: Share::Beyond,
+            share: Share::OverQuota,
             ..acme.clone()
         },
         Entry {
             at: at + 5,
             tenant: String::new(),
-            known: false,
+            tenant_is_known: false,
             query: format!("q{from}-5"),
-            asked: 200,
-            served: 0,
+            parts: 200,
+            parts_served: 0,
             attempts: 300,
             work: 0,
             outcome: Outcome::Expired,
@@ -162,12 +162,12 @@
         Entry {
             at: at + 6,
             query: format!("q{from}-6"),
-            asked: 2,
-            served: 2,
+            parts: 2,
+            parts_served: 2,
             attempts: 2,
             work: 500_000_000_000,
-            outcome: Outcome::Gone,
-            share: Share::Beyond,
+            outcome: Outcome::ClientDisconnected,
+            share: Share::OverQuota,
             ..acme
         },
     ];
@@ -195,7 +195,7 @@
         tenant: "acme".to_owned(),
         class: "c".to_owned(),
         corrects: "2026-10".to_owned(),
-        share: if number % 2 == 0 { Share::Beyond } else { Share::Within },
+        share: if number % 2 == 0 { Share::OverQuota } else { Share::WithinQuota },
         queries: -number,
         parts: 300 * number,
         work: -70_000 * number,
@@ -208,15 +208,15 @@
     Entry {
         at: NOVEMBER + 400,
         tenant: "acme".to_owned(),
-        known: true,
+        tenant_is_known: true,
         class: "c".to_owned(),
         query: "late".to_owned(),
-        asked: 3,
-        served: 3,
+        parts: 3,
+        parts_served: 3,
         attempts: 3,
         work: 1250,
-        outcome: Outcome::Whole,
-        share: Share::Within,
+        outcome: Outcome::Complete,
+        share: Share::WithinQuota,
     }
 }
 
@@ -313,12 +313,12 @@
         late,
     };
     [
-        (line("2026-11", acme(), "c", Share::Within), sums([3, 3, 0, 0, 9, 9, 12, 3750, 0])),
-        (line("2026-11", acme(), "c", Share::Beyond), sums([6, 3, 0, 3, 15, 6, 21, 2700, 0])),
-        (line("2026-11", zoe, "slow", Share::Within), sums([3, 0, 3, 0, 0, 0, 0, 0, 0])),
-        (line("2026-11", unknown(""), "c", Share::Within), sums([3, 0, 0, 3, 600, 0, 900, 0, 0])),
-        (line("2026-11", unknown("stranger"), "c", Share::Beyond), sums([3, 0, 0, 3, 9, 0, 27, 0, 0])),
-        (line("2026-12", acme(), "c", Share::Within), sums([1, 1, 0, 0, 3, 3, 3, 1250, 1])),
+        (line("2026-11", acme(), "c", Share::WithinQuota), sums([3, 3, 0, 0, 9, 9, 12, 3750, 0])),
+        (line("2026-11", acme(), "c", Share::OverQuota), sums([6, 3, 0, 3, 15, 6, 21, 2700, 0])),
+        (line("2026-11", zoe, "slow", Share::WithinQuota), sums([3, 0, 3, 0, 0, 0, 0, 0, 0])),
+        (line("2026-11", unknown(""), "c", Share::WithinQuota), sums([3, 0, 0, 3, 600, 0, 900, 0, 0])),
+        (line("2026-11", unknown("stranger"), "c", Share::OverQuota), sums([3, 0, 0, 3, 9, 0, 27, 0, 0])),
+        (line("2026-12", acme(), "c", Share::WithinQuota), sums([1, 1, 0, 0, 3, 3, 3, 1250, 1])),
     ]
     .into_iter()
     .collect()
@@ -644,7 +644,7 @@
         tenant: "zo\u{eb}, \"b\"".to_owned(),
         class: "slow".to_owned(),
         corrects: "2026-11".to_owned(),
-        share: Share::Beyond,
+        share: Share::OverQuota,
         queries: -5,
         parts: 6,
         work: -7000,
@@ -757,12 +757,15 @@
     [
         (
             OverrideSubject::Aggregator,
-            Override { active: true, given_at: 1_796_256_000_000.0, since: 1_796_256_000_000.0 },
+            Override { active: true, given_at: 1_796_256_000_000.0, active_since: 1_796_256_000_000.0 },
+        ),
+        (
+            node("a"),
+            Override { active: true, given_at: 1_796_256_000_123.5, active_since: 1_796_256_000_123.5 },
         ),
-        (node("a"), Override { active: true, given_at: 1_796_256_000_123.5, since: 1_796_256_000_123.5 }),
         (
             node("b \"\u{eb}\""),
-            Override { active: false, given_at: 1_796_256_000_900.25, since: 1_796_256_000_100.0 },
+            Override { active: false, given_at: 1_796_256_000_900.25, active_since: 1_796_256_000_100.0 },
         ),
     ]
     .into_iter()
