--- a/tests/aggregator_process.rs
+++ b/tests/aggregator_process.rs
@@ -8,7 +8,7 @@
 
 #[test]
 fn draining_leaf_gets_no_new_parts() {
-    let (a, b) = (Node::new(), Node::new());
+    let (a, b) = (LeafServer::new(), LeafServer::new());
     let discovery = Discovery::new();
     let setup = Setup { discovery: discovery.address(), ..with_two_holders(&a, &b) };
     let aggregator = setup.start();
@@ -36,7 +36,7 @@
 /// A watch that falls silent, one that ends, and one that starts again with the complete list.
 #[test]
 fn discovery_watch_resumes_from_the_last_generation() {
-    let (a, b) = (Node::new(), Node::new());
+    let (a, b) = (LeafServer::new(), LeafServer::new());
     let discovery = Discovery::new();
     let aggregator = Setup { discovery: discovery.address(), ..with_leaves(&[&a]) }.start();
     let mut first = discovery.accept();
@@ -64,11 +64,11 @@
 /// Leaf servers under ever new names replace each other: what is known of the old ones is dropped.
 #[test]
 fn removed_leaves_are_forgotten() {
-    let leaves: Vec<Node> = (0..3).map(|_| Node::new()).collect();
+    let leaves: Vec<LeafServer> = (0..3).map(|_| LeafServer::new()).collect();
     let discovery = Discovery::new();
     let setup = Setup { discovery: discovery.address(), ..with_leaves(&[&leaves[0]]) };
     let config = setup.config().replace("\"warmAfterMs\":10000", "\"warmAfterMs\":1");
-    let aggregator = Mixer::start(&config, None);
+    let aggregator = Aggregator::start(&config, None);
     let mut watch = discovery.accept();
     for (i, name) in ["b", "c"].into_iter().enumerate() {
         watch.tell(&list(i as u64 + 2, true, &[listed(name, leaves[i + 1].address, 0)]));
@@ -87,7 +87,7 @@
 
 #[test]
 fn sigterm_answers_queries_in_flight_and_exits() {
-    let leaf = Node::new();
+    let leaf = LeafServer::new();
     let mut aggregator = with_leaves(&[&leaf]).start();
     let mut idle = Client::connect(aggregator.address);
     assert_eq!(idle.ask("GET /healthz HTTP/1.1\r\n\r\n").status, 200);
@@ -139,7 +139,7 @@
 /// Discovery moves while a query is in flight; then the file is invalid, and the settings in force stay.
 #[test]
 fn sighup_reloads_the_configuration_while_queries_are_in_flight() {
-    let (a, b) = (Node::new(), Node::new());
+    let (a, b) = (LeafServer::new(), LeafServer::new());
     let (old, new) = (Discovery::new(), Discovery::new());
     let setup = Setup { discovery: old.address(), ..with_leaves(&[&a]) };
     let mut aggregator = setup.start();
--- a/tests/client_connections.rs
+++ b/tests/client_connections.rs
@@ -8,7 +8,7 @@
 
 #[test]
 fn complete_answer_carries_the_values_as_given() {
-    let leaves = [Node::new(), Node::new()];
+    let leaves = [LeafServer::new(), LeafServer::new()];
     let aggregator = with_leaves(&[&leaves[0], &leaves[1]]).start();
     let mut client = Client::connect(aggregator.address);
     client.send(query("q1", "9000m", &[0, 1]));
@@ -33,7 +33,7 @@
 /// A client's idempotency key goes with every attempt of every part; one that would break a frame's line is rejected.
 #[test]
 fn idempotency_key_goes_with_every_attempt() {
-    let (a, b) = (Node::new(), Node::new());
+    let (a, b) = (LeafServer::new(), LeafServer::new());
     let aggregator = with_two_holders(&a, &b).start();
     let keyed = |id: &str, key: &str| {
         query(id, "9000m", &[0]).replace("Req-Owner", &format!("Idempotency-Key: {key}\r\nReq-Owner"))
@@ -58,7 +58,7 @@
 
 #[test]
 fn chunked_request_body_is_accepted() {
-    let leaf = Node::new();
+    let leaf = LeafServer::new();
     let aggregator = with_leaves(&[&leaf]).start();
     let whole = query("q1", "9000000u", &[0]);
     let (head, body) = whole.split_once("\r\n\r\n").expect("a body");
@@ -75,7 +75,7 @@
 
 #[test]
 fn malformed_requests_get_a_4xx_and_are_counted() {
-    let leaf = Node::new();
+    let leaf = LeafServer::new();
     let aggregator = with_leaves(&[&leaf]).start();
     let good = query("q1", "900m", &[0]);
     let long = "x".repeat(70_000);
@@ -124,7 +124,7 @@
 
 #[test]
 fn slow_client_does_not_delay_others() {
-    let leaf = Node::new();
+    let leaf = LeafServer::new();
     let aggregator = with_leaves(&[&leaf]).start();
     let mut slow = Client::connect(aggregator.address);
     slow.send("POST /api/1 HTTP/1.1\r\n");
@@ -134,7 +134,7 @@
 /// A client that sends nothing, or only part of a request, is answered or closed soon; the error reaches one that sends on.
 #[test]
 fn incomplete_and_oversized_requests_are_rejected_in_time() {
-    let leaf = Node::new();
+    let leaf = LeafServer::new();
     let aggregator = with_leaves(&[&leaf]).start();
     let begun = std::time::Instant::now();
     let mut silent = Client::connect(aggregator.address);
@@ -158,9 +158,9 @@
 /// Where capacity runs short, a client that was answered is shed before one that has yet to ask: its request would be lost.
 #[test]
 fn client_without_a_request_yet_is_not_shed_for_a_crowd() {
-    let leaf = Node::new();
+    let leaf = LeafServer::new();
     let config = with_leaves(&[&leaf]).config().replace("\"sockets\":1024", "\"sockets\":64");
-    let aggregator = Mixer::start(&config, None);
+    let aggregator = Aggregator::start(&config, None);
     let ask = |client: &mut Client| assert_eq!(client.ask("GET /metrics HTTP/1.1\r\n\r\n").status, 200);
     let mut ahead = Client::connect(aggregator.address);
     let mut crowd: Vec<Client> = Vec::new();
@@ -181,7 +181,7 @@
 #[test]
 fn longest_idle_client_is_shed_when_capacity_runs_short() {
     let config = with_leaves(&[]).config().replace("\"sockets\":1024", "\"sockets\":120");
-    let aggregator = Mixer::start(&config, None);
+    let aggregator = Aggregator::start(&config, None);
     let mut clients: Vec<Client> = (0..22).map(|_| Client::connect(aggregator.address)).collect();
     for client in &mut clients {
         assert_eq!(client.ask("GET /metrics HTTP/1.1\r\n\r\n").status, 200);
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -1,7 +1,7 @@
 //! Stand-in index nodes that check the rules from their side, clients that count their answers, and a writer that
 //! changes an inventory in every way that tools do. For load tests of the inventory.
 
-use super::process::{Client, Listed, Mixer, Node, Setup, query, scratch};
+use super::process::{Aggregator, Client, LeafServer, Listed, Setup, query, scratch};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs::{self, OpenOptions};
 use std::io::{Read, Write};
@@ -40,7 +40,7 @@
         let book = Arc::new(Mutex::new(Book::default()));
         let mut addresses = BTreeMap::new();
         for i in 0..count {
-            let (name, node) = (format!("s{i:02}"), Node::new());
+            let (name, node) = (format!("s{i:02}"), LeafServer::new());
             book.lock().expect("book").cells.insert(name.clone(), i % CELLS);
             addresses.insert(name.clone(), node.address);
             let book = book.clone();
@@ -288,7 +288,7 @@
 pub struct Run {
     pub fleet: Fleet,
     pub writer: Writer,
-    pub mixer: Mixer,
+    pub mixer: Aggregator,
     pub load: Load,
     pub draining: BTreeSet<String>,
     file: String,
--- a/tests/common/leaf_setups.rs
+++ b/tests/common/leaf_setups.rs
@@ -1,9 +1,9 @@
 //! Set-ups of an aggregator with a few leaf servers that the test plays.
 
-use super::process::{Listed, Node, Setup, listed};
+use super::process::{LeafServer, Listed, Setup, listed};
 
 /// An aggregator with one leaf server for each of the three cells, or fewer.
-pub fn with_leaves(leaves: &[&Node]) -> Setup {
+pub fn with_leaves(leaves: &[&LeafServer]) -> Setup {
     const NAMES: [&str; 3] = ["s0", "s1", "s2"];
     let mut entries: Vec<Listed> = Vec::new();
     for (cell, leaf) in leaves.iter().enumerate() {
@@ -13,6 +13,6 @@
 }
 
 /// An aggregator with two leaf servers that both hold shard 0.
-pub fn with_two_holders(a: &Node, b: &Node) -> Setup {
+pub fn with_two_holders(a: &LeafServer, b: &LeafServer) -> Setup {
     Setup::new(&[listed("a", a.address, 0), listed("b", b.address, 0)])
 }
--- /dev/null
+++ b/tests/common/process/leaf_server.rs
@@ -0,0 +1,182 @@
+//! Stand-in leaf servers in the platform's frames: played step by step by a test, unreachable, or answering at once.
+
+use super::waiting::PATIENCE;
+use std::io::{Read, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::sync::Arc;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::thread;
+use std::time::{Duration, Instant};
+use tokio::net::TcpSocket;
+
+/// A leaf server's listener; the test plays the server.
+pub struct LeafServer {
+    pub listener: TcpListener,
+    pub address: SocketAddr,
+}
+
+/// A connection of the aggregator to a leaf server.
+pub struct LeafConnection {
+    pub stream: TcpStream,
+}
+
+impl LeafServer {
+    pub fn new() -> Self {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+        let address = listener.local_addr().expect("bound");
+        LeafServer { listener, address }
+    }
+
+    pub fn accept(&self) -> LeafConnection {
+        first_of(&[self])
+    }
+
+    /// One whose listen queue is full until [`BackloggedLeafServer::clear`]: a dial to it hangs.
+    pub fn backlogged() -> BackloggedLeafServer {
+        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+        let _inside = runtime.enter();
+        let socket = TcpSocket::new_v4().expect("a socket");
+        socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
+        let listener = socket.listen(0).expect("listens").into_std().expect("open");
+        let address = listener.local_addr().expect("bound");
+        let mut filler = Vec::new();
+        // The queue holds one more than it is told to; a dial that is not through at once never will be.
+        while let Ok(stream) = TcpStream::connect_timeout(&address, Duration::from_millis(100)) {
+            filler.push(stream);
+        }
+        BackloggedLeafServer { node: LeafServer { listener, address }, filler }
+    }
+
+    /// A connection that has been made, if any.
+    pub fn try_accept(&self) -> Option<LeafConnection> {
+        self.listener.set_nonblocking(true).expect("set");
+        let (stream, _) = self.listener.accept().ok()?;
+        stream.set_nonblocking(false).expect("set");
+        stream.set_read_timeout(Some(PATIENCE)).expect("set");
+        Some(LeafConnection { stream })
+    }
+}
+
+/// A leaf server whose listen queue is full.
+pub struct BackloggedLeafServer {
+    pub node: LeafServer,
+    filler: Vec<TcpStream>,
+}
+
+impl BackloggedLeafServer {
+    /// Empties the queue: dials succeed when the kernel next retries them, within a second.
+    pub fn clear(&mut self) {
+        for _ in self.filler.drain(..) {
+            drop(self.node.accept());
+        }
+    }
+}
+
+/// The next connection to any of some leaf servers.
+pub fn first_of(leaf_servers: &[&LeafServer]) -> LeafConnection {
+    let listeners: Vec<&TcpListener> = leaf_servers.iter().map(|server| &server.listener).collect();
+    LeafConnection { stream: accept(&listeners) }
+}
+
+/// The next connection to any of some listeners.
+pub(super) fn accept(listeners: &[&TcpListener]) -> TcpStream {
+    let give_up_at = Instant::now() + PATIENCE;
+    for listener in listeners {
+        listener.set_nonblocking(true).expect("set");
+    }
+    loop {
+        if let Some((stream, _)) = listeners.iter().find_map(|listener| listener.accept().ok()) {
+            stream.set_nonblocking(false).expect("set");
+            stream.set_read_timeout(Some(PATIENCE)).expect("set");
+            return stream;
+        }
+        assert!(Instant::now() < give_up_at, "the aggregator never connects");
+        thread::sleep(Duration::from_millis(1));
+    }
+}
+
+impl LeafConnection {
+    /// The next frame, letter and rest; none at the end of the connection.
+    pub fn frame(&mut self) -> Option<(char, String)> {
+        let mut length = [0; 4];
+        self.stream.read_exact(&mut length).ok()?;
+        let mut frame = vec![0; u32::from_be_bytes(length) as usize];
+        self.stream.read_exact(&mut frame).ok()?;
+        let rest = String::from_utf8(frame.split_off(1)).expect("text");
+        Some((char::from(frame[0]), rest))
+    }
+
+    /// Whether anything can be read.
+    pub fn has_frame(&self) -> bool {
+        self.stream.set_nonblocking(true).expect("set");
+        let readable = matches!(self.stream.peek(&mut [0]), Ok(1));
+        self.stream.set_nonblocking(false).expect("set");
+        readable
+    }
+
+    /// Sends a frame without its last byte.
+    pub fn put_cut(&mut self, letter: char, rest: &str) {
+        let mut frame = (rest.len() as u32 + 2).to_be_bytes().to_vec();
+        frame.push(letter as u8);
+        frame.extend(rest.as_bytes());
+        self.stream.write_all(&frame).expect("the aggregator reads");
+    }
+
+    /// The id of the part that the next frame brings.
+    pub fn part(&mut self) -> String {
+        let (letter, rest) = self.frame().expect("a call");
+        assert_eq!(letter, 'm', "{rest}");
+        rest.split(' ').next().expect("an id").to_owned()
+    }
+
+    /// Sends a frame.
+    pub fn put(&mut self, letter: char, rest: &str) {
+        let mut frame = (rest.len() as u32 + 1).to_be_bytes().to_vec();
+        frame.push(letter as u8);
+        frame.extend(rest.as_bytes());
+        self.stream.write_all(&frame).expect("the aggregator reads");
+    }
+
+    /// Answers a part: `good`, `bad` for an error, `later` for a rejection.
+    pub fn answer(&mut self, part: &str, outcome: &str, value: &str) {
+        self.put('q', &format!("{part} {outcome} 17 -\n{value}"));
+    }
+}
+
+/// A leaf server that answers every part at once and counts them.
+pub struct AnsweringLeafServer {
+    pub address: SocketAddr,
+    parts: Arc<AtomicU64>,
+}
+
+impl AnsweringLeafServer {
+    pub fn new() -> Self {
+        let server = LeafServer::new();
+        let address = server.address;
+        let parts = Arc::new(AtomicU64::new(0));
+        let counted = parts.clone();
+        thread::spawn(move || {
+            for stream in server.listener.incoming().map_while(Result::ok) {
+                let counted = counted.clone();
+                let mut connection = LeafConnection { stream };
+                thread::spawn(move || {
+                    while let Some((letter, rest)) = connection.frame() {
+                        match letter {
+                            'm' => {
+                                counted.fetch_add(1, Ordering::SeqCst);
+                                connection.answer(rest.split(' ').next().expect("an id"), "good", "v");
+                            }
+                            'p' => connection.put('p', "-"),
+                            _ => {}
+                        }
+                    }
+                });
+            }
+        });
+        AnsweringLeafServer { address, parts }
+    }
+
+    pub fn count(&self) -> u64 {
+        self.parts.load(Ordering::SeqCst)
+    }
+}
--- /dev/null
+++ b/tests/common/process/program.rs
@@ -0,0 +1,224 @@
+//! The program under test as a child process: start, log, counters, admin commands, signals.
+
+use super::client::Client;
+use super::setup::Setup;
+use super::waiting::{PATIENCE, until};
+use std::collections::HashMap;
+use std::io::{BufRead, BufReader};
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::process::{Child, Command, ExitStatus, Stdio};
+use std::sync::atomic::{AtomicU32, Ordering};
+use std::sync::mpsc::{Receiver, channel};
+use std::thread;
+use std::time::{Duration, Instant};
+
+/// A new directory for one test, or one process of it.
+pub fn scratch(name: &str) -> PathBuf {
+    static NEXT: AtomicU32 = AtomicU32::new(0);
+    let unique = format!("{name}-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
+    let dir = option_env!("CARGO_TARGET_TMPDIR").map_or_else(std::env::temp_dir, PathBuf::from).join(unique);
+    std::fs::create_dir_all(&dir).expect("a directory can be made");
+    dir
+}
+
+/// A running aggregator; killed when dropped.
+pub struct Aggregator {
+    child: Child,
+    /// Its configuration's file.
+    pub config: PathBuf,
+    /// Where clients connect.
+    pub address: SocketAddr,
+    log_lines: Receiver<String>,
+    /// The lines of the log that have been read so far.
+    seen: Vec<String>,
+}
+
+/// The program; an example finds it beside its own directory.
+pub fn binary() -> PathBuf {
+    let beside = || std::env::current_exe().expect("a path").with_file_name("../sailmux");
+    option_env!("CARGO_BIN_EXE_sailmux").map_or_else(beside, PathBuf::from)
+}
+
+/// Starts the program with a configuration, and an operator's file if there is one.
+pub fn spawn(config: &str, operator: Option<&str>) -> Child {
+    spawn_in(&scratch("aggregator"), config, operator, None)
+}
+
+fn spawn_in(dir: &Path, config: &str, operator: Option<&str>, tmp: Option<&Path>) -> Child {
+    let path = dir.join("config.json");
+    std::fs::write(&path, config).expect("written");
+    let mut command = Command::new(binary());
+    command.env("RELAY_CONFIG", &path).env("TMPDIR", tmp.unwrap_or(dir)).stderr(Stdio::piped());
+    for inherited in ["RELAY_NAME", "RELAY_LISTEN", "RELAY_DISCOVERY", "RELAY_MANAGEMENT", "SAILMUX_OPERATOR"]
+    {
+        command.env_remove(inherited);
+    }
+    if let Some(text) = operator {
+        let path = dir.join("operator.yaml");
+        std::fs::write(&path, text).expect("written");
+        command.env("SAILMUX_OPERATOR", path);
+    }
+    command.spawn().expect("the aggregator starts")
+}
+
+impl Aggregator {
+    pub fn start(config: &str, operator: Option<&str>) -> Self {
+        Self::start_in(config, operator, None)
+    }
+
+    pub fn start_in(config: &str, operator: Option<&str>, tmp: Option<&Path>) -> Self {
+        let dir = scratch("aggregator");
+        let mut child = spawn_in(&dir, config, operator, tmp);
+        let (sender, log_lines) = channel();
+        let stderr = BufReader::new(child.stderr.take().expect("piped"));
+        thread::spawn(move || stderr.lines().map_while(Result::ok).try_for_each(|line| sender.send(line)));
+        let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
+        let config = dir.join("config.json");
+        let mut aggregator = Aggregator { child, config, address: nowhere, log_lines, seen: Vec::new() };
+        let address = aggregator.told("serving on ");
+        aggregator.address = address.parse().expect("an address");
+        aggregator
+    }
+
+    /// A start that fails; its exit status.
+    pub fn start_in_vain(config: &str, setup: &Setup) -> ExitStatus {
+        let mut child = spawn_in(&scratch("aggregator"), config, None, setup.tmp.as_deref());
+        child.wait().expect("it ended")
+    }
+
+    /// Waits for a line of the log that contains the words and returns what follows them; lines already seen count too.
+    pub fn told(&mut self, words: &str) -> String {
+        let after = |line: &String| line.split_once(words).map(|(_, after)| after.to_owned());
+        if let Some(found) = self.seen.iter().find_map(after) {
+            return found;
+        }
+        loop {
+            let line = self.log_lines.recv_timeout(PATIENCE);
+            let line = line.unwrap_or_else(|_| panic!("the log never said {words:?}: {:#?}", self.seen));
+            self.seen.push(line.clone());
+            if let Some(found) = after(&line) {
+                return found;
+            }
+        }
+    }
+
+    /// Waits for a line that comes from now on, past all that has been waited for before.
+    pub fn told_anew(&mut self, words: &str) -> String {
+        self.told_either(words, words)
+    }
+
+    /// The same for a line with either words.
+    pub fn told_either(&mut self, words: &str, others: &str) -> String {
+        let give_up_at = Instant::now() + PATIENCE;
+        while Instant::now() < give_up_at {
+            let line = self.log_lines.recv_timeout(PATIENCE);
+            let line = line.unwrap_or_else(|_| panic!("the log never said {words:?} anew: {:#?}", self.seen));
+            self.seen.push(line.clone());
+            if line.contains(words) || line.contains(others) {
+                return line;
+            }
+        }
+        panic!("the log never said {words:?} anew: {:#?}", self.seen)
+    }
+
+    /// All lines of the log up to now.
+    pub fn log(&mut self) -> &[String] {
+        self.seen.extend(self.log_lines.try_iter());
+        &self.seen
+    }
+
+    /// An admin command on the admin address; the status of its response.
+    pub fn operate(&mut self, call: &str) -> u16 {
+        let admin: SocketAddr = self.told("operators on ").parse().expect("an address");
+        Client::connect(admin).ask(format!("{call} HTTP/1.1\r\nHost: m\r\nContent-Length: 0\r\n\r\n")).status
+    }
+
+    /// The status of the load balancer's health check.
+    pub fn healthz(&self) -> u16 {
+        Client::connect(self.address).ask("GET /healthz HTTP/1.1\r\n\r\n").status
+    }
+
+    /// Where the aggregator serves Flight.
+    pub fn flight(&mut self) -> String {
+        self.told("flight on ")
+    }
+
+    /// The counters as they stand.
+    pub fn counters(&self) -> HashMap<String, u64> {
+        let reply = Client::connect(self.address).ask("GET /metrics HTTP/1.1\r\n\r\n");
+        let lines = reply.body.lines().filter(|line| !line.starts_with('#'));
+        let pair = |line: &str| {
+            let (name, count) = line.strip_prefix("sailmux_")?.split_once(' ')?;
+            Some((name.to_owned(), count.parse().ok()?))
+        };
+        lines.filter_map(pair).collect()
+    }
+
+    /// Waits until a counter has reached a number.
+    pub fn wait_for(&self, counter: &str, number: u64) {
+        let give_up_at = Instant::now() + PATIENCE;
+        while self.counters()[counter] < number {
+            assert!(Instant::now() < give_up_at, "{counter} never reached {number}: {:#?}", self.counters());
+            thread::sleep(Duration::from_millis(5));
+        }
+    }
+
+    /// Waits until all clients are known to have disconnected, except the one that asks.
+    pub fn is_left_alone(&self) {
+        until("all other clients are known to have disconnected", || {
+            let counters = self.counters();
+            counters["clients_opened"] - counters["clients_closed"] == 1
+        });
+    }
+
+    pub fn signal(&self, signal: &str) {
+        let id = self.child.id().to_string();
+        assert!(Command::new("kill").args([signal, &id]).status().expect("kill runs").success());
+    }
+
+    /// Stops the whole process until [`Self::resume`]; what arrives meanwhile waits in the kernel.
+    pub fn pause(&self) {
+        self.signal("-STOP");
+        let status = format!("/proc/{}/status", self.child.id());
+        let state = || std::fs::read_to_string(&status).unwrap_or_default();
+        let give_up_at = Instant::now() + PATIENCE;
+        while !state().contains("State:\tT") {
+            assert!(Instant::now() < give_up_at, "the aggregator does not stop: {}", state());
+            thread::sleep(Duration::from_millis(1));
+        }
+    }
+
+    /// Continues a stopped process.
+    pub fn resume(&self) {
+        self.signal("-CONT");
+    }
+
+    pub fn is_running(&mut self) -> bool {
+        self.child.try_wait().expect("it can be waited for").is_none()
+    }
+
+    pub fn kill(&mut self) {
+        self.child.kill().expect("it ran");
+        self.child.wait().expect("it ended");
+    }
+
+    /// Waits for the end of the process; the log is complete by then.
+    pub fn ended(&mut self) -> ExitStatus {
+        let give_up_at = Instant::now() + PATIENCE;
+        loop {
+            match self.child.try_wait().expect("it can be waited for") {
+                Some(status) => return status,
+                None => assert!(Instant::now() < give_up_at, "the aggregator never ended"),
+            }
+            thread::sleep(Duration::from_millis(5));
+        }
+    }
+}
+
+impl Drop for Aggregator {
+    fn drop(&mut self) {
+        let _ = self.child.kill();
+        let _ = self.child.wait();
+    }
+}
--- /dev/null
+++ b/tests/common/process/setup.rs
@@ -0,0 +1,133 @@
+//! What an aggregator is started with: the endpoint list, the platform's configuration, and addresses.
+
+use super::program::{Aggregator, scratch};
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::sync::OnceLock;
+use tokio::net::TcpSocket;
+
+/// One leaf server of discovery's list.
+#[derive(Clone)]
+pub struct Listed {
+    pub name: &'static str,
+    pub address: String,
+    pub cell: u32,
+    pub lifecycle: &'static str,
+    /// Unix time in milliseconds; 0 where it is not known.
+    pub started: u64,
+}
+
+/// A leaf server that is ready, of unknown age.
+pub fn listed(name: &'static str, address: impl ToString, cell: u32) -> Listed {
+    Listed { name, address: address.to_string(), cell, lifecycle: "Ready", started: 0 }
+}
+
+/// An endpoint list as discovery sends it; `reset` says that it is complete.
+pub fn list(generation: u64, reset: bool, leaf_servers: &[Listed]) -> String {
+    let row = |listed: &Listed| {
+        format!(
+            r#"{{"instanceId":"{}","hostPort":"{}","zone":"z","machineType":"k","cell":{},"lifecycle":"{}","weight":1.0,"startedAtMs":{}}}"#,
+            listed.name, listed.address, listed.cell, listed.lifecycle, listed.started
+        )
+    };
+    let rows: Vec<String> = leaf_servers.iter().map(row).collect();
+    format!(r#"{{"generation":{generation},"reset":{reset},"instances":[{}]}}"#, rows.join(","))
+}
+
+/// An address that refuses connections as long as this process runs: bound, and never listened at. A port that was
+/// only given back goes to the next aggregator here, which would then count calls that were meant for discovery.
+pub fn nobody() -> SocketAddr {
+    static BOUND: OnceLock<TcpSocket> = OnceLock::new();
+    let bind = || {
+        let socket = TcpSocket::new_v4().expect("a socket");
+        socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
+        socket
+    };
+    BOUND.get_or_init(bind).local_addr().expect("bound")
+}
+
+/// A port that several processes of one aggregator may listen at: bound, and never listened at here.
+pub fn shared_port() -> TcpSocket {
+    let socket = TcpSocket::new_v4().expect("a socket");
+    socket.set_reuseport(true).expect("set");
+    socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
+    socket
+}
+
+/// What an aggregator is started with.
+pub struct Setup {
+    pub known: String,
+    pub discovery: String,
+    pub max_attempts: u32,
+    pub hard_limit_ms: u32,
+    pub keepalive_ms: u32,
+    pub calls_per_connection: u32,
+    pub probes: bool,
+    pub operator: Option<String>,
+    pub listen: SocketAddr,
+    /// With an admin address.
+    pub managed: bool,
+    /// The directory for temporary files, where processes of one aggregator share it; else each has its own.
+    pub tmp: Option<PathBuf>,
+}
+
+impl Setup {
+    /// One aggregator that knows these leaf servers and has no discovery.
+    pub fn new(leaf_servers: &[Listed]) -> Self {
+        Setup {
+            known: list(1, true, leaf_servers),
+            discovery: nobody().to_string(),
+            max_attempts: 3,
+            hard_limit_ms: 10_000,
+            keepalive_ms: 30_000,
+            calls_per_connection: 32,
+            probes: false,
+            operator: None,
+            listen: SocketAddr::from(([127, 0, 0, 1], 0)),
+            managed: false,
+            tmp: None,
+        }
+    }
+
+    /// One that several processes can be started with: one address, one directory, an admin address each.
+    pub fn shared(self, port: &TcpSocket) -> Self {
+        let listen = port.local_addr().expect("bound");
+        Setup { listen, managed: true, tmp: Some(scratch("tmp")), ..self }
+    }
+
+    /// The configuration as the platform writes it.
+    pub fn config(&self) -> String {
+        let Setup {
+            known,
+            discovery,
+            max_attempts,
+            hard_limit_ms,
+            keepalive_ms,
+            calls_per_connection,
+            probes,
+            listen,
+            managed,
+            ..
+        } = self;
+        let management = if *managed { r#","management":"127.0.0.1:0""# } else { "" };
+        let report_mode = if *probes { "on_probe" } else { "off" };
+        format!(
+            r#"{{"name":"n0","listen":"{listen}"{management},"discovery":"{discovery}","seed":"8c1f30d27a5be964",
+"limits":{{"cores":1.0,"memory_mb":192,"sockets":1024}},"known":{known},
+"settings":{{"categories":[{{"aimMs":{hard_limit_ms},"effect":"retryable","hardLimitMs":{hard_limit_ms},
+"lateValue":0,"name":"c","worth":1}}],"clients":{{"marksRetry":false}},"discovery":"pushed",
+"invariants":{{"coldShare":0.3,"warmAfterMs":10000,"mustAskInMs":10000}},
+"limits":{{"cancel":true,"maxAttempts":{max_attempts},"maxOpen":2000,"maxRetryAfterMs":2000,"probes":{probes},
+"retryAfter":true,"secondCopies":false,"dialTimeoutMs":250,"keepaliveMs":{keepalive_ms},
+"streamsPerConn":{calls_per_connection}}},
+"periodMs":5,"replicasOfMe":1,"report":{{"how":"{report_mode}"}},"specifics":{{"classPartial":[0.9],"completeFrom":[1],
+"fetchParts":[0],"floorByClass":[1],"perCall":1,"positions":3,"shards":3,"width":1}},
+"tenants":[{{"name":"acme","quotaPerS":10}}],"zone":"z","zones":["z"]}}}}"#
+        )
+    }
+
+    /// Starts a process and waits until it serves.
+    pub fn start(&self) -> Aggregator {
+        Aggregator::start_in(&self.config(), self.operator.as_deref(), self.tmp.as_deref())
+    }
+}
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -9,7 +9,12 @@
 use std::time::{Duration, Instant};
 
 /// Sends a query for one shard; the leaf server answers its part on a new connection, which is returned.
-fn query_is_answered_by(aggregator: &Mixer, leaf_server: &Node, id: &str, shard: u32) -> Link {
+fn query_is_answered_by(
+    aggregator: &Aggregator,
+    leaf_server: &LeafServer,
+    id: &str,
+    shard: u32,
+) -> LeafConnection {
     let mut client = Client::connect(aggregator.address);
     client.send(query(id, "9000m", &[shard]));
     let mut connection = leaf_server.accept();
@@ -20,7 +25,7 @@
 }
 
 /// Answers the next part that reaches one of some leaf servers, and all health checks until then.
-fn answer_next_part(leaf_servers: &[&Node], connections: &mut Vec<Link>, load_report: &str) {
+fn answer_next_part(leaf_servers: &[&LeafServer], connections: &mut Vec<LeafConnection>, load_report: &str) {
     let deadline = Instant::now() + PATIENCE;
     while Instant::now() < deadline {
         connections.extend(leaf_servers.iter().filter_map(|leaf_server| leaf_server.try_accept()));
@@ -56,7 +61,7 @@
 /// A list that spans several lines is one list.
 #[test]
 fn an_indented_list_is_applied() {
-    let (a, b) = (Node::new(), Node::new());
+    let (a, b) = (LeafServer::new(), LeafServer::new());
     let discovery = Discovery::new();
     let known = Setup::new(&[listed("a", a.address, 0)]);
     let aggregator = Setup { discovery: discovery.address(), ..known }.start();
@@ -73,7 +78,7 @@
 /// known at the start stays in force, each call is counted, and the first good response is applied.
 #[test]
 fn the_known_list_stays_in_force_until_discovery_sends_a_good_one() {
-    let (a, b) = (Node::new(), Node::new());
+    let (a, b) = (LeafServer::new(), LeafServer::new());
     let discovery = Discovery::new();
     let known = Setup::new(&[listed("a", a.address, 0)]);
     let mut aggregator = Setup { discovery: discovery.address(), ..known }.start();
@@ -124,7 +129,7 @@
 /// A new process under a new name at the address of an old one gets parts; the removed name gets none.
 #[test]
 fn a_new_leaf_server_at_the_address_of_a_removed_one_gets_parts() {
-    let leaf_server = Node::new();
+    let leaf_server = LeafServer::new();
     let discovery = Discovery::new();
     let old = listed("old", leaf_server.address, 0);
     let aggregator =
@@ -144,7 +149,7 @@
 /// A leaf server in slow start beside a warm one gets some of the parts, and these are counted.
 #[test]
 fn attempts_at_leaf_servers_in_slow_start_are_counted() {
-    let (warm, cold) = (Node::new(), Node::new());
+    let (warm, cold) = (LeafServer::new(), LeafServer::new());
     let discovery = Discovery::new();
     let known = Setup::new(&[listed("warm", warm.address, 0)]);
     let aggregator = Setup { discovery: discovery.address(), ..known }.start();
@@ -174,7 +179,7 @@
     for (load_report, counter, other_counter) in
         [("noise", "reports_missing", "reports_read"), ("busy_reqs=7", "reports_read", "reports_missing")]
     {
-        let leaf_server = Node::new();
+        let leaf_server = LeafServer::new();
         let aggregator = Setup { probes: true, ..Setup::new(&[listed("a", leaf_server.address, 0)]) }.start();
         let mut client = Client::connect(aggregator.address);
         let mut connections = Vec::new();
@@ -197,7 +202,7 @@
 fn any_fleet_size_with_an_empty_list_rejects_queries() {
     let config = Setup::new(&[]).config();
     for fleet_size in ["0", "1", "4294967295"] {
-        let aggregator = Mixer::start(
+        let aggregator = Aggregator::start(
             &config.replace("\"replicasOfMe\":1", &format!("\"replicasOfMe\":{fleet_size}")),
             None,
         );
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -8,12 +8,12 @@
 use std::time::{Duration, Instant};
 
 /// A mixer with one node, which holds every shard asked here.
-fn with_node(node: &Node) -> Setup {
+fn with_node(node: &LeafServer) -> Setup {
     Setup::new(&[listed("a", node.address, 0)])
 }
 
 /// Asks and serves one query: what came before it has been dealt with by then.
-fn served(mixer: &Mixer, link: &mut Link, id: &str) {
+fn served(mixer: &Aggregator, link: &mut LeafConnection, id: &str) {
     let mut client = Client::connect(mixer.address);
     client.send(query(id, "9000m", &[0]));
     assert_eq!(link.part(), format!("{id}.0"), "nothing else comes before it");
@@ -28,7 +28,7 @@
 #[test]
 fn a_client_that_sent_ahead_and_left_is_noticed() {
     for ahead in [4, 40, 400] {
-        let node = Node::new();
+        let node = LeafServer::new();
         let mixer = with_node(&node).start();
         let mut client = Client::connect(mixer.address);
         client.send((0..ahead).map(|i| query(&format!("q{i}"), "9000m", &[0])).collect::<String>());
@@ -47,7 +47,7 @@
 /// Requests that are read only after their clients have gone: nobody waits for them, none is sent on.
 #[test]
 fn a_request_read_after_its_client_has_gone_is_not_sent_on() {
-    let node = Node::new();
+    let node = LeafServer::new();
     let mixer = with_node(&node).start();
     let mut before = Client::connect(mixer.address);
     before.send(query("before", "9000m", &[0]));
@@ -75,7 +75,7 @@
 fn a_client_that_leaves_as_its_part_is_answered_leaves_nothing_behind() {
     for end in ["good", "bad", "later"] {
         for _ in 0..5 {
-            let (a, b) = (Node::new(), Node::new());
+            let (a, b) = (LeafServer::new(), LeafServer::new());
             let mixer = Setup::new(&[listed("a", a.address, 0), listed("b", b.address, 0)]).start();
             let mut client = Client::connect(mixer.address);
             client.send(query("q", "9000m", &[0]));
@@ -107,7 +107,7 @@
 /// It leaves while its part waits for the time of a further attempt, at the only holder there is: that never comes.
 #[test]
 fn a_client_that_leaves_before_a_retry_is_due_gets_none() {
-    let node = Node::new();
+    let node = LeafServer::new();
     let mixer = with_node(&node).start();
     let mut client = Client::connect(mixer.address);
     client.send(query("q", "9000m", &[0]));
@@ -126,7 +126,7 @@
 /// Its end and its attempt's time-out lie there together: what the time-out sends is given up at once.
 #[test]
 fn a_client_that_leaves_as_its_attempt_times_out_leaves_nothing_behind() {
-    let (a, b) = (Node::new(), Node::new());
+    let (a, b) = (LeafServer::new(), LeafServer::new());
     let nodes = [listed("a", a.address, 0), listed("b", b.address, 0)];
     let mixer = Setup { hard_limit_ms: 2400, ..Setup::new(&nodes) }.start();
     let mut client = Client::connect(mixer.address);
@@ -150,7 +150,7 @@
 /// It leaves as the connection that its part is out on ends: the give-up goes nowhere, and the next one is served.
 #[test]
 fn a_give_up_on_a_connection_that_ends_is_nobodys_loss() {
-    let node = Node::new();
+    let node = LeafServer::new();
     let mixer = with_node(&node).start();
     for round in 0..5 {
         let id = format!("q{round}");
@@ -179,9 +179,9 @@
 /// Its part waits for a connection that is not up yet: when it comes up, nothing is written to it.
 #[test]
 fn a_client_that_leaves_while_a_connection_comes_up_sends_nothing() {
-    let mut slow = Node::backlogged();
+    let mut slow = LeafServer::backlogged();
     let config = with_node(&slow.node).config().replace("\"dialTimeoutMs\":250", "\"dialTimeoutMs\":5000");
-    let mixer = Mixer::start(&config, None);
+    let mixer = Aggregator::start(&config, None);
     let mut client = Client::connect(mixer.address);
     client.send(query("q", "9000m", &[0]));
     mixer.wait_for("connections_dialled", 1);
@@ -197,7 +197,7 @@
 /// The time of a request that was sent ahead runs from when it came, not from when those before it were done.
 #[test]
 fn the_time_of_a_request_sent_ahead_runs_from_its_coming() {
-    let node = Node::new();
+    let node = LeafServer::new();
     let mixer = with_node(&node).start();
     let mut client = Client::connect(mixer.address);
     client.send(query("q1", "9000m", &[0]) + &query("q2", "400m", &[0]));
@@ -219,7 +219,7 @@
 #[test]
 fn a_connection_that_only_the_kernel_has_taken_is_answered_before_the_end() {
     for round in 0..3 {
-        let node = Node::new();
+        let node = LeafServer::new();
         let mut mixer = with_node(&node).start();
         mixer.signal("-TERM");
         mixer.told("graceful shutdown");
@@ -247,9 +247,9 @@
 #[test]
 fn a_client_in_the_queue_of_a_full_mixer_is_answered_before_the_end() {
     const PLACES: usize = 15;
-    let node = Node::new();
+    let node = LeafServer::new();
     let config = with_node(&node).config().replace("\"sockets\":1024", "\"sockets\":64");
-    let mut mixer = Mixer::start(&config, None);
+    let mut mixer = Aggregator::start(&config, None);
     let mut clients: Vec<Client> = Vec::new();
     let mut link = None;
     for i in 0..PLACES {
@@ -282,7 +282,7 @@
 #[test]
 fn a_request_that_crosses_the_close_of_a_resting_connection_is_answered_or_not_sent_on() {
     for after_ms in [600, 640, 650, 660, 700, 760] {
-        let node = Node::new();
+        let node = LeafServer::new();
         let mut mixer = with_node(&node).start();
         let mut client = Client::connect(mixer.address);
         client.send(query("first", "9000m", &[0]));
@@ -327,10 +327,10 @@
 #[test]
 fn a_repeat_is_not_written_once_its_window_is_over() {
     const WINDOW: Duration = Duration::from_millis(700);
-    let (a, mut b) = (Node::new(), Node::backlogged());
+    let (a, mut b) = (LeafServer::new(), LeafServer::backlogged());
     let discovery = Discovery::new();
     let setup = Setup { discovery: discovery.address(), ..with_node(&a) };
-    let mixer = Mixer::start(&keyed(&setup.config(), WINDOW.as_millis() as u32), None);
+    let mixer = Aggregator::start(&keyed(&setup.config(), WINDOW.as_millis() as u32), None);
     let mut watch = discovery.accept();
     let mut client = Client::connect(mixer.address);
     client.send(query("q", "9000m", &[0]));
@@ -355,7 +355,7 @@
 /// though both go by one name.
 #[test]
 fn a_late_answer_is_not_taken_for_the_next_attempts() {
-    let node = Node::new();
+    let node = LeafServer::new();
     let mixer = Setup { hard_limit_ms: 2400, ..with_node(&node) }.start();
     let mut client = Client::connect(mixer.address);
     client.send(query("q", "2400m", &[0]));
@@ -376,7 +376,7 @@
 /// A client takes a name that another has just used and left: it gets no answer that was meant for the other.
 #[test]
 fn a_name_used_again_gets_no_answer_to_the_first_of_that_name() {
-    let node = Node::new();
+    let node = LeafServer::new();
     let mixer = with_node(&node).start();
     let mut leaver = Client::connect(mixer.address);
     leaver.send(query("same", "9000m", &[0]));
@@ -400,7 +400,7 @@
 /// nothing, and none of them another query.
 #[test]
 fn answers_twice_unasked_or_half_there_end_no_other_query() {
-    type Play = fn(&mut Link);
+    type Play = fn(&mut LeafConnection);
     let plays: [Play; 3] = [
         |link| {
             link.answer("one.0", "good", "v");
@@ -417,7 +417,7 @@
         },
     ];
     for (i, play) in plays.into_iter().enumerate() {
-        let node = Node::new();
+        let node = LeafServer::new();
         let mixer = with_node(&node).start();
         let mut clients: Vec<Client> = (0..2).map(|_| Client::connect(mixer.address)).collect();
         clients[0].send(query("one", "9000m", &[0]));
@@ -445,10 +445,10 @@
 const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 /// A mixer of a large fleet that watches a discovery, and the open watch, which has told something.
-fn watching(discovery: &Discovery, node: &Node) -> (Mixer, Watch) {
+fn watching(discovery: &Discovery, node: &LeafServer) -> (Aggregator, Watch) {
     let setup = Setup { discovery: discovery.address(), ..with_node(node) };
     let config = setup.config().replace("\"replicasOfMe\":1", "\"replicasOfMe\":300");
-    let mixer = Mixer::start(&config, None);
+    let mixer = Aggregator::start(&config, None);
     let mut watch = discovery.accept();
     watch.tell(&list(2, false, &[]));
     mixer.wait_for("lists_taken", 2);
@@ -483,7 +483,7 @@
     ];
     let plays = chains.map(|chain| {
         background(move || {
-            let (node, discovery) = (Node::new(), Discovery::new());
+            let (node, discovery) = (LeafServer::new(), Discovery::new());
             let (mixer, _watch) = watching(&discovery, &node);
             let silent = Instant::now();
             let mut held = Vec::new();
@@ -515,10 +515,10 @@
 #[test]
 fn a_watch_that_had_nothing_to_tell_is_opened_anew_at_once() {
     for _ in 0..5 {
-        let (node, discovery) = (Node::new(), Discovery::new());
+        let (node, discovery) = (LeafServer::new(), Discovery::new());
         let setup = Setup { discovery: discovery.address(), ..with_node(&node) };
         let config = setup.config().replace("\"replicasOfMe\":1", "\"replicasOfMe\":300");
-        let mixer = Mixer::start(&config.replace("\"pushed\"", "\"on_request\""), None);
+        let mixer = Aggregator::start(&config.replace("\"pushed\"", "\"on_request\""), None);
         let mut watch = discovery.accept();
         watch.tell("");
         mixer.wait_for("list_calls", 1);
@@ -535,7 +535,7 @@
 /// earlier generation and is whole: what it does not name is gone, though the old one told of it.
 #[test]
 fn the_new_discoverys_list_stands_over_the_old_ones_last_line() {
-    let (a, b) = (Node::new(), Node::new());
+    let (a, b) = (LeafServer::new(), LeafServer::new());
     let (old, new) = (Discovery::new(), Discovery::new());
     let setup = Setup { discovery: old.address(), ..with_node(&a) };
     let mixer = setup.start();
@@ -572,7 +572,7 @@
 /// under the name that it began with. What comes after goes by the new ones, and names that are gone get a 4xx.
 #[test]
 fn names_that_change_while_a_query_is_held_serve_no_other() {
-    let node = Node::new();
+    let node = LeafServer::new();
     let setup = with_node(&node);
     let class = |name: &str, effect: &str| {
         format!(
@@ -595,7 +595,7 @@
     };
     // The one held is of an unsafe class, whose place a safe one takes.
     let before = with(&[class("plain", "\"retryable\""), class("once", "\"fragile\"")], "acme");
-    let mixer = Mixer::start(&before, None);
+    let mixer = Aggregator::start(&before, None);
     let mut held = Client::connect(mixer.address);
     held.send(of("held", "once", "acme"));
     let mut link = node.accept();
@@ -626,10 +626,10 @@
 /// Where the settings name no tenants, any name of one will do.
 #[test]
 fn without_tenants_every_owner_is_served() {
-    let node = Node::new();
+    let node = LeafServer::new();
     let config = with_node(&node).config();
     let config = config.replace("\"tenants\":[{\"name\":\"acme\",\"quotaPerS\":10}]", "\"tenants\":[]");
-    let mixer = Mixer::start(&config, None);
+    let mixer = Aggregator::start(&config, None);
     let mut client = Client::connect(mixer.address);
     client.send(query("q", "9000m", &[0]));
     let mut link = node.accept();
@@ -645,7 +645,7 @@
 #[test]
 fn a_request_half_read_when_the_end_is_asked_for_is_answered() {
     for rest_after_ms in [0, 720] {
-        let node = Node::new();
+        let node = LeafServer::new();
         let mut mixer = with_node(&node).start();
         let whole = query("q", "9000m", &[0]);
         let cuts = [20, whole.len() - 90, whole.len() - 1];
@@ -677,7 +677,7 @@
 /// its time, and the process its own.
 #[test]
 fn nobody_who_hangs_keeps_the_mixer_from_its_end() {
-    let node = Node::new();
+    let node = LeafServer::new();
     let mut mixer = with_node(&node).start();
     let mut hung = Client::connect(mixer.address);
     hung.send(query("hung", "1500m", &[0]));
@@ -705,7 +705,7 @@
     let mut starting = Setup { discovery: discovery.address(), ..Setup::new(&[]) }.start();
     starting.signal("-TERM");
     assert!(starting.ended().success());
-    let node = Node::new();
+    let node = LeafServer::new();
     let mut reloading = with_node(&node).start();
     let mut held = Client::connect(reloading.address);
     held.send(query("held", "9000m", &[0]));
@@ -725,7 +725,7 @@
 /// A mixer that starts with a list is ready soon, whatever discovery does.
 #[test]
 fn a_start_is_ready_in_time_though_discovery_is_not() {
-    let node = Node::new();
+    let node = LeafServer::new();
     let silent = Discovery::new();
     let trickling = Discovery::new();
     let address = trickling.address();
@@ -755,7 +755,7 @@
 /// once more where that is harmless.
 #[test]
 fn a_part_that_crosses_the_servers_close_goes_out_again() {
-    let node = Node::new();
+    let node = LeafServer::new();
     let mixer = with_node(&node).start();
     let mut client = Client::connect(mixer.address);
     client.send(query("q1", "9000m", &[0]));
@@ -776,7 +776,7 @@
 /// Half a body, and the client goes: nothing of it is sent on, and the next client is served.
 #[test]
 fn a_client_that_leaves_half_a_body_in_leaves_nothing_behind() {
-    let node = Node::new();
+    let node = LeafServer::new();
     let mixer = with_node(&node).start();
     let whole = query("half", "9000m", &[0]);
     let mut client = Client::connect(mixer.address);
@@ -797,11 +797,13 @@
 #[test]
 fn what_waits_for_a_server_that_drains_goes_elsewhere() {
     for lifecycle in ["Terminating", "Gone"] {
-        let (mut slow, other) = (Node::backlogged(), Node::new());
+        let (mut slow, other) = (LeafServer::backlogged(), LeafServer::new());
         let discovery = Discovery::new();
         let setup = Setup { discovery: discovery.address(), ..with_node(&slow.node) };
-        let mixer =
-            Mixer::start(&setup.config().replace("\"dialTimeoutMs\":250", "\"dialTimeoutMs\":5000"), None);
+        let mixer = Aggregator::start(
+            &setup.config().replace("\"dialTimeoutMs\":250", "\"dialTimeoutMs\":5000"),
+            None,
+        );
         let mut watch = discovery.accept();
         let mut client = Client::connect(mixer.address);
         client.send(query("q", "9000m", &[0]));
--- a/tests/hard_cases.rs
+++ b/tests/hard_cases.rs
@@ -12,11 +12,11 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-fn asked(mixer: &Mixer, id: &str) -> u16 {
+fn asked(mixer: &Aggregator, id: &str) -> u16 {
     Client::connect(mixer.address).ask(query(id, "9000m", &[0])).status
 }
 
-fn is_ready(mixer: &mut Mixer) {
+fn is_ready(mixer: &mut Aggregator) {
     until("ready", || mixer.operate("GET /-/ready") == 200);
 }
 
@@ -36,7 +36,7 @@
     const CLIENTS: usize = 4;
     for step in [Step::NewHasNotSaidYes, Step::NewHasSaidYes, Step::OldWasAskedToEnd, Step::OldHasShut] {
         for old_dies in [false, true] {
-            let (a, b) = (Serving::new(), Serving::new());
+            let (a, b) = (AnsweringLeafServer::new(), AnsweringLeafServer::new());
             let held = shared_port();
             let nodes = [listed("a", a.address, 0), listed("b", b.address, 0)];
             let setup = Setup::new(&nodes).shared(&held);
@@ -84,7 +84,7 @@
 /// A drain holds in both processes whichever is told, whatever was going on; so does its end.
 #[test]
 fn a_drain_during_a_hand_over_holds_in_both_processes() {
-    let node = Serving::new();
+    let node = AnsweringLeafServer::new();
     let held = shared_port();
     let setup = Setup::new(&[listed("a", node.address, 0)]).shared(&held);
     let mut old = setup.start();
@@ -109,7 +109,7 @@
 /// An enable of what was never out changes nothing, and takes nothing from the disable that follows.
 #[test]
 fn an_enable_before_the_disable_is_no_credit() {
-    let (a, b) = (Serving::new(), Serving::new());
+    let (a, b) = (AnsweringLeafServer::new(), AnsweringLeafServer::new());
     let held = shared_port();
     let nodes = [listed("a", a.address, 0), listed("b", b.address, 0)];
     let setup = Setup::new(&nodes).shared(&held);
@@ -136,7 +136,7 @@
 /// hands over; each is counted, and the log names the field.
 #[test]
 fn broken_settings_change_nothing_during_a_ban_a_drain_and_a_hand_over() {
-    let (a, b) = (Serving::new(), Serving::new());
+    let (a, b) = (AnsweringLeafServer::new(), AnsweringLeafServer::new());
     let held = shared_port();
     let nodes = [listed("a", a.address, 0), listed("b", b.address, 0)];
     let setup = Setup::new(&nodes).shared(&held);
@@ -151,7 +151,7 @@
         sound.replace("\"hardLimitMs\":10000", "\"hardLimitMs\":0"),
     ];
     let mut rejected = 0;
-    let reject = |mixer: &mut Mixer, last: &mut u64| {
+    let reject = |mixer: &mut Aggregator, last: &mut u64| {
         for text in &broken {
             std::fs::write(&mixer.config, text).expect("written");
             mixer.signal("-HUP");
@@ -185,7 +185,7 @@
 /// A disk without room: the order is in force all the same, and the log says that it is not kept.
 #[test]
 fn an_order_that_finds_no_room_on_the_disk_holds_in_this_process() {
-    let (a, b) = (Serving::new(), Serving::new());
+    let (a, b) = (AnsweringLeafServer::new(), AnsweringLeafServer::new());
     let held = shared_port();
     let nodes = [listed("a", a.address, 0), listed("b", b.address, 0)];
     let setup = Setup::new(&nodes).shared(&held);
@@ -217,7 +217,7 @@
 /// answered, and yes means that the order holds.
 #[test]
 fn a_thousand_calls_at_once_are_answered_each() {
-    let (a, b) = (Serving::new(), Serving::new());
+    let (a, b) = (AnsweringLeafServer::new(), AnsweringLeafServer::new());
     let held = shared_port();
     let nodes = [listed("a", a.address, 0), listed("b", b.address, 0)];
     let setup = Setup::new(&nodes).shared(&held);
--- a/tests/http_and_flight.rs
+++ b/tests/http_and_flight.rs
@@ -30,8 +30,8 @@
 
 /// A leaf server that speaks the platform's frames.
 struct FrameLeaf {
-    leaf: Node,
-    connections: Vec<Link>,
+    leaf: LeafServer,
+    connections: Vec<LeafConnection>,
     /// Names of the parts that were cancelled.
     cancelled: Vec<String>,
 }
@@ -50,13 +50,13 @@
 
 impl FrameLeaf {
     fn new() -> Self {
-        FrameLeaf { leaf: Node::new(), connections: Vec::new(), cancelled: Vec::new() }
+        FrameLeaf { leaf: LeafServer::new(), connections: Vec::new(), cancelled: Vec::new() }
     }
 
     /// Handles the next frame; gives the part if it holds one.
     fn try_part(&mut self) -> Option<Part> {
         self.connections.extend(self.leaf.try_accept());
-        let connection = self.connections.iter().position(Link::has_frame)?;
+        let connection = self.connections.iter().position(LeafConnection::has_frame)?;
         match self.connections[connection].frame()? {
             ('p', _) => {
                 self.connections[connection].put('p', "inflight=7,qps=3");
@@ -171,7 +171,7 @@
 }
 
 fn send_query(
-    aggregator: &mut Mixer,
+    aggregator: &mut Aggregator,
     protocol: Protocol,
     name: &str,
     shards: &[u32],
@@ -251,7 +251,7 @@
 /// Runs a scenario over all pairs of client and leaf protocol: outcomes and counters must not differ.
 fn with_all_protocols(
     hard_limit_ms: u32,
-    scenario: impl Fn(&mut Mixer, Protocol, &mut [AnyLeaf]) -> Vec<Outcome>,
+    scenario: impl Fn(&mut Aggregator, Protocol, &mut [AnyLeaf]) -> Vec<Outcome>,
 ) {
     let mut first: Option<(Vec<Outcome>, HashMap<String, u64>)> = None;
     for (client_protocol, leaf_protocol) in [
@@ -407,7 +407,7 @@
 
 #[test]
 fn flight_info_names_the_ticket_and_invalid_tickets_are_rejected() {
-    let leaf = Node::new();
+    let leaf = LeafServer::new();
     let setup = Setup { operator: flight_enabled(), ..Setup::new(&[listed("a", leaf.address, 0)]) };
     let mut aggregator = setup.start();
     let gateway = Gateway::connect(&aggregator.flight());
@@ -446,7 +446,7 @@
 fn gateways_beyond_the_limit_wait_until_one_disconnects() {
     let setup = Setup { operator: flight_enabled(), ..Setup::new(&[]) };
     let config = setup.config().replace("\"sockets\":1024", "\"sockets\":16");
-    let mut aggregator = Mixer::start(&config, setup.operator.as_deref());
+    let mut aggregator = Aggregator::start(&config, setup.operator.as_deref());
     let flight = aggregator.flight();
     let first = Gateway::connect(&flight);
     let waiting = background(move || Gateway::connect(&flight).info(&ticket("q2", &[0])).is_ok());
--- a/tests/inventory.rs
+++ b/tests/inventory.rs
@@ -7,7 +7,7 @@
 
 const FILES: [&str; 2] = ["nodes.yaml", "nodes.csv"];
 
-fn inventory_text(file: &str, server: &Node) -> String {
+fn inventory_text(file: &str, server: &LeafServer) -> String {
     let port = server.address.port();
     if file.ends_with("csv") {
         return format!("name,host,port,cell,zone\n# the only one\ns0,127.0.0.1,{port},0,z\n");
@@ -21,14 +21,14 @@
 #[test]
 fn changed_list_is_applied_and_invalid_one_changes_nothing() {
     for file in FILES {
-        let first = Node::new();
-        let second = Node::new();
+        let first = LeafServer::new();
+        let second = LeafServer::new();
         let path = scratch("inventory").join(file);
         fs::write(&path, inventory_text(file, &first)).expect("written");
         let operator = Some(format!("inventory:\n  file: {}\n", path.display()));
         let mut aggregator = Setup { operator, ..Setup::new(&[]) }.start();
         let mut client = Client::connect(aggregator.address);
-        let mut query_through = |id: &str, server: &Node| {
+        let mut query_through = |id: &str, server: &LeafServer| {
             client.send(query(id, "9000m", &[0]));
             let mut link = server.accept();
             let part = link.part();
--- a/tests/leaf_connections.rs
+++ b/tests/leaf_connections.rs
@@ -9,7 +9,7 @@
 /// The leaf server must know that the first attempt is over before the second leaves: never two in flight at once.
 #[test]
 fn cancellation_is_written_before_the_next_attempt_is_sent() {
-    let (a, b) = (Node::new(), Node::new());
+    let (a, b) = (LeafServer::new(), LeafServer::new());
     let aggregator = Setup { hard_limit_ms: 2400, ..with_two_holders(&a, &b) }.start();
     let mut client = Client::connect(aggregator.address);
     client.send(query("q1", "2400m", &[0]));
@@ -29,7 +29,7 @@
 
 #[test]
 fn each_failed_outcome_of_an_attempt_has_its_own_counter() {
-    type Response = fn(&mut Link, &str);
+    type Response = fn(&mut LeafConnection, &str);
     let cases: [(&str, Response); 11] = [
         ("attempts_bad", |connection, part| connection.answer(part, "bad", "")),
         ("attempts_rejected", |connection, part| connection.answer(part, "later", "")),
@@ -47,7 +47,7 @@
         }),
     ];
     for (counter, respond) in cases {
-        let (a, b) = (Node::new(), Node::new());
+        let (a, b) = (LeafServer::new(), LeafServer::new());
         let aggregator = with_two_holders(&a, &b).start();
         let mut client = Client::connect(aggregator.address);
         client.send(query("q1", "9000m", &[0]));
@@ -69,7 +69,7 @@
 
 #[test]
 fn refused_connection_proves_that_the_part_never_ran() {
-    let leaf = Node::new();
+    let leaf = LeafServer::new();
     let aggregator = Setup::new(&[listed("a", nobody(), 0), listed("b", leaf.address, 0)]).start();
     let serve = background(move || {
         let mut connection = leaf.accept();
@@ -91,7 +91,7 @@
 
 #[test]
 fn query_is_rejected_at_once_after_three_failed_attempts() {
-    let leaf = Node::new();
+    let leaf = LeafServer::new();
     let aggregator = with_leaves(&[&leaf]).start();
     let mut client = Client::connect(aggregator.address);
     client.send(query("q1", "9000m", &[0]));
@@ -108,7 +108,7 @@
 
 #[test]
 fn client_disconnect_cancels_its_attempts() {
-    let leaf = Node::new();
+    let leaf = LeafServer::new();
     let aggregator = with_leaves(&[&leaf]).start();
     let mut client = Client::connect(aggregator.address);
     client.send(query("q1", "9000m", &[0]));
@@ -122,7 +122,7 @@
 
 #[test]
 fn connection_carries_no_more_parts_than_allowed() {
-    let leaf = Node::new();
+    let leaf = LeafServer::new();
     let setup = Setup { calls_per_connection: 1, ..with_leaves(&[&leaf]) };
     let aggregator = setup.start();
     let mut clients = [Client::connect(aggregator.address), Client::connect(aggregator.address)];
@@ -140,7 +140,7 @@
 
 #[test]
 fn idle_leaf_connection_is_closed_by_the_aggregator() {
-    let leaf = Node::new();
+    let leaf = LeafServer::new();
     let aggregator = Setup { keepalive_ms: 700, ..with_leaves(&[&leaf]) }.start();
     let mut client = Client::connect(aggregator.address);
     client.send(query("q1", "9000m", &[0]));
@@ -155,7 +155,7 @@
 /// A leaf server that reads nothing delays no other, and what waits for it is bounded.
 #[test]
 fn stalled_leaf_does_not_block_the_aggregator() {
-    let (stalled, leaf) = (Node::new(), Node::new());
+    let (stalled, leaf) = (LeafServer::new(), LeafServer::new());
     let aggregator = Setup { calls_per_connection: 1000, ..with_leaves(&[&stalled, &leaf]) }.start();
     let mut waiting = Vec::new();
     for i in 0..150 {
@@ -182,7 +182,7 @@
 /// A leaf server reads no cancellation on a full connection, and may work on what was cancelled until it answers.
 #[test]
 fn cancellation_never_waits_behind_a_full_connection() {
-    let leaf = Node::new();
+    let leaf = LeafServer::new();
     let aggregator = Setup { calls_per_connection: 3, ..with_leaves(&[&leaf]) }.start();
     let ask = |id: &str| {
         let mut client = Client::connect(aggregator.address);
@@ -221,7 +221,7 @@
         ("-", "\u{0}\u{0}\u{0}\u{5}qnoise", 0),
         ("-", "\u{7f}noise that names a length", 0),
     ] {
-        let (a, b) = (Node::new(), Node::new());
+        let (a, b) = (LeafServer::new(), LeafServer::new());
         let aggregator = with_two_holders(&a, &b).start();
         let mut client = Client::connect(aggregator.address);
         client.send(query("q1", "9000m", &[0]));
--- a/tests/operate.rs
+++ b/tests/operate.rs
@@ -17,13 +17,13 @@
 }
 
 /// The status of a query over a connection of its own.
-fn query_status(aggregator: &Mixer, id: &str) -> u16 {
+fn query_status(aggregator: &Aggregator, id: &str) -> u16 {
     Client::connect(aggregator.address).ask(query(id, "9000m", &[0])).status
 }
 
 #[test]
 fn the_admin_interface_answers_beside_60_idle_connections() {
-    let server = Serving::new();
+    let server = AnsweringLeafServer::new();
     let mut aggregator = with_admin(&[listed("a", server.address, 0)]).start();
     let at: SocketAddr = aggregator.told("operators on ").parse().expect("an address");
     until("ready", || aggregator.operate("GET /-/ready") == 200);
@@ -56,14 +56,14 @@
 /// Disabled whatever discovery and SIGHUP say, until one call enables it, however many disabled it; then used in 5 s.
 #[test]
 fn a_disabled_leaf_server_gets_no_part_until_it_is_enabled() {
-    let (a, b) = (Serving::new(), Serving::new());
+    let (a, b) = (AnsweringLeafServer::new(), AnsweringLeafServer::new());
     let discovery = Discovery::new();
     let servers = [listed("a", a.address, 0), listed("b", b.address, 0)];
     let mut aggregator = Setup { discovery: discovery.address(), ..with_admin(&servers) }.start();
     let mut watch = discovery.accept();
     watch.tell(&list(2, true, &servers));
     aggregator.wait_for("lists_taken", 2);
-    let ask = |aggregator: &Mixer, n: usize, from: &str| {
+    let ask = |aggregator: &Aggregator, n: usize, from: &str| {
         for i in 0..n {
             assert_eq!(query_status(aggregator, &format!("{from}{i}")), 200);
         }
@@ -99,7 +99,7 @@
 /// Its health endpoint says no, its clients' connections are closed, and the process runs on until it is resumed.
 #[test]
 fn a_drained_aggregator_closes_its_clients_and_resumes() {
-    let server = Serving::new();
+    let server = AnsweringLeafServer::new();
     let mut aggregator = with_admin(&[listed("a", server.address, 0)]).start();
     let mut persistent = Client::connect(aggregator.address);
     assert_eq!(persistent.ask(query("q1", "9000m", &[0])).status, 200);
@@ -124,7 +124,7 @@
 /// Three processes one after the other under load, with an override given to each.
 #[test]
 fn hot_restarts_under_load_lose_no_query_and_keep_the_overrides() {
-    let (a, b, c) = (Serving::new(), Serving::new(), Serving::new());
+    let (a, b, c) = (AnsweringLeafServer::new(), AnsweringLeafServer::new(), AnsweringLeafServer::new());
     let reserved_port = shared_port();
     let servers = [listed("a", a.address, 0), listed("b", b.address, 0), listed("c", c.address, 0)];
     let setup = Setup::new(&servers).shared(&reserved_port);
@@ -169,13 +169,13 @@
 /// A new process that fails to start, or is killed once it is ready.
 #[test]
 fn a_new_process_that_dies_leaves_the_old_one_serving() {
-    let server = Serving::new();
+    let server = AnsweringLeafServer::new();
     let reserved_port = shared_port();
     let setup = Setup::new(&[listed("a", server.address, 0)]).shared(&reserved_port);
     let mut old = setup.start();
     old.told("to=\"ready\"");
     let broken =
-        Mixer::start_in_vain(&setup.config().replace("\"maxAttempts\":3", "\"maxAttempts\":0"), &setup);
+        Aggregator::start_in_vain(&setup.config().replace("\"maxAttempts\":3", "\"maxAttempts\":0"), &setup);
     assert!(!broken.success(), "it does not start");
     let mut new = setup.start();
     until("the new one is ready", || new.operate("GET /-/ready") == 200);
@@ -196,7 +196,7 @@
 /// calls are answered all the same.
 #[test]
 fn stored_overrides_that_are_unusable_are_logged_and_moved_aside() {
-    let server = Serving::new();
+    let server = AnsweringLeafServer::new();
     let reserved_port = shared_port();
     let setup = Setup::new(&[listed("a", server.address, 0)]).shared(&reserved_port);
     let tmp = setup.tmp.clone().expect("a directory");
@@ -230,7 +230,7 @@
 /// A query in flight keeps the attempts and the class that it began with; the next ones go by the new settings.
 #[test]
 fn reloaded_settings_apply_to_new_queries_only() {
-    let (a, b) = (Node::new(), Node::new());
+    let (a, b) = (LeafServer::new(), LeafServer::new());
     let setup = with_admin(&[listed("a", a.address, 0), listed("b", b.address, 0)]);
     let mut aggregator = setup.start();
     let mut in_flight = Client::connect(aggregator.address);
@@ -256,7 +256,7 @@
     let mut client = Client::connect(aggregator.address);
     client.send(renamed);
     let mut connections = [connection, second];
-    until("a part comes", || connections.iter().any(Link::has_frame));
+    until("a part comes", || connections.iter().any(LeafConnection::has_frame));
     let connection = connections.iter_mut().find(|l| l.has_frame()).expect("one");
     let part = connection.part();
     connection.answer(&part, "later", "");
@@ -267,7 +267,7 @@
 /// Anything else gets a status of its own.
 #[test]
 fn admin_calls_are_distinguished_by_method_and_path() {
-    let server = Node::new();
+    let server = LeafServer::new();
     let servers = [listed("s-1", server.address, 0), listed("s/1", nobody(), 0)];
     let mut aggregator = Setup { managed: true, ..Setup::new(&servers) }.start();
     until("ready", || aggregator.operate("GET /-/ready") == 200);
