--- /dev/null
+++ b/tests/balancer/answers.rs
@@ -0,0 +1,101 @@
+//! Complete and partial answers, and queries of two steps.
+
+use crate::harness::*;
+use sailmux::balancer::*;
+
+#[test]
+fn every_query_ends_once_before_its_deadline() {
+    let mut harness = Harness::new(settings(), 1);
+    harness.list_replicas(3);
+    let (query, _) = harness.query(1.0, &[0, 1, 2]);
+    harness.run_timer(1.0, 2990.0);
+    let finals =
+        harness.actions.iter().filter(|a| matches!(a, Action::Reject { query: q, .. } if *q == query));
+    assert_eq!(finals.count(), 1, "one final answer, given while the client still waits");
+}
+
+#[test]
+fn a_query_is_answered_when_its_last_part_is() {
+    let mut harness = Harness::new(settings(), 1);
+    harness.list_replicas(3);
+    let (query, parts) = harness.query(1.0, &[0, 1]);
+    harness.end_attempt(100.0, parts[0], 0, Outcome::Ok, 99.0);
+    assert!(!harness.has_action(&Action::Answer { query, complete: true }));
+    harness.end_attempt(101.0, parts[1], 0, Outcome::Ok, 100.0);
+    assert!(harness.has_action(&Action::Answer { query, complete: true }));
+}
+
+#[test]
+fn a_partial_answer_is_never_called_complete() {
+    let partial = Class { complete_coverage: 1.0, minimum_coverage: 0.5, ..class() };
+    let mut harness = Harness::new(with_class(partial), 1);
+    harness.list_replicas(3);
+    let (query, parts) = harness.query(1.0, &[0, 1]);
+    harness.end_attempt(100.0, parts[0], 0, Outcome::Ok, 99.0);
+    harness.run_timer(100.0, 1600.0);
+    assert!(harness.has_action(&Action::Answer { query, complete: false }));
+    assert!(!harness.has_action(&Action::Answer { query, complete: true }));
+}
+
+/// A shard without a holder does not end a query that may be answered from the other parts.
+#[test]
+fn a_shard_without_replicas_leaves_a_partial_answer() {
+    let partial = Class { minimum_coverage: 0.5, partial_value_factor: 0.8, ..class() };
+    let mut harness = Harness::new(Settings { width: 1, ..with_class(partial) }, 1);
+    harness.list_replicas(2);
+    for i in 0..40 {
+        let now = 100.0 * f64::from(i);
+        harness.query(now, &[0, 1]);
+        harness.answer_all_except(now + 50.0, 50.0, &[]);
+    }
+    let (query, _) = harness.query(4000.0, &[0, 1, 2]);
+    assert!(!harness.is_refused(query), "two of three parts are worth asking for");
+    harness.answer_all_except(4050.0, 50.0, &[]);
+    harness.run_timer(4050.0, 5600.0);
+    assert!(harness.has_action(&Action::Answer { query, complete: false }));
+}
+
+/// Two steps: the first answer brings the second's parts, and the second answer is whole only if both are.
+#[test]
+fn a_second_step_is_sent_and_answered() {
+    let mut harness = Harness::new(
+        with_class(Class { second_step_parts: 1, complete_coverage: 0.5, minimum_coverage: 0.5, ..class() }),
+        1,
+    );
+    harness.list_replicas(3);
+    let (query, parts) = harness.query(1.0, &[0, 1]);
+    let first = harness.in_flight[0];
+    harness.end_attempt(50.0, first.part, first.attempt, Outcome::Ok, 49.0);
+    assert!(harness.has_action(&Action::Answer { query, complete: true }));
+    harness.actions.clear();
+    let part = PartId(parts[1].0 + 50);
+    let specs = vec![only_part(part)];
+    harness.handle(55.0, Event::SecondStep { query, parts: specs });
+    assert!(harness.sends.iter().any(|sent| sent.part == part));
+    harness.end_attempt(100.0, part, 0, Outcome::Ok, 45.0);
+    assert!(harness.has_action(&Action::Answer { query, complete: true }));
+    harness.run_timer(100.0, 3000.0);
+    assert!(!harness.is_rejected(query), "nothing more is owed");
+}
+
+/// A first answer from less comes early enough for the second step to be in before the latency objective.
+#[test]
+fn an_early_partial_answer_leaves_time_for_the_second_step() {
+    let partial = Class { minimum_coverage: 0.5, partial_value_factor: 0.8, second_step_parts: 1, ..class() };
+    let mut harness =
+        Harness::new(Settings { cells: 9, width: 1, hedging_allowed: false, ..with_class(partial) }, 1);
+    harness.list_replicas(9);
+    let (query, parts) = harness.query(0.0, &[0, 1, 2]);
+    harness.answer_all_except(50.0, 50.0, &[2]);
+    harness.run_timer(50.0, 1400.0);
+    assert!(
+        harness.has_action(&Action::Answer { query, complete: false }),
+        "100 ms before the latency objective the first step is over"
+    );
+    let part = PartId(parts[2].0 + 50);
+    let specs = vec![only_part(part)];
+    harness.actions.clear();
+    harness.handle(1400.0, Event::SecondStep { query, parts: specs });
+    harness.end_attempt(1450.0, part, 0, Outcome::Ok, 50.0);
+    assert!(harness.has_action(&Action::Answer { query, complete: false }));
+}
--- /dev/null
+++ b/tests/balancer/endpoint_list.rs
@@ -0,0 +1,59 @@
+//! The endpoint list: draining replicas, and the watch where the list must be requested.
+
+use crate::harness::*;
+use sailmux::balancer::*;
+
+#[test]
+fn draining_replicas_get_no_new_part_even_as_the_last_resort() {
+    let mut harness = Harness::new(settings(), 1);
+    harness.list_replicas(3);
+    for i in 0..3 {
+        harness.update_replica(1.0, ReplicaEntry { state: ReplicaState::Draining, ..entry(i) });
+    }
+    let (query, _) = harness.query(2.0, &[0]);
+    harness.run_timer(2.0, 1600.0);
+    assert!(harness.sends.is_empty());
+    assert!(harness.is_rejected(query));
+}
+
+/// A list that must be asked for is asked for, whatever old list was known at the start, and again after a failure.
+#[test]
+fn a_polled_list_is_watched_once_and_again_after_a_failure() {
+    let mut harness = Harness::new(Settings { discovery_is_polled: true, ..settings() }, 1);
+    harness.list_replicas(3);
+    harness.run_timer(0.0, 100.0);
+    assert_eq!(harness.actions.iter().filter(|a| **a == Action::WatchEndpoints).count(), 1);
+    harness.handle(200.0, Event::EndpointList { complete: false, entries: vec![] });
+    harness.run_timer(200.0, 30_000.0);
+    assert_eq!(
+        harness.actions.iter().filter(|a| **a == Action::WatchEndpoints).count(),
+        1,
+        "a subscription stands"
+    );
+    harness.handle(30_000.0, Event::EndpointListFailed);
+    harness.run_timer(30_000.0, 40_000.0);
+    assert!(harness.actions.iter().filter(|a| **a == Action::WatchEndpoints).count() >= 2);
+}
+
+/// A list call that fails for ever neither stops service nor is repeated without a pause, and is made again within
+/// the stated time.
+#[test]
+fn a_failing_watch_is_retried_with_backoff_and_does_not_stop_service() {
+    let mut harness = Harness::new(Settings { discovery_is_polled: true, ..settings() }, 1);
+    harness.list_replicas(3);
+    let (mut calls, mut seen) = (vec![], 0);
+    for step in 0..3000 {
+        let now = 20.0 * f64::from(step);
+        harness.handle(now, Event::Timer);
+        let made = harness.actions.iter().filter(|a| **a == Action::WatchEndpoints).count();
+        if made > seen {
+            seen = made;
+            calls.push(now);
+            harness.handle(now + 5.0, Event::EndpointListFailed);
+        }
+    }
+    assert!(calls.len() < 60, "{} calls in a minute", calls.len());
+    let longest = calls.windows(2).map(|w| w[1] - w[0]).fold(0.0, f64::max);
+    assert!(longest < 10_000.0, "{longest} ms without asking");
+    harness.select_replica(60_100.0, 0);
+}
--- /dev/null
+++ b/tests/balancer/outlier_detection.rs
@@ -0,0 +1,148 @@
+//! Outlier detection: replicas that fail or do not answer get fewer parts, sound ones are not ejected.
+
+use crate::harness::*;
+use sailmux::balancer::*;
+
+/// A replica that goes on answering is not silent because one part of it was lost.
+#[test]
+fn one_lost_part_does_not_eject_an_answering_replica() {
+    let mut harness = Harness::new(Settings { cells: 1, width: 1, ..settings() }, 1);
+    harness.list_replicas(1);
+    harness.warm_up(3000.0, 50.0);
+    harness.query(3000.0, &[0]);
+    let lost = harness.in_flight[0];
+    for i in 0..20 {
+        let now = 3000.0 + 50.0 * f64::from(i);
+        let (_, parts) = harness.query(now, &[0]);
+        harness.end_attempt(now + 49.0, parts[0], 0, Outcome::Ok, 49.0);
+    }
+    assert!(harness.in_flight.contains(&lost), "the lost part is still out");
+    assert!(!harness.any_replica_ejected());
+}
+
+/// A silent replica is left by the parts that follow.
+#[test]
+fn an_unresponsive_replica_is_no_longer_selected() {
+    let mut harness = Harness::new(settings(), 2);
+    harness.list_replicas(3);
+    harness.warm_up(3000.0, 50.0);
+    let mut late_selections = 0;
+    for i in 0..60 {
+        let now = 3000.0 + 50.0 * f64::from(i);
+        let (_, replica) = harness.query_one_shard(now, 0);
+        late_selections += u32::from(i >= 20 && replica == ReplicaId(0));
+        for InFlight { part, attempt } in harness.in_flight.clone() {
+            if harness.replica_of(part, attempt) != ReplicaId(0) {
+                harness.end_attempt(now + 49.0, part, attempt, Outcome::Ok, 49.0);
+            }
+        }
+    }
+    assert!(late_selections <= 3, "{late_selections} of 40 parts still went to the silent replica");
+}
+
+/// One part that met no connection, or an error, is enough to draw other holders first.
+#[test]
+fn one_failed_attempt_makes_other_replicas_preferred() {
+    for (seed, outcome) in (0..40).flat_map(|s| [(s, Outcome::ConnectFailed), (s, Outcome::Error)]) {
+        let mut harness = Harness::new(settings(), seed);
+        harness.list_replicas(3);
+        let (part, bad) = harness.query_one_shard(1.0, 0);
+        harness.end_attempt(101.0, part, 0, outcome, 100.0);
+        // The two others get busy; the bad one is still not drawn.
+        for _ in 0..6 {
+            assert_ne!(harness.select_replica(102.0, 0), bad, "seed {seed}, {outcome:?}");
+        }
+    }
+}
+
+/// An instant failer keeps nothing out, yet must stop winning: its failed parts go on counting.
+#[test]
+fn a_replica_that_fails_at_once_is_rarely_selected() {
+    let mut harness = Harness::new(settings(), 3);
+    harness.list_replicas(3);
+    let mut bad = 0;
+    for i in 0..200u32 {
+        let now = 1.0 + 10.0 * f64::from(i);
+        let (part, replica) = harness.query_one_shard(now, 0);
+        if replica == ReplicaId(0) {
+            bad += 1;
+            harness.end_attempt(now + 1.0, part, 0, Outcome::Error, 1.0);
+            harness.actions.clear();
+        }
+        let answered = harness.in_flight.clone();
+        for InFlight { part, attempt } in answered {
+            harness.end_attempt(now + 2.0, part, attempt, Outcome::Ok, 200.0);
+        }
+    }
+    assert!(bad < 20, "the failer won {bad} of 200 parts");
+}
+
+/// A server that errors at once loses to idle ones, but wins over full ones: some of its answers are good.
+#[test]
+fn a_replica_that_fails_at_once_loses_to_idle_and_wins_over_loaded_ones() {
+    let mut harness = Harness::new(Settings { hedging_allowed: false, ..settings() }, 5);
+    harness.list_replicas(3);
+    let bad = ReplicaId(0);
+    let mut to_bad = 0;
+    for i in 0..120 {
+        let now = 30.0 * f64::from(i);
+        let (_, parts) = harness.query(now, &[0]);
+        // It answers at once; the others answer nothing for now, and the failed part goes on to one of them.
+        while harness
+            .in_flight
+            .iter()
+            .any(|sent| sent.part == parts[0] && harness.replica_of(sent.part, sent.attempt) == bad)
+        {
+            to_bad += 1;
+            let attempt = harness.sends.iter().filter(|sent| sent.part == parts[0]).count() as u32 - 1;
+            harness.end_attempt(now + 1.0, parts[0], attempt, Outcome::Error, 1.0);
+        }
+        assert!(
+            harness.in_flight.iter().any(|sent| sent.part == parts[0]),
+            "part {i} is not out after its error"
+        );
+        if i % 8 == 7 {
+            harness.end_all(now + 2.0, Outcome::Ok, 100.0);
+        }
+    }
+    assert!((20..80).contains(&to_bad), "{to_bad} of 120 parts went to the one that errs");
+}
+
+/// An aggregator that stood still for a second does not hold its own gap against the servers.
+#[test]
+fn a_stall_of_the_aggregator_itself_ejects_no_replica() {
+    let mut harness = Harness::new(Settings { cells: 6, ..settings() }, 1);
+    harness.list_replicas(6);
+    for i in 0..60 {
+        let now = 20.0 * f64::from(i);
+        harness.query(now, &[0, 3]);
+        harness.answer_all_except(now + 15.0, 15.0, &[]);
+    }
+    harness.query(1200.0, &[0, 3]);
+    let sent = harness.sends.len();
+    harness.actions.clear();
+    harness.handle(2350.0, Event::Timer);
+    assert_eq!(harness.sends.len(), sent, "no copies: the answers are in the same batch");
+    harness.answer_all_except(2350.0, 1150.0, &[]);
+    harness.handle(2370.0, Event::Timer);
+    assert!(!harness.any_replica_ejected());
+}
+
+/// With every holder found gone, parts wait; no burst onto the first one back.
+#[test]
+fn replicas_that_all_refuse_connections_are_tried_one_part_at_a_time() {
+    let mut harness = Harness::new(settings(), 4);
+    harness.list_replicas(3);
+    harness.warm_up(5000.0, 50.0);
+    for i in 0..40 {
+        let now = 5000.0 + 10.0 * f64::from(i);
+        harness.query(now, &[0]);
+        harness.end_all(now + 5.0, Outcome::ConnectFailed, 5.0);
+    }
+    harness.in_flight.clear();
+    let from = harness.sends.len();
+    for _ in 0..30 {
+        harness.query(5500.0, &[0]);
+    }
+    assert!(harness.sends.len() - from <= 3, "{} parts at once", harness.sends.len() - from);
+}
--- /dev/null
+++ b/tests/balancer/selection.rs
@@ -0,0 +1,76 @@
+//! Power of two choices: the less loaded of two sampled replicas is selected, ties at random.
+
+use crate::harness::*;
+use sailmux::balancer::*;
+
+/// With two holders and a shard, the one with more parts out is never sent the next part.
+#[test]
+fn the_less_loaded_of_two_replicas_is_selected() {
+    for seed in 0..50 {
+        let mut harness = Harness::new(Settings { cells: 2, width: 2, ..settings() }, seed);
+        harness.list_replicas(2);
+        let first = harness.select_replica(1.0, 0);
+        let second = harness.select_replica(2.0, 0);
+        assert_ne!(first, second, "both draws were the same, or the busier one won");
+    }
+}
+
+/// Nothing known: each of three holders gets about a third.
+#[test]
+fn equally_loaded_replicas_are_selected_evenly() {
+    let mut seen = [0u32; 3];
+    for seed in 0..600 {
+        let mut harness = Harness::new(settings(), seed);
+        harness.list_replicas(3);
+        seen[harness.select_replica(1.0, 0).0 as usize] += 1;
+    }
+    assert!(seen.iter().all(|n| (150..250).contains(n)), "{seen:?}");
+}
+
+/// Parts sent together on one call count as one: the replica with more parts, on one call, is still a tie.
+#[test]
+fn parts_sharing_one_call_count_as_one_request() {
+    let (mut more_won, mut trials) = (0, 0);
+    for seed in 0..300 {
+        let shared = Settings { parts_per_call: 8, cells: 2, width: 1, ..settings() };
+        let mut harness = Harness::new(shared, seed);
+        let twin = |i: u32| ReplicaEntry { replica: ReplicaId(i), ..entry(0) };
+        let others = (2..9).map(|i| ReplicaEntry { replica: ReplicaId(i), ..entry(1) });
+        let entries = [twin(0), twin(1)].into_iter().chain(others).collect();
+        harness.handle(0.0, Event::EndpointList { complete: true, entries });
+        harness.query(1.0, &[0, 0, 0]);
+        let on = |id: u32, harness: &Harness| {
+            harness.sends.iter().filter(|sent| sent.replica == ReplicaId(id)).count()
+        };
+        let (a, b) = (on(0, &harness), on(1, &harness));
+        if a != b && a > 0 && b > 0 {
+            trials += 1;
+            let more = ReplicaId(u32::from(b > a));
+            more_won += u32::from(harness.select_replica(2.0, 0) == more);
+        }
+    }
+    assert!(trials > 50, "{trials}");
+    assert!(more_won * 4 > trials && more_won * 4 < trials * 3, "{more_won} of {trials}");
+}
+
+/// A shard's one holder that is not suspect still loses to a suspect once it holds far more: no herd.
+#[test]
+fn a_single_unsuspected_replica_does_not_get_all_parts() {
+    let mut harness = Harness::new(Settings { hedging_allowed: false, ..settings() }, 5);
+    harness.list_replicas(3);
+    harness.warm_up(20_000.0, 50.0);
+    harness.run_timer(20_000.0, 20_020.0);
+    // Two stood still for a moment, eight times as long as a part takes.
+    let mut held = vec![];
+    while held.len() < 2 {
+        let (part, replica) = harness.query_one_shard(20_020.0, 0);
+        match replica {
+            ReplicaId(0) => harness.end_attempt(20_021.0, part, 0, Outcome::Ok, 50.0),
+            _ => held.push(part),
+        }
+    }
+    harness.run_timer(20_020.0, 20_420.0);
+    let to: Vec<ReplicaId> = (0..60).map(|_| harness.select_replica(20_420.0, 0)).collect();
+    let lone = to.iter().filter(|r| **r == ReplicaId(0)).count();
+    assert!((20..50).contains(&lone), "{lone} of 60 parts went to the one that was quick");
+}
