--- a/tests/common/process/leaf_server.rs
+++ b/tests/common/process/leaf_server.rs
@@ -44,7 +44,7 @@
         while let Ok(stream) = TcpStream::connect_timeout(&address, Duration::from_millis(100)) {
             filler.push(stream);
         }
-        BackloggedLeafServer { node: LeafServer { listener, address }, filler }
+        BackloggedLeafServer { server: LeafServer { listener, address }, filler }
     }
 
     /// A connection that has been made, if any.
@@ -59,7 +59,7 @@
 
 /// A leaf server whose listen queue is full.
 pub struct BackloggedLeafServer {
-    pub node: LeafServer,
+    pub server: LeafServer,
     filler: Vec<TcpStream>,
 }
 
@@ -67,7 +67,7 @@
     /// Empties the queue: dials succeed when the kernel next retries them, within a second.
     pub fn clear(&mut self) {
         for _ in self.filler.drain(..) {
-            drop(self.node.accept());
+            drop(self.server.accept());
         }
     }
 }
--- /dev/null
+++ b/tests/endings/leaf_connections.rs
@@ -0,0 +1,63 @@
+//! Connections to leaf servers that close, or are still being dialled as the server drains.
+
+use crate::common::process::*;
+use crate::{send_query, with_leaf_server, with_long_dial_timeout};
+use std::time::{Duration, Instant};
+
+/// The server closes an idle connection as a part is written to it: the part may have run, and is retried where it is
+/// idempotent.
+#[test]
+fn a_part_crossing_the_servers_close_is_retried() {
+    let leaf_server = LeafServer::new();
+    let aggregator = with_leaf_server(&leaf_server).start();
+    let mut client = send_query(&aggregator, "q1");
+    let mut connection = leaf_server.accept();
+    assert_eq!(connection.part(), "q1.0");
+    connection.answer("q1.0", "good", "v");
+    assert_eq!(client.response().status, 200);
+    aggregator.pause();
+    drop(connection);
+    client.send(query("q2", "9000m", &[0]));
+    aggregator.resume();
+    let mut again = leaf_server.accept();
+    assert_eq!(again.part(), "q2.0");
+    again.answer("q2.0", "good", "v");
+    assert_eq!(client.response().status, 200);
+}
+
+/// A part waits for a connection that is being dialled when its server starts to drain. It is sent elsewhere; when the
+/// connection is up, after the grace period for new parts, nothing is written to it.
+#[test]
+fn a_part_waiting_for_a_draining_server_is_sent_elsewhere() {
+    for lifecycle in ["Terminating", "Gone"] {
+        let (mut slow, other) = (LeafServer::backlogged(), LeafServer::new());
+        let discovery = Discovery::new();
+        let setup = Setup { discovery: discovery.address(), ..with_leaf_server(&slow.server) };
+        let aggregator = Aggregator::start(&with_long_dial_timeout(&setup.config()), None);
+        let mut watch = discovery.accept();
+        let mut client = send_query(&aggregator, "q");
+        aggregator.wait_for("connections_dialled", 1);
+        let draining = Listed { lifecycle, ..listed("a", slow.server.address, 0) };
+        watch.tell(&list(2, false, &[draining, Listed { started: 1, ..listed("b", other.address, 0) }]));
+        aggregator.wait_for("lists_taken", 2);
+        let draining_since = Instant::now();
+        let mut connection = other.accept();
+        assert!(
+            draining_since.elapsed() < Duration::from_secs(1),
+            "{lifecycle}: elsewhere after {:?}",
+            draining_since.elapsed()
+        );
+        assert_eq!(connection.part(), "q.0");
+        slow.clear();
+        if lifecycle == "Terminating" {
+            let mut late = slow.server.accept();
+            late.stream.set_read_timeout(Some(Duration::from_millis(300))).expect("set");
+            assert_eq!(late.frame(), None, "nothing is written to it");
+        } else {
+            aggregator.wait_for("connections_closed", 1);
+        }
+        connection.answer("q.0", "good", "v");
+        assert_eq!(client.response().status, 200);
+        assert_eq!(aggregator.counters()["attempts_sent"], 1, "{lifecycle}");
+    }
+}
--- /dev/null
+++ b/tests/endings/main.rs
@@ -0,0 +1,45 @@
+//! What ends while something is in flight: clients, requests, attempts, connections, watches, settings and the aggregator
+//! itself, on the real program. Each test forces its race: by a stopped process, a peer that does nothing, an order of
+//! bytes. `docs/design/endings.md` has a row for each.
+
+mod attempts;
+mod client_disconnects;
+#[path = "../common/mod.rs"]
+mod common;
+mod discovery;
+mod leaf_connections;
+mod reload;
+mod shutdown;
+
+use common::process::*;
+
+/// An aggregator with one leaf server, which holds every shard that is queried here.
+fn with_leaf_server(leaf_server: &LeafServer) -> Setup {
+    Setup::new(&[listed("a", leaf_server.address, 0)])
+}
+
+/// Sends and serves one query: all that arrived before it has been handled by then.
+fn assert_serves(aggregator: &Aggregator, connection: &mut LeafConnection, id: &str) {
+    let mut client = send_query(aggregator, id);
+    assert_eq!(connection.part(), format!("{id}.0"), "nothing else comes before it");
+    connection.answer(&format!("{id}.0"), "good", "v");
+    assert_eq!(client.response().status, 200);
+}
+
+/// A new client that has sent a query for shard 0.
+fn send_query(aggregator: &Aggregator, id: &str) -> Client {
+    let mut client = Client::connect(aggregator.address);
+    client.send(query(id, "9000m", &[0]));
+    client
+}
+
+/// Sends SIGTERM and waits until the shutdown has begun.
+fn begin_shutdown(aggregator: &mut Aggregator) {
+    aggregator.signal("-TERM");
+    aggregator.told("graceful shutdown");
+}
+
+/// The configuration with a dial timeout that outlasts the test.
+fn with_long_dial_timeout(config: &str) -> String {
+    config.replace("\"dialTimeoutMs\":250", "\"dialTimeoutMs\":5000")
+}
--- /dev/null
+++ b/tests/endings/shutdown.rs
@@ -0,0 +1,177 @@
+//! Graceful shutdown: every request that reached the aggregator or its kernel is answered, and the process ends.
+
+use crate::common::process::*;
+use crate::{begin_shutdown, send_query, with_leaf_server};
+use std::thread;
+use std::time::{Duration, Instant};
+
+/// The kernel accepts connections while the process is stopped, past the moment in which it closes its listener: all of
+/// them are answered. A second SIGTERM changes nothing.
+#[test]
+fn a_connection_in_the_listen_queue_is_answered_before_exit() {
+    for round in 0..3 {
+        let leaf_server = LeafServer::new();
+        let mut aggregator = with_leaf_server(&leaf_server).start();
+        begin_shutdown(&mut aggregator);
+        aggregator.signal("-TERM");
+        aggregator.pause();
+        let mut clients: Vec<Client> = (0..20).map(|_| Client::connect(aggregator.address)).collect();
+        for (i, client) in clients.iter_mut().enumerate() {
+            client.send(query(&format!("q{i}"), "9000m", &[0]));
+        }
+        thread::sleep(Duration::from_millis(700));
+        aggregator.resume();
+        let mut connection = leaf_server.accept();
+        for _ in 0..clients.len() {
+            let part = connection.part();
+            connection.answer(&part, "good", "v");
+        }
+        assert!(clients.iter_mut().all(|c| c.response().status == 200), "round {round}");
+        drop(clients);
+        assert!(aggregator.ended().success());
+    }
+}
+
+/// The limit on clients is reached at SIGTERM, and one more waits in the listen queue: it is accepted as the others are
+/// done, and answered.
+#[test]
+fn a_queued_client_of_a_full_aggregator_is_answered_before_exit() {
+    const MAX_CLIENTS: usize = 15;
+    let leaf_server = LeafServer::new();
+    let config = with_leaf_server(&leaf_server).config().replace("\"sockets\":1024", "\"sockets\":64");
+    let mut aggregator = Aggregator::start(&config, None);
+    let mut clients: Vec<Client> = Vec::new();
+    let mut connection = None;
+    for i in 0..MAX_CLIENTS {
+        let client = send_query(&aggregator, &format!("q{i}"));
+        clients.push(client);
+        assert_eq!(connection.get_or_insert_with(|| leaf_server.accept()).part(), format!("q{i}.0"));
+    }
+    let mut queued = send_query(&aggregator, "queued");
+    begin_shutdown(&mut aggregator);
+    // After the grace period in which connections are accepted as before.
+    thread::sleep(Duration::from_millis(900));
+    let mut connection = connection.expect("a connection");
+    for (i, client) in clients.iter_mut().enumerate() {
+        connection.answer(&format!("q{i}.0"), "good", "v");
+        assert_eq!(client.response().status, 200);
+    }
+    drop(clients);
+    assert_eq!(connection.part(), "queued.0");
+    connection.answer("queued.0", "good", "v");
+    assert_eq!(queued.response().status, 200);
+    drop(queued);
+    assert!(aggregator.ended().success());
+}
+
+/// A request arrives on an idle connection as the shutting down aggregator closes it: it is answered or not forwarded,
+/// and never forwarded without an answer.
+#[test]
+fn a_request_crossing_the_close_of_an_idle_connection_is_answered_or_not_forwarded() {
+    for after_ms in [600, 640, 650, 660, 700, 760] {
+        let leaf_server = LeafServer::new();
+        let mut aggregator = with_leaf_server(&leaf_server).start();
+        let mut client = send_query(&aggregator, "first");
+        let mut connection = leaf_server.accept();
+        let part = connection.part();
+        connection.answer(&part, "good", "v");
+        assert_eq!(client.response().status, 200);
+        begin_shutdown(&mut aggregator);
+        thread::sleep(Duration::from_millis(after_ms));
+        let answered = {
+            let serve = background(move || match connection.frame() {
+                Some(('m', rest)) => {
+                    connection.answer(rest.split(' ').next().expect("an id"), "good", "v");
+                    connection.frame();
+                    true
+                }
+                _ => false,
+            });
+            let reply = client.try_ask(query("crossing", "9000m", &[0]));
+            drop(client);
+            let forwarded = serve();
+            assert!(!forwarded || reply.is_some(), "{after_ms} ms: forwarded, and not answered");
+            reply
+        };
+        assert!(answered.is_none_or(|r| r.status == 200), "{after_ms} ms");
+        assert!(aggregator.ended().success());
+    }
+}
+
+/// A request of which half has arrived at SIGTERM is read on and answered, also where its rest arrives after idle
+/// connections are closed.
+#[test]
+fn a_half_read_request_at_shutdown_is_answered() {
+    for rest_after_ms in [0, 720] {
+        let leaf_server = LeafServer::new();
+        let mut aggregator = with_leaf_server(&leaf_server).start();
+        let whole = query("q", "9000m", &[0]);
+        let cuts = [20, whole.len() - 90, whole.len() - 1];
+        let request = |cut: usize| whole.replace("Req-Id: q", &format!("Req-Id: q{cut}"));
+        let mut clients: Vec<Client> = Vec::new();
+        for cut in cuts {
+            let mut client = Client::connect(aggregator.address);
+            client.send(&request(cut)[..cut]);
+            clients.push(client);
+        }
+        aggregator.wait_for("clients_opened", cuts.len() as u64);
+        begin_shutdown(&mut aggregator);
+        thread::sleep(Duration::from_millis(rest_after_ms));
+        let mut connection = None;
+        for (client, cut) in clients.iter_mut().zip(cuts) {
+            client.send(&request(cut)[cut..]);
+            let connection = connection.get_or_insert_with(|| leaf_server.accept());
+            let part = connection.part();
+            connection.answer(&part, "good", "v");
+            assert_eq!(client.response().status, 200, "cut at {cut}, the rest after {rest_after_ms} ms");
+        }
+        drop(clients);
+        assert!(aggregator.ended().success());
+    }
+}
+
+/// The leaf server hangs, another client never reads its answer, a third never sends a request: each query ends by its
+/// deadline, and the process exits.
+#[test]
+fn hung_peers_do_not_prevent_exit() {
+    let leaf_server = LeafServer::new();
+    let mut aggregator = with_leaf_server(&leaf_server).start();
+    let mut hung = Client::connect(aggregator.address);
+    hung.send(query("hung", "1500m", &[0]));
+    let mut connection = leaf_server.accept();
+    assert_eq!(connection.part(), "hung.0");
+    let unread = send_query(&aggregator, "unread");
+    assert_eq!(connection.part(), "unread.0");
+    let _silent = Client::connect(aggregator.address);
+    begin_shutdown(&mut aggregator);
+    connection.answer("unread.0", "good", &"v".repeat(60_000));
+    let asked = Instant::now();
+    assert_ne!(hung.response().status, 200, "answered though not served");
+    assert!(asked.elapsed() < Duration::from_millis(2000), "{:?}", asked.elapsed());
+    drop(hung);
+    assert!(aggregator.ended().success());
+    drop(unread);
+}
+
+/// SIGTERM arrives before the aggregator knows any leaf server, and together with SIGHUP.
+#[test]
+fn sigterm_while_starting_or_reloading_shuts_down() {
+    let discovery = Discovery::new();
+    let mut starting = Setup { discovery: discovery.address(), ..Setup::new(&[]) }.start();
+    starting.signal("-TERM");
+    assert!(starting.ended().success());
+    let leaf_server = LeafServer::new();
+    let mut reloading = with_leaf_server(&leaf_server).start();
+    let mut waiting = send_query(&reloading, "waiting");
+    let mut connection = leaf_server.accept();
+    assert_eq!(connection.part(), "waiting.0");
+    reloading.pause();
+    reloading.signal("-HUP");
+    reloading.signal("-TERM");
+    reloading.resume();
+    reloading.told("graceful shutdown");
+    connection.answer("waiting.0", "good", "v");
+    assert_eq!(waiting.response().status, 200);
+    drop(waiting);
+    assert!(reloading.ended().success());
+}
--- a/tests/hard_cases.rs
+++ b/tests/operational_faults.rs
@@ -1,5 +1,5 @@
-//! What may go wrong while operators' staff are at work, on real processes: kills at each step of a hand-over, orders and
-//! drains that cross it, broken settings during it, a folder that is full, a crowd on the second address.
+//! Faults during operators' work, on real processes: kills at each step of a hot restart, overrides and drains during
+//! it, invalid settings, a full disk, many concurrent admin commands.
 
 mod common;
 
@@ -12,62 +12,66 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-fn asked(mixer: &Aggregator, id: &str) -> u16 {
+fn query_status(mixer: &Aggregator, id: &str) -> u16 {
     Client::connect(mixer.address).ask(query(id, "9000m", &[0])).status
 }
 
-fn is_ready(mixer: &mut Aggregator) {
+fn wait_until_ready(mixer: &mut Aggregator) {
     until("ready", || mixer.operate("GET /-/ready") == 200);
 }
 
-/// Where a kill comes.
+/// When the process is killed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Step {
-    NewHasNotSaidYes,
-    NewHasSaidYes,
-    OldWasAskedToEnd,
-    OldHasShut,
+    NewIsNotReady,
+    NewIsReady,
+    OldGotSigterm,
+    OldClosedItsListener,
 }
 
-/// Either process dies at each step of a hand-over, under load. Who lives goes on alone, knows the order that was given
-/// before, and loses nothing that comes to it; of what the dead one held each client loses one query at the most.
+/// Either process is killed at each step of a hot restart, under load. The other one serves alone, keeps the override
+/// given before, and loses no query; of those in flight at the killed one each client loses one at most.
 #[test]
-fn a_kill_at_each_step_of_a_hand_over_costs_what_the_dead_one_held() {
+fn a_kill_at_each_step_of_a_hot_restart_costs_only_the_queries_of_the_killed_process() {
     const CLIENTS: usize = 4;
-    for step in [Step::NewHasNotSaidYes, Step::NewHasSaidYes, Step::OldWasAskedToEnd, Step::OldHasShut] {
-        for old_dies in [false, true] {
+    for step in [Step::NewIsNotReady, Step::NewIsReady, Step::OldGotSigterm, Step::OldClosedItsListener] {
+        for old_is_killed in [false, true] {
             let (a, b) = (AnsweringLeafServer::new(), AnsweringLeafServer::new());
             let held = shared_port();
             let nodes = [listed("a", a.address, 0), listed("b", b.address, 0)];
             let setup = Setup::new(&nodes).shared(&held);
             let mut old = setup.start();
-            is_ready(&mut old);
+            wait_until_ready(&mut old);
             assert_eq!(old.operate("POST /-/leaf-servers/a/disable"), 200);
             let out = a.count();
             let going = Arc::new(AtomicBool::new(true));
             let clients = load(old.address, &going, CLIENTS);
             let mut new = setup.start();
-            if step != Step::NewHasNotSaidYes {
-                is_ready(&mut new);
+            if step != Step::NewIsNotReady {
+                wait_until_ready(&mut new);
                 old.told("others=1 ready=true");
             }
-            if matches!(step, Step::OldWasAskedToEnd | Step::OldHasShut) {
+            if matches!(step, Step::OldGotSigterm | Step::OldClosedItsListener) {
                 old.signal("-TERM");
             }
-            if step == Step::OldHasShut {
+            if step == Step::OldClosedItsListener {
                 old.told("to=\"handing over\"");
             }
-            let (mut dead, mut lives) = if old_dies { (old, new) } else { (new, old) };
+            let (mut dead, mut lives) = if old_is_killed { (old, new) } else { (new, old) };
             dead.kill();
-            // An old one that was asked to end, and whose successor is gone, still ends.
-            if matches!(step, Step::OldWasAskedToEnd | Step::OldHasShut) && !old_dies {
+            // An old process that got SIGTERM still exits when its successor is gone.
+            if matches!(step, Step::OldGotSigterm | Step::OldClosedItsListener) && !old_is_killed {
                 assert!(lives.ended().success(), "{step:?}");
             } else {
-                is_ready(&mut lives);
+                wait_until_ready(&mut lives);
                 for i in 0..20 {
-                    assert_eq!(asked(&lives, &format!("k{i}")), 200, "{step:?}, old dies: {old_dies}");
+                    assert_eq!(
+                        query_status(&lives, &format!("k{i}")),
+                        200,
+                        "{step:?}, old dies: {old_is_killed}"
+                    );
                 }
-                assert_eq!(a.count(), out, "out through {step:?}, old dies: {old_dies}");
+                assert_eq!(a.count(), out, "out through {step:?}, old dies: {old_is_killed}");
                 assert_eq!(lives.operate("POST /-/leaf-servers/a/enable"), 200);
                 lives.told("node back by hand node=\"a\"");
             }
@@ -75,25 +79,25 @@
             let ends: Vec<(u64, u64)> = clients.into_iter().filter_map(|c| c.join().ok()).collect();
             if lives.is_running() {
                 let bad: u64 = ends.iter().map(|(_, bad)| bad).sum();
-                assert!(bad <= CLIENTS as u64, "{bad} of {ends:?} at {step:?}, old dies: {old_dies}");
+                assert!(bad <= CLIENTS as u64, "{bad} of {ends:?} at {step:?}, old dies: {old_is_killed}");
             }
         }
     }
 }
 
-/// A drain holds in both processes whichever is told, whatever was going on; so does its end.
+/// A drain holds in both processes whichever got the command; so does its cancellation.
 #[test]
-fn a_drain_during_a_hand_over_holds_in_both_processes() {
+fn a_drain_during_a_hot_restart_holds_in_both_processes() {
     let node = AnsweringLeafServer::new();
     let held = shared_port();
     let setup = Setup::new(&[listed("a", node.address, 0)]).shared(&held);
     let mut old = setup.start();
-    is_ready(&mut old);
+    wait_until_ready(&mut old);
     let mut new = setup.start();
-    is_ready(&mut new);
+    wait_until_ready(&mut new);
     old.told("others=1 ready=true");
     assert_eq!(old.operate("POST /-/drain"), 200);
-    // The front's question may reach either process.
+    // The load balancer's health check may reach either process.
     for _ in 0..20 {
         assert_eq!(old.healthz(), 503, "no from both, from the yes on");
     }
@@ -103,45 +107,45 @@
     assert_eq!(new.operate("GET /-/ready"), 200, "though the process could serve");
     assert_eq!(new.operate("POST /-/resume"), 200);
     assert_eq!(new.healthz(), 200);
-    assert_eq!(asked(&new, "q"), 200);
+    assert_eq!(query_status(&new, "q"), 200);
 }
 
-/// An enable of what was never out changes nothing, and takes nothing from the disable that follows.
+/// Enabling a leaf server that is not disabled changes nothing, and the disable that follows is in force.
 #[test]
-fn an_enable_before_the_disable_is_no_credit() {
+fn an_enable_before_a_disable_does_not_cancel_it() {
     let (a, b) = (AnsweringLeafServer::new(), AnsweringLeafServer::new());
     let held = shared_port();
     let nodes = [listed("a", a.address, 0), listed("b", b.address, 0)];
     let setup = Setup::new(&nodes).shared(&held);
     let mut mixer = setup.start();
-    is_ready(&mut mixer);
+    wait_until_ready(&mut mixer);
     for call in ["enable", "enable", "disable"] {
         assert_eq!(mixer.operate(&format!("POST /-/leaf-servers/a/{call}")), 200);
     }
     let out = a.count();
     for i in 0..20 {
-        assert_eq!(asked(&mixer, &format!("q{i}")), 200);
+        assert_eq!(query_status(&mixer, &format!("q{i}")), 200);
     }
     assert_eq!(a.count(), out, "out");
     assert_eq!(mixer.operate("POST /-/leaf-servers/a/enable"), 200, "one call back");
     let mut i = 0;
     until("used again", || {
         i += 1;
-        assert_eq!(asked(&mixer, &format!("r{i}")), 200);
+        assert_eq!(query_status(&mixer, &format!("r{i}")), 200);
         a.count() > out
     });
 }
 
-/// Settings that make no sense leave the old ones whole while a node is out, while the mixer is drained and while it
-/// hands over; each is counted, and the log names the field.
+/// Invalid settings leave the old ones in force while a leaf server is disabled, during a drain and during a hot restart;
+/// each is counted, and the log names the field.
 #[test]
-fn broken_settings_change_nothing_during_a_ban_a_drain_and_a_hand_over() {
+fn invalid_settings_change_nothing_during_a_disable_a_drain_and_a_hot_restart() {
     let (a, b) = (AnsweringLeafServer::new(), AnsweringLeafServer::new());
     let held = shared_port();
     let nodes = [listed("a", a.address, 0), listed("b", b.address, 0)];
     let setup = Setup::new(&nodes).shared(&held);
     let mut old = setup.start();
-    is_ready(&mut old);
+    wait_until_ready(&mut old);
     let sound = setup.config();
     let broken = [
         String::new(),
@@ -163,37 +167,37 @@
     let out = a.count();
     reject(&mut old, &mut rejected);
     assert_eq!(old.counters()["reloads_rejected"], rejected);
-    assert_eq!(asked(&old, "q1"), 200);
+    assert_eq!(query_status(&old, "q1"), 200);
     assert_eq!(old.operate("POST /-/drain"), 200);
     reject(&mut old, &mut rejected);
     assert_eq!(old.healthz(), 503, "drained still");
     assert_eq!(old.operate("POST /-/resume"), 200);
     let mut new = setup.start();
-    is_ready(&mut new);
+    wait_until_ready(&mut new);
     old.told("others=1 ready=true");
     reject(&mut old, &mut rejected);
     reject(&mut new, &mut rejected);
     old.signal("-TERM");
     assert!(old.ended().success());
     for i in 0..20 {
-        assert_eq!(asked(&new, &format!("r{i}")), 200);
+        assert_eq!(query_status(&new, &format!("r{i}")), 200);
     }
     assert_eq!(a.count(), out, "out through it all");
     assert_eq!(new.counters()["reloads_rejected"], broken.len() as u64);
 }
 
-/// A disk without room: the order is in force all the same, and the log says that it is not kept.
+/// The disk is full: the override is in force all the same, and the log says that it is not stored.
 #[test]
-fn an_order_that_finds_no_room_on_the_disk_holds_in_this_process() {
+fn an_override_that_cannot_be_stored_holds_in_this_process() {
     let (a, b) = (AnsweringLeafServer::new(), AnsweringLeafServer::new());
     let held = shared_port();
     let nodes = [listed("a", a.address, 0), listed("b", b.address, 0)];
     let setup = Setup::new(&nodes).shared(&held);
     let tmp = setup.tmp.clone().expect("a folder");
     let mut mixer = setup.start();
-    is_ready(&mut mixer);
+    wait_until_ready(&mut mixer);
     let folder = std::fs::read_dir(&tmp).expect("read").next().expect("a folder").expect("read").path();
-    // Whatever is written there finds no room.
+    // Every write to it fails with ENOSPC.
     symlink("/dev/full", folder.join("orders.new")).expect("made");
     let began = Instant::now();
     assert_eq!(mixer.operate("POST /-/leaf-servers/a/disable"), 200);
@@ -201,11 +205,11 @@
     mixer.told("orders cannot be kept");
     let out = a.count();
     for i in 0..20 {
-        assert_eq!(asked(&mixer, &format!("q{i}")), 200);
+        assert_eq!(query_status(&mixer, &format!("q{i}")), 200);
     }
     assert_eq!(a.count(), out, "out in this process");
     assert!(!folder.join("orders").exists(), "and nowhere else");
-    // Once there is room the next call keeps both orders.
+    // Once there is space the next command stores both overrides.
     assert_eq!(mixer.operate("POST /-/drain"), 200);
     mixer.kill();
     let mut next = setup.start();
@@ -213,18 +217,18 @@
     assert_eq!(next.healthz(), 503, "drained");
 }
 
-/// A thousand calls at once, beside sixty callers that say nothing and clients that take all their places: each is
-/// answered, and yes means that the order holds.
+/// A thousand concurrent commands, beside sixty silent connections and clients beyond their limit: each is answered, and
+/// 200 means that the override is in force.
 #[test]
-fn a_thousand_calls_at_once_are_answered_each() {
+fn a_thousand_concurrent_admin_commands_are_all_answered() {
     let (a, b) = (AnsweringLeafServer::new(), AnsweringLeafServer::new());
     let held = shared_port();
     let nodes = [listed("a", a.address, 0), listed("b", b.address, 0)];
     let setup = Setup::new(&nodes).shared(&held);
     let mut mixer = setup.start();
-    is_ready(&mut mixer);
+    wait_until_ready(&mut mixer);
     let at: SocketAddr = mixer.told("operators on ").parse().expect("an address");
-    // More clients than there is room for.
+    // More clients than the limit.
     let clients: Vec<TcpStream> = (0..700).filter_map(|_| TcpStream::connect(mixer.address).ok()).collect();
     assert!(clients.len() > 500, "{}", clients.len());
     let silent: Vec<TcpStream> = (0..60).map(|_| TcpStream::connect(at).expect("accepted")).collect();
@@ -251,7 +255,7 @@
     let out = a.count();
     thread::sleep(Duration::from_millis(50));
     for i in 0..10 {
-        assert_eq!(asked(&mixer, &format!("q{i}")), 200);
+        assert_eq!(query_status(&mixer, &format!("q{i}")), 200);
     }
     assert_eq!(a.count(), out);
 }
