--- a/tests/ledger_process.rs
+++ b/tests/ledger_process.rs
@@ -11,6 +11,7 @@
 use std::path::Path;
 use std::process::{Command, Stdio};
 use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::mpsc::{Sender, channel};
 use std::thread;
 use std::time::Duration;
 
@@ -21,8 +22,9 @@
     all
 }
 
-/// Sends queries until the aggregator is gone; the ids that were answered, in order, with their status.
-fn query_until_killed(address: SocketAddr, tenant: &str) -> Vec<(String, u16)> {
+/// Sends queries until the aggregator is gone and says when the first is answered; the ids that were answered, in order,
+/// with their status.
+fn query_until_killed(address: SocketAddr, tenant: &str, first_answer: &Sender<()>) -> Vec<(String, u16)> {
     static NEXT: AtomicU64 = AtomicU64::new(0);
     let mut answered = Vec::new();
     let Ok(stream) = TcpStream::connect(address) else { return answered };
@@ -45,6 +47,9 @@
         }
         let status = head.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status");
         answered.push((id, status));
+        if answered.len() == 1 {
+            first_answer.send(()).expect("the test waits for it");
+        }
     }
 }
 
@@ -76,14 +81,21 @@
     LedgerSetup { setup: Setup { operator, ..Setup::new(&known) }, fleet, dir }
 }
 
-/// Starts an aggregator, queries it from three clients and kills it; the answers to each client of each round. The third
-/// client names a tenant that the settings do not know: it is rejected, and nothing is entered for it.
+/// Starts an aggregator, queries it from three clients and kills it a delay after each had its first answer; the answers
+/// to each client of each round. The third client names a tenant that the settings do not know: it is rejected, and nothing is entered for it.
 fn rounds(ledger: &LedgerSetup, delays_ms: &[u64]) -> Vec<Vec<(String, u16)>> {
     let round = |after: &u64| {
         let mut aggregator = ledger.setup.start();
         let address = aggregator.address;
-        let ask = |tenant: &'static str| thread::spawn(move || query_until_killed(address, tenant));
+        let (first_answer, first_answers) = channel();
+        let ask = |tenant: &'static str| {
+            let first_answer = first_answer.clone();
+            thread::spawn(move || query_until_killed(address, tenant, &first_answer))
+        };
         let clients = ["acme", "acme", "stranger"].map(ask);
+        for _ in &clients {
+            first_answers.recv_timeout(PATIENCE).expect("each client has a first answer");
+        }
         thread::sleep(Duration::from_millis(*after));
         aggregator.kill();
         let [a, b, stranger] = clients.map(|c| c.join().expect("no panic"));
