--- a/tests/balancer/invariants.rs
+++ b/tests/balancer/invariants.rs
@@ -6,184 +6,274 @@
 use sailmux::balancer::*;
 use std::collections::BTreeMap;
 
-/// Does this end, if there is one, prove that the attempt never ran?
-fn never_ran(end: Option<Outcome>) -> bool {
-    matches!(end, Some(Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent))
+const CELLS: u32 = 5;
+const COMPLETE_COVERAGE: f64 = 0.8;
+const MINIMUM_COVERAGE: f64 = 0.4;
+const DEADLINE_MS: f64 = 3000.0;
+
+/// One random step: its kind, two choices whose meaning depends on the kind, and the time since the step before.
+#[derive(Clone, Copy, Debug)]
+struct Step {
+    kind: u8,
+    first_choice: u32,
+    second_choice: u32,
+    elapsed_ms: u32,
 }
 
-type Attempts = Vec<(f64, Option<Outcome>)>;
+/// An attempt, and its outcome once it has ended.
+struct Attempt {
+    sent_at: f64,
+    outcome: Option<Outcome>,
+}
 
-type Step = (u8, u32, u32, u32);
+impl Attempt {
+    /// Whether the attempt may have run: only some outcomes prove that it did not.
+    fn may_have_run(&self) -> bool {
+        !matches!(self.outcome, Some(Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent))
+    }
+}
 
-/// Checks every action against the rules, whatever the order of events.
+struct Part {
+    query: QueryId,
+    attempts: Vec<Attempt>,
+}
+
+impl Part {
+    fn is_answered(&self) -> bool {
+        self.attempts.iter().any(|attempt| attempt.outcome == Some(Outcome::Ok))
+    }
+
+    fn may_have_run(&self) -> bool {
+        self.attempts.iter().any(Attempt::may_have_run)
+    }
+}
+
+struct Query {
+    deadline: f64,
+    parts: Vec<PartId>,
+    has_ended: bool,
+}
+
+/// Checks every action against the invariants, whatever the order of events.
 struct InvariantChecker {
-    effect: Idempotency,
-    window: f64,
-    free: f64,
-    copies: bool,
-    queries: BTreeMap<QueryId, (f64, Vec<PartId>, bool)>,
-    parts: BTreeMap<PartId, (QueryId, Attempts)>,
-    down: Vec<ReplicaId>,
-    extras: Vec<f64>,
+    idempotency: Idempotency,
+    budget: RetryBudget,
+    hedging_allowed: bool,
+    queries: BTreeMap<QueryId, Query>,
+    parts: BTreeMap<PartId, Part>,
+    draining: Vec<ReplicaId>,
+    /// When each attempt after a part's first was sent.
+    retries: Vec<f64>,
 }
 
 impl InvariantChecker {
     fn check(&mut self, now: f64, action: &Action) -> Result<(), TestCaseError> {
         match action {
-            Action::Send { part, replica, .. } => {
-                prop_assert!(!self.down.contains(replica), "sent to a drained replica");
-                let (query, attempts) = self.parts.get_mut(part).expect("a part that was told");
-                prop_assert!(!self.queries[query].2, "sent a part of an ended query");
-                prop_assert!(attempts.iter().all(|a| a.1 != Some(Outcome::Ok)), "sent an answered part");
-                let ran = attempts.iter().find(|a| !never_ran(a.1)).map(|a| a.0);
-                match (self.effect, ran) {
-                    (Idempotency::NotIdempotent, Some(_)) => prop_assert!(false, "unsafe part repeated"),
-                    (Idempotency::Keyed { window }, Some(at)) => prop_assert!(now <= at + window),
-                    _ => {}
-                }
-                prop_assert!(attempts.len() < 3, "too many attempts");
-                prop_assert!(self.copies || attempts.iter().all(|a| a.1.is_some()), "two at once");
-                if !attempts.is_empty() {
-                    self.extras.push(now);
-                    let made = self.extras.iter().filter(|t| **t > now - self.window).count();
-                    prop_assert!(made as f64 <= self.free, "over the budget");
-                }
-                attempts.push((now, None));
-            }
-            Action::Answer { query, complete: whole } => {
-                let (_, parts, ended) = self.queries.get_mut(query).expect("a query that was told");
-                prop_assert!(!*ended, "answered twice");
-                *ended = true;
-                let ok = |p: &&PartId| self.parts[*p].1.iter().any(|a| a.1 == Some(Outcome::Ok));
-                let share = parts.iter().filter(ok).count() as f64 / parts.len() as f64;
-                prop_assert!(share >= if *whole { 0.8 } else { 0.4 } - 1e-4, "dishonest at {share}");
-            }
-            Action::Reject { query, .. } | Action::Fail { query } => {
-                let (_, parts, ended) = self.queries.get_mut(query).expect("a query that was told");
-                prop_assert!(!*ended, "ended twice");
-                *ended = true;
-                let ran = |p: &PartId| self.parts[p].1.iter().any(|a| !never_ran(a.1));
-                let may_refuse = self.effect != Idempotency::NotIdempotent || !parts.iter().any(ran);
-                prop_assert!(may_refuse || matches!(action, Action::Fail { .. }), "refused after a run");
-            }
+            Action::Send { part, replica, .. } => self.check_send(now, *part, *replica),
+            Action::Answer { query, complete } => self.check_answer(*query, *complete),
+            Action::Reject { query, .. } => self.check_end_without_answer(*query, true),
+            Action::Fail { query } => self.check_end_without_answer(*query, false),
+            _ => Ok(()),
+        }
+    }
+
+    fn check_send(&mut self, now: f64, part: PartId, replica: ReplicaId) -> Result<(), TestCaseError> {
+        prop_assert!(!self.draining.contains(&replica), "sent to a draining replica");
+        let part = self.parts.get_mut(&part).expect("a known part");
+        prop_assert!(!self.queries[&part.query].has_ended, "sent a part of an ended query");
+        prop_assert!(!part.is_answered(), "sent an answered part");
+        let attempts = &mut part.attempts;
+        let first_run = attempts.iter().find(|attempt| attempt.may_have_run()).map(|attempt| attempt.sent_at);
+        match (self.idempotency, first_run) {
+            (Idempotency::NotIdempotent, Some(_)) => prop_assert!(false, "non-idempotent part retried"),
+            (Idempotency::Keyed { window }, Some(at)) => prop_assert!(now <= at + window),
             _ => {}
         }
+        prop_assert!(attempts.len() < 3, "too many attempts");
+        let all_ended = attempts.iter().all(|attempt| attempt.outcome.is_some());
+        prop_assert!(self.hedging_allowed || all_ended, "two attempts at once");
+        if !attempts.is_empty() {
+            self.retries.push(now);
+            let in_window = self.retries.iter().filter(|at| **at > now - self.budget.window).count();
+            prop_assert!(in_window as f64 <= self.budget.free_attempts, "over the retry budget");
+        }
+        attempts.push(Attempt { sent_at: now, outcome: None });
         Ok(())
     }
+
+    fn check_answer(&mut self, query: QueryId, complete: bool) -> Result<(), TestCaseError> {
+        let query = self.queries.get_mut(&query).expect("a known query");
+        prop_assert!(!query.has_ended, "answered twice");
+        query.has_ended = true;
+        let answered = query.parts.iter().filter(|part| self.parts[part].is_answered()).count();
+        let coverage = answered as f64 / query.parts.len() as f64;
+        let needed = if complete { COMPLETE_COVERAGE } else { MINIMUM_COVERAGE };
+        prop_assert!(coverage >= needed - 1e-4, "dishonest at a coverage of {coverage}");
+        Ok(())
+    }
+
+    fn check_end_without_answer(&mut self, query: QueryId, rejected: bool) -> Result<(), TestCaseError> {
+        let query = self.queries.get_mut(&query).expect("a known query");
+        prop_assert!(!query.has_ended, "ended twice");
+        query.has_ended = true;
+        let may_have_run = query.parts.iter().any(|part| self.parts[part].may_have_run());
+        let may_reject = self.idempotency != Idempotency::NotIdempotent || !may_have_run;
+        prop_assert!(may_reject || !rejected, "rejected after it may have run");
+        Ok(())
+    }
+
+    fn all_queries_ended(&self) -> bool {
+        self.queries.values().all(|query| query.has_ended)
+    }
 }
 
-#[test]
-fn invariants_hold_for_any_order_of_events() {
-    let config = Config { cases: 300, failure_persistence: None, ..Config::default() };
-    let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
-    let mut runner = TestRunner::new_with_rng(config, rng);
-    let step = (0u8..12, 0u32..6, 0u32..4, 1u32..160);
-    let steps = prop::collection::vec(step, 1..220);
-    let run = |(effect, copies, steps): (u8, bool, Vec<Step>)| {
-        let effect = match effect {
-            0 => Idempotency::Idempotent,
-            1 => Idempotency::Keyed { window: 300.0 },
-            _ => Idempotency::NotIdempotent,
-        };
+/// A balancer that plays random steps, and the checker of its actions.
+struct Run {
+    harness: Harness,
+    checker: InvariantChecker,
+    now: f64,
+    next_id: u64,
+}
+
+impl Run {
+    fn new(idempotency: Idempotency, hedging_allowed: bool) -> Self {
         let budget = RetryBudget { free_attempts: 4.0, share: 0.0, window: 2000.0 };
-        let class = Class { idempotency: effect, complete_coverage: 0.8, minimum_coverage: 0.4, ..class() };
+        let class = Class {
+            idempotency,
+            complete_coverage: COMPLETE_COVERAGE,
+            minimum_coverage: MINIMUM_COVERAGE,
+            ..class()
+        };
         let settings = Settings {
             retry_budget: Some(budget),
-            hedging_allowed: copies,
-            cells: 5,
+            hedging_allowed,
+            cells: CELLS,
             clients_mark_retries: false,
             ..with_class(class)
         };
         let mut harness = Harness::new(settings, 11);
-        let mut referee = InvariantChecker {
-            effect,
-            window: budget.window,
-            free: budget.free_attempts,
-            copies,
+        harness.list_replicas(CELLS);
+        let checker = InvariantChecker {
+            idempotency,
+            budget,
+            hedging_allowed,
             queries: BTreeMap::new(),
             parts: BTreeMap::new(),
-            down: vec![],
-            extras: vec![],
+            draining: vec![],
+            retries: vec![],
+        };
+        Run { harness, checker, now: 0.0, next_id: 0 }
+    }
+
+    fn play(&mut self, step: Step) -> Result<(), TestCaseError> {
+        self.now += f64::from(step.elapsed_ms);
+        let first_new = self.harness.actions.len();
+        match step.kind {
+            0..=2 => self.send_query(step.first_choice + 1, step.second_choice),
+            3..=8 if !self.harness.in_flight.is_empty() => self.end_attempt(step),
+            9 => self
+                .change_replica(ReplicaId(step.first_choice % CELLS), step.second_choice.is_multiple_of(2)),
+            10 => self.disconnect_client(QueryId(u64::from(step.first_choice))),
+            _ => self.harness.handle(self.now, Event::Timer),
+        }
+        self.check_since(first_new)
+    }
+
+    fn check_since(&mut self, first_new: usize) -> Result<(), TestCaseError> {
+        for action in &self.harness.actions[first_new..] {
+            self.checker.check(self.now, action)?;
+        }
+        Ok(())
+    }
+
+    fn send_query(&mut self, part_count: u32, first_shard: u32) {
+        let query = QueryId(self.next_id);
+        let first_id = self.next_id + 1;
+        let weight = 1.0 / f64::from(part_count);
+        let mut specs: Vec<PartSpec> = vec![];
+        for i in 0..part_count {
+            let part = PartId(first_id + u64::from(i));
+            specs.push(PartSpec { part, shard: first_shard + i, weight, cost_hint: None });
+            self.checker.parts.insert(part, Part { query, attempts: vec![] });
+        }
+        self.next_id = first_id + u64::from(part_count);
+        let parts = specs.iter().map(|spec| spec.part).collect();
+        let deadline = self.now + DEADLINE_MS;
+        self.checker.queries.insert(query, Query { deadline, parts, has_ended: false });
+        let event = Event::Query {
+            query,
+            class: 0,
+            tenant: None,
+            time_left: DEADLINE_MS,
+            is_retry: false,
+            parts: specs,
         };
-        harness.list_replicas(5);
-        let mut now = 0.0;
-        let mut next = 0;
-        for (kind, a, b, dt) in steps {
-            now += f64::from(dt);
-            let from = harness.actions.len();
-            match kind {
-                0..=2 => {
-                    let n = u64::from(a + 1);
-                    let (query, id) = (QueryId(next), next + 1);
-                    let specs: Vec<PartSpec> = (0..n)
-                        .map(|i| PartSpec {
-                            part: PartId(id + i),
-                            shard: b + i as u32,
-                            weight: 1.0 / n as f64,
-                            cost_hint: None,
-                        })
-                        .collect();
-                    next += n + 1;
-                    let ids: Vec<PartId> = specs.iter().map(|s| s.part).collect();
-                    referee.queries.insert(query, (now + 3000.0, ids.clone(), false));
-                    referee.parts.extend(ids.into_iter().map(|p| (p, (query, vec![]))));
-                    let time_left = 3000.0;
-                    let event = Event::Query {
-                        query,
-                        class: 0,
-                        tenant: None,
-                        time_left,
-                        is_retry: false,
-                        parts: specs,
-                    };
-                    harness.handle(now, event);
-                }
-                3..=8 if !harness.in_flight.is_empty() => {
-                    let InFlight { part, attempt } = harness.in_flight[a as usize % harness.in_flight.len()];
-                    let outcome = [
-                        Outcome::Ok,
-                        Outcome::Ok,
-                        Outcome::Error,
-                        Outcome::Rejected,
-                        Outcome::Timeout,
-                        Outcome::Reset,
-                    ][usize::from(kind - 3)];
-                    referee.parts.get_mut(&part).expect("sent").1[attempt as usize].1 = Some(outcome);
-                    harness.end_attempt(now, part, attempt, outcome, f64::from(dt));
-                }
-                9 => {
-                    let replica = ReplicaId(a % 5);
-                    let state = if b % 2 == 0 { ReplicaState::Draining } else { ReplicaState::Up };
-                    referee.down.retain(|r| *r != replica);
-                    if state != ReplicaState::Up {
-                        referee.down.push(replica);
-                    }
-                    harness.update_replica(now, ReplicaEntry { state, ..entry(replica.0) });
-                }
-                10 => {
-                    let query = QueryId(u64::from(a));
-                    if let Some(q) = referee.queries.get_mut(&query) {
-                        q.2 = true;
-                    }
-                    harness.handle(now, Event::ClientDisconnected { query });
-                }
-                _ => harness.handle(now, Event::Timer),
-            }
-            for action in &harness.actions[from..] {
-                referee.check(now, action)?;
-            }
+        self.harness.handle(self.now, event);
+    }
+
+    fn end_attempt(&mut self, step: Step) {
+        const OUTCOMES: [Outcome; 6] =
+            [Outcome::Ok, Outcome::Ok, Outcome::Error, Outcome::Rejected, Outcome::Timeout, Outcome::Reset];
+        let outcome = OUTCOMES[usize::from(step.kind - 3)];
+        let in_flight = &self.harness.in_flight;
+        let InFlight { part, attempt } = in_flight[step.first_choice as usize % in_flight.len()];
+        let attempts = &mut self.checker.parts.get_mut(&part).expect("a known part").attempts;
+        attempts[attempt as usize].outcome = Some(outcome);
+        self.harness.end_attempt(self.now, part, attempt, outcome, f64::from(step.elapsed_ms));
+    }
+
+    fn change_replica(&mut self, replica: ReplicaId, drains: bool) {
+        self.checker.draining.retain(|other| *other != replica);
+        if drains {
+            self.checker.draining.push(replica);
+        }
+        let state = if drains { ReplicaState::Draining } else { ReplicaState::Up };
+        self.harness.update_replica(self.now, ReplicaEntry { state, ..entry(replica.0) });
+    }
+
+    fn disconnect_client(&mut self, query: QueryId) {
+        if let Some(known) = self.checker.queries.get_mut(&query) {
+            known.has_ended = true;
         }
-        while now < 100_000.0 && referee.queries.values().any(|q| !q.2) {
-            let from = harness.actions.len();
-            now += 20.0;
-            harness.handle(now, Event::Timer);
-            for action in &harness.actions[from..] {
-                referee.check(now, action)?;
-            }
-            let lost = referee.queries.values().any(|q| !q.2 && now > q.0 + 160.0);
+        self.harness.handle(self.now, Event::ClientDisconnected { query });
+    }
+
+    /// Lets the time pass until every query has ended, each soon after its deadline at the latest.
+    fn finish(&mut self) -> Result<(), TestCaseError> {
+        while self.now < 100_000.0 && !self.checker.all_queries_ended() {
+            let first_new = self.harness.actions.len();
+            self.now += 20.0;
+            self.harness.handle(self.now, Event::Timer);
+            self.check_since(first_new)?;
+            let is_lost = |query: &Query| !query.has_ended && self.now > query.deadline + 160.0;
+            let lost = self.checker.queries.values().any(is_lost);
             prop_assert!(!lost, "a query has no final answer in time");
         }
         Ok(())
+    }
+}
+
+#[test]
+fn invariants_hold_for_any_order_of_events() {
+    let config = Config { cases: 300, failure_persistence: None, ..Config::default() };
+    let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
+    let mut runner = TestRunner::new_with_rng(config, rng);
+    let idempotency = (0u8..3).prop_map(|choice| match choice {
+        0 => Idempotency::Idempotent,
+        1 => Idempotency::Keyed { window: 300.0 },
+        _ => Idempotency::NotIdempotent,
+    });
+    let step =
+        (0u8..12, 0u32..6, 0u32..4, 1u32..160).prop_map(|(kind, first_choice, second_choice, elapsed_ms)| {
+            Step { kind, first_choice, second_choice, elapsed_ms }
+        });
+    let steps = prop::collection::vec(step, 1..220);
+    let play = |(idempotency, hedging_allowed, steps): (Idempotency, bool, Vec<Step>)| {
+        let mut run = Run::new(idempotency, hedging_allowed);
+        for step in steps {
+            run.play(step)?;
+        }
+        run.finish()
     };
-    runner.run(&(0u8..3, any::<bool>(), steps), run).expect("all rules hold");
+    runner.run(&(idempotency, any::<bool>(), steps), play).expect("all invariants hold");
 }
