--- a/tests/balancer/admission.rs
+++ b/tests/balancer/admission.rs
@@ -3,7 +3,7 @@
 use crate::harness::*;
 use sailmux::balancer::*;
 
-/// A marked repeat whose aim has passed is worth nothing and gets no work.
+/// A marked client retry whose latency objective has passed is worth nothing and is not forwarded.
 #[test]
 fn a_client_retry_past_its_latency_objective_is_rejected() {
     let mut harness = Harness::new(settings(), 1);
@@ -22,7 +22,7 @@
     assert!(harness.is_rejected(query));
 }
 
-/// Clients with a shorter first time than others are not taken for late repeats.
+/// Clients whose first attempts have shorter deadlines than others are not taken for late client retries.
 #[test]
 fn common_deadlines_are_not_taken_for_client_retries() {
     let mut harness = Harness::new(Settings { clients_mark_retries: false, ..settings() }, 1);
@@ -35,7 +35,7 @@
     }
 }
 
-/// A try with an uncommon time, which may be impatience, is served where there is room.
+/// A query with an uncommon deadline, which may be a client retry, is served where capacity is left.
 #[test]
 fn impatient_clients_are_served_where_capacity_is_left() {
     let mut harness = Harness::new(Settings { clients_mark_retries: false, ..settings() }, 1);
@@ -44,7 +44,7 @@
     for i in 0..30u64 {
         let now = 3000.0 + 100.0 * i as f64;
         let (query, _) = harness.query_with_deadline(now, i, 400.0 + 17.0 * i as f64);
-        assert!(!harness.is_rejected(query), "try {i}");
+        assert!(!harness.is_rejected(query), "query {i}");
         harness.end_all(now + 50.0, Outcome::Ok, 50.0);
         assert!(harness.has_action(&Action::Answer { query, complete: true }));
     }
@@ -69,15 +69,15 @@
     assert!(rejected[1] > rejected[0], "{rejected:?}");
 }
 
-/// Quotas are judged in proportion, as this aggregator may take most of the traffic. Under
-/// overload the tenant beyond its proportion is rejected first.
+/// Quotas are compared in proportion, as this aggregator may get most of the traffic. Under overload the tenant over its
+/// proportion is shed first.
 #[test]
 fn overload_sheds_the_tenant_over_its_quota_share_first() {
     let tenants = vec![Tenant { quota_per_s: 5.0 }, Tenant { quota_per_s: 5.0 }];
     let mut harness = Harness::new(Settings { tenants, over_quota_weight: 0.05, ..settings() }, 1);
     harness.list_replicas(3);
     harness.warm_up(5000.0, 300.0);
-    let (mut asked, mut rejected) = ([0.0, 0.0], [0.0, 0.0]);
+    let (mut arrived, mut rejected) = ([0.0, 0.0], [0.0, 0.0]);
     for i in 0..120u64 {
         let before = i < 40;
         let tenant = usize::from(!before && i % 5 == 4);
@@ -92,13 +92,13 @@
             harness.end_attempt(5001.0, PartId(10_001 + 2 * i), 0, Outcome::Ok, 300.0);
             continue;
         }
-        asked[tenant] += 1.0;
+        arrived[tenant] += 1.0;
         rejected[tenant] += f64::from(u8::from(harness.is_rejected(query)));
     }
-    assert!(rejected[0] / asked[0] > rejected[1] / asked[1], "{rejected:?} of {asked:?}");
+    assert!(rejected[0] / arrived[0] > rejected[1] / arrived[1], "{rejected:?} of {arrived:?}");
 }
 
-/// Queries that need a shard in trouble are rejected, those that do not are served.
+/// Queries that need a shard with faults are rejected, those that do not are served.
 #[test]
 fn faults_of_one_shard_do_not_reject_queries_of_others() {
     let mut harness = Harness::new(Settings { cells: 2, width: 1, ..settings() }, 5);
@@ -112,11 +112,11 @@
         harness.answer_all_except(now + 50.0, 50.0, &[0]);
         harness.run_timer(now + 50.0, now + 90.0);
     }
-    assert_eq!(rejected[1], 0, "{rejected:?}: shard 1 is sound");
+    assert_eq!(rejected[1], 0, "{rejected:?}: shard 1 has no faults");
     assert!(rejected[0] > 50, "{rejected:?}: many of 150 for shard 0 can't be in time");
 }
 
-/// Who turned nearly all away lets a trial in once the evidence is old.
+/// An aggregator that rejected nearly all queries admits one again once the evidence is old.
 #[test]
 fn a_trial_query_is_admitted_once_the_evidence_is_old() {
     let mut harness = Harness::new(settings(), 1);
@@ -132,12 +132,12 @@
     harness.run_timer(now, now + 8000.0);
     let sent = harness.sends.len();
     let (query, _) = harness.query_with_deadline(now + 8000.0, 9000, 3000.0);
-    assert!(!harness.is_rejected(query), "a trial gets in");
+    assert!(!harness.is_rejected(query), "a trial is admitted");
     harness.run_timer(now + 8000.0, now + 8200.0);
     assert!(harness.sends.len() > sent);
 }
 
-/// A class with an objective of 500 ms that keeps a share of its worth later.
+/// A class with an objective of 500 ms whose late answers keep a share of their value.
 fn with_late_value(late_value: f64) -> Settings {
     let class =
         Class { latency_objective: 500.0, deadline: 2000.0, late_value_factor: late_value, ..class() };
@@ -155,36 +155,36 @@
     }
 }
 
-/// Queries that were let in by good chances and came to nothing, as one part of each found a full replica, make the next
-/// ones doubtful though nearly all parts are quick: most are rejected at the door, some still find out. It ends once
-/// what is let in comes in time.
+/// Queries that were admitted with good chances and missed their objective, as one part of each met an overloaded
+/// replica, make the next ones doubtful though nearly all parts are quick: most are rejected, some still probe. It ends
+/// once admitted queries meet their objective.
 #[test]
 fn admission_is_recalibrated_when_admitted_queries_miss_their_objective() {
     let mut harness = Harness::new(Settings { cells: 24, ..with_late_value(0.0) }, 3);
     harness.list_replicas(24);
     let mut now = 0.0;
-    let mut ask = |harness: &mut Harness, full: bool| {
+    let mut is_admitted = |harness: &mut Harness, overloaded: bool| {
         let shards: Vec<u32> = (0..8).map(|i| 3 * i).collect();
         let (query, parts) = harness.query(now, &shards);
-        let let_in = !harness.is_rejected(query);
+        let admitted = !harness.is_rejected(query);
         harness.run_timer(now, now + 20.0);
         now += 20.0;
-        let last = parts.len() - usize::from(full);
-        for part in parts[..last].iter().filter(|_| let_in) {
+        let last = parts.len() - usize::from(overloaded);
+        for part in parts[..last].iter().filter(|_| admitted) {
             harness.end_attempt(now, *part, 0, Outcome::Ok, 20.0);
         }
-        if full && let_in {
+        if overloaded && admitted {
             harness.run_timer(now, now + 520.0);
             now += 520.0;
             harness.end_attempt(now, parts[last], 0, Outcome::Cancelled, 540.0);
         }
         now += 20.0;
-        let_in
+        admitted
     };
-    let sound = (0..40).filter(|_| ask(&mut harness, false)).count();
-    assert_eq!(sound, 40, "all while they come in time");
-    let full = (0..60).filter(|_| ask(&mut harness, true)).count();
-    assert!((3..30).contains(&full), "{full} of 60 while none comes in time");
-    let back: Vec<bool> = (0..60).map(|_| ask(&mut harness, false)).collect();
-    assert!(back[40..].iter().all(|let_in| *let_in), "all again: {back:?}");
+    let before = (0..40).filter(|_| is_admitted(&mut harness, false)).count();
+    assert_eq!(before, 40, "all while they come in time");
+    let during = (0..60).filter(|_| is_admitted(&mut harness, true)).count();
+    assert!((3..30).contains(&during), "{during} of 60 while none comes in time");
+    let after: Vec<bool> = (0..60).map(|_| is_admitted(&mut harness, false)).collect();
+    assert!(after[40..].iter().all(|admitted| *admitted), "all again: {after:?}");
 }
--- a/tests/balancer/answers.rs
+++ b/tests/balancer/answers.rs
@@ -37,7 +37,7 @@
     assert!(!harness.has_action(&Action::Answer { query, complete: true }));
 }
 
-/// A shard without a holder does not end a query that may be answered from the other parts.
+/// A shard without replicas does not end a query that may be answered from the other parts.
 #[test]
 fn a_shard_without_replicas_leaves_a_partial_answer() {
     let partial = Class { minimum_coverage: 0.5, partial_value_factor: 0.8, ..class() };
@@ -49,13 +49,13 @@
         harness.answer_all_except(now + 50.0, 50.0, &[]);
     }
     let (query, _) = harness.query(4000.0, &[0, 1, 2]);
-    assert!(!harness.is_refused(query), "two of three parts are worth asking for");
+    assert!(!harness.is_refused(query), "two of three parts are worth sending");
     harness.answer_all_except(4050.0, 50.0, &[]);
     harness.run_timer(4050.0, 5600.0);
     assert!(harness.has_action(&Action::Answer { query, complete: false }));
 }
 
-/// Two steps: the first answer brings the second's parts, and the second answer is whole only if both are.
+/// The first answer brings the second step's parts, and the second answer is complete only if both steps are.
 #[test]
 fn a_second_step_is_sent_and_answered() {
     let mut harness = Harness::new(
@@ -75,10 +75,10 @@
     harness.end_attempt(100.0, part, 0, Outcome::Ok, 45.0);
     assert!(harness.has_action(&Action::Answer { query, complete: true }));
     harness.run_timer(100.0, 3000.0);
-    assert!(!harness.is_rejected(query), "nothing more is owed");
+    assert!(!harness.is_rejected(query), "nothing more is due");
 }
 
-/// A first answer from less comes early enough for the second step to be in before the latency objective.
+/// The first partial answer is given early enough for the second step to be answered before the latency objective.
 #[test]
 fn an_early_partial_answer_leaves_time_for_the_second_step() {
     let partial = Class { minimum_coverage: 0.5, partial_value_factor: 0.8, second_step_parts: 1, ..class() };
--- a/tests/balancer/endpoint_list.rs
+++ b/tests/balancer/endpoint_list.rs
@@ -16,7 +16,7 @@
     assert!(harness.is_rejected(query));
 }
 
-/// A list that must be asked for is asked for, whatever old list was known at the start, and again after a failure.
+/// A list that must be requested is requested, whatever list was known at the start, and again after a failure.
 #[test]
 fn a_polled_list_is_watched_once_and_again_after_a_failure() {
     let mut harness = Harness::new(Settings { discovery_is_polled: true, ..settings() }, 1);
@@ -28,15 +28,15 @@
     assert_eq!(
         harness.actions.iter().filter(|a| **a == Action::WatchEndpoints).count(),
         1,
-        "a subscription stands"
+        "the watch stays open"
     );
     harness.handle(30_000.0, Event::EndpointListFailed);
     harness.run_timer(30_000.0, 40_000.0);
     assert!(harness.actions.iter().filter(|a| **a == Action::WatchEndpoints).count() >= 2);
 }
 
-/// A list call that fails for ever neither stops service nor is repeated without a pause, and is made again within
-/// the stated time.
+/// A list call that always fails neither stops service nor is repeated without backoff, and is made again within the
+/// stated time.
 #[test]
 fn a_failing_watch_is_retried_with_backoff_and_does_not_stop_service() {
     let mut harness = Harness::new(Settings { discovery_is_polled: true, ..settings() }, 1);
@@ -54,6 +54,6 @@
     }
     assert!(calls.len() < 60, "{} calls in a minute", calls.len());
     let longest = calls.windows(2).map(|w| w[1] - w[0]).fold(0.0, f64::max);
-    assert!(longest < 10_000.0, "{longest} ms without asking");
+    assert!(longest < 10_000.0, "{longest} ms without a call");
     harness.select_replica(60_100.0, 0);
 }
--- a/tests/balancer/health_checks.rs
+++ b/tests/balancer/health_checks.rs
@@ -3,7 +3,8 @@
 use crate::harness::*;
 use sailmux::balancer::*;
 
-/// A health check whose price is more than a better choice saves is never sent, however bad the times; a cheap one is.
+/// A health check that costs more than a better selection saves is never sent, however many attempts fail; a cheap one
+/// is.
 #[test]
 fn health_checks_that_cost_more_than_they_save_are_not_sent() {
     for (price, expected) in [(0.01, true), (0.08, false)] {
@@ -22,7 +23,7 @@
     }
 }
 
-/// Where reports come by health checks and things go badly, the two drawn are asked before the part goes.
+/// Where load reports come by health checks and attempts fail, both sampled replicas are checked before the part is sent.
 #[test]
 fn sampled_replicas_are_checked_before_a_part_is_sent() {
     let mut harness = Harness::new(settings(), 3);
@@ -33,29 +34,30 @@
     }
     harness.run_timer(2000.0, 40_000.0);
     harness.unresponsive = vec![ReplicaId(0), ReplicaId(1), ReplicaId(2)];
-    let (sent, asked) = (harness.sends.len(), harness.health_checks.len());
+    let sent = harness.sends.len();
+    let checked = harness.health_checks.len();
     harness.query(40_000.0, &[0]);
     assert_eq!(
         (harness.sends.len(), harness.health_checks.len()),
-        (sent, asked + 2),
+        (sent, checked + 2),
         "two health checks, no part yet"
     );
-    harness.report_queue(40_002.0, harness.health_checks[asked].0, 0.0);
-    harness.report_queue(40_003.0, harness.health_checks[asked + 1].0, 9.0);
+    harness.report_queue(40_002.0, harness.health_checks[checked].0, 0.0);
+    harness.report_queue(40_003.0, harness.health_checks[checked + 1].0, 9.0);
     assert_eq!(
-        harness.sends[sent].replica, harness.health_checks[asked],
-        "sent as soon as both have told, to the less busy"
+        harness.sends[sent].replica, harness.health_checks[checked],
+        "sent as soon as both have reported, to the less loaded"
     );
 }
 
-/// A silent health check holds a part back only for so long, and speaks against its server.
+/// An unanswered health check delays a part only for a bounded time, and counts against its replica.
 #[test]
 fn an_unanswered_health_check_delays_a_part_only_briefly() {
     let mut answered = 0;
     for seed in 0..20 {
         let mut harness = Harness::new(Settings { cells: 2, width: 2, ..settings() }, seed);
         harness.list_replicas(2);
-        harness.warm_up(20_000.0, 1000.0); // so slow that every query looks
+        harness.warm_up(20_000.0, 1000.0); // So slow that replicas are checked for every query.
         harness.run_timer(21_000.0, 40_000.0);
         harness.unresponsive = vec![ReplicaId(0)];
         let sent = harness.sends.len();
@@ -67,31 +69,32 @@
     assert_eq!(answered, 20, "{answered} of 20 parts went to the one that answered its health check");
 }
 
-/// A server that reports less than it holds is betrayed by its own health check, which waited.
+/// A replica that reports a shorter queue than it has is found out by its own health check, which had to wait.
 #[test]
 fn a_slow_health_check_outweighs_a_low_load_report() {
     for seed in 0..40 {
         let mut harness = Harness::new(Settings { cells: 2, width: 2, ..settings() }, seed);
         harness.list_replicas(2);
-        let told = |took: f64, queue: f64, id: u32| Event::HealthCheckEnded {
+        let ended = |elapsed: f64, queue: f64, id: u32| Event::HealthCheckEnded {
             replica: ReplicaId(id),
             outcome: Outcome::Ok,
-            elapsed: took,
+            elapsed,
             report: Some(LoadReport { queue: Some(queue), ..LoadReport::default() }),
         };
-        (0..10).for_each(|_| harness.handle(1.0, told(1.0, 1.0, 1)));
+        (0..10).for_each(|_| harness.handle(1.0, ended(1.0, 1.0, 1)));
         harness.run_timer(1.0, 50.0);
-        harness.handle(60.0, told(1000.0, 0.0, 0));
-        harness.handle(60.0, told(1.0, 1.0, 1));
+        harness.handle(60.0, ended(1000.0, 0.0, 0));
+        harness.handle(60.0, ended(1.0, 1.0, 1));
         assert_eq!(harness.select_replica(61.0, 0), ReplicaId(1));
     }
 }
 
-/// When health checks tell that a part's holders cannot serve it in time, the query ends before it is work. An aggregator
-/// anew for each look: what parts did is forgotten within seconds, and one false report takes reports' credit.
+/// When health checks show that a part's replicas cannot serve it in time, the query ends before it is sent. A new
+/// balancer for each seed: latencies are forgotten within seconds, and one false report discredits the reports.
 #[test]
 fn a_query_is_rejected_unsent_when_health_checks_show_its_replicas_too_slow() {
-    let (mut asked, mut rejected) = (0, 0);
+    let mut with_checks = 0;
+    let mut rejected = 0;
     for seed in 0..60 {
         let mut harness = Harness::new(Settings { cells: 5, width: 1, ..settings() }, seed);
         harness.list_replicas(5);
@@ -103,21 +106,22 @@
         harness.run_timer(3000.0, 40_000.0);
         warm_up_from(&mut harness, 40_000.0);
         harness.unresponsive = vec![ReplicaId(0), ReplicaId(1)];
-        let (sent, probed) = (harness.sends.len(), harness.health_checks.len());
+        let sent = harness.sends.len();
+        let checked = harness.health_checks.len();
         let (query, _) = harness.query(60_000.0, &[0]);
-        if harness.health_checks.len() == probed {
+        if harness.health_checks.len() == checked {
             continue;
         }
-        asked += 1;
+        with_checks += 1;
         assert!(!harness.is_rejected(query), "nothing is known yet");
         harness.report_queue(60_002.0, 0, 5000.0);
         rejected += u32::from(harness.is_rejected(query) && harness.sends.len() == sent);
     }
-    assert!(asked > 0, "some queries look by health checks");
-    assert_eq!(rejected, asked, "of those that looked");
+    assert!(with_checks > 0, "some queries cause health checks");
+    assert_eq!(rejected, with_checks, "of the queries with health checks");
 }
 
-/// Quick answers for a while, so that the chances are known.
+/// Quick answers for a while, so that the chances of a query are known.
 fn warm_up_from(harness: &mut Harness, from: f64) {
     for i in 0..100 {
         harness.query(from + 50.0 * f64::from(i), &[0, 1]);
--- a/tests/balancer/invalid_input.rs
+++ b/tests/balancer/invalid_input.rs
@@ -25,8 +25,8 @@
     harness.handle(0.0, Event::EndpointList { complete: true, entries: vec![] });
     let (empty, _) = harness.query(1.0, &[]);
     assert!(harness.is_rejected(empty));
-    let (nobody, _) = harness.query(1.0, &[0]);
-    assert!(harness.is_rejected(nobody), "no holder: rejected at once");
+    let (without_replicas, _) = harness.query(1.0, &[0]);
+    assert!(harness.is_rejected(without_replicas), "no replica: rejected at once");
     harness.end_attempt(2.0, PartId(77), 3, Outcome::Ok, 1.0);
     harness.handle(2.0, Event::ClientDisconnected { query: QueryId(77) });
     harness.handle(1.0, Event::Timer);
--- a/tests/balancer/load_reports.rs
+++ b/tests/balancer/load_reports.rs
@@ -3,7 +3,7 @@
 use crate::harness::*;
 use sailmux::balancer::*;
 
-/// A report of a long queue keeps a replica from winning.
+/// A replica that reports a long queue is not selected.
 #[test]
 fn a_long_reported_queue_prevents_selection() {
     for seed in 0..50 {
@@ -15,11 +15,10 @@
     }
 }
 
-/// Reports that are older than the work they count tell nothing of the next part: they must not choose. Those that
-/// foretell how long answers take must.
+/// Load reports that do not predict the latency of the next part must not decide the selection; those that do must.
 #[test]
 fn load_reports_count_as_far_as_they_predict_latency() {
-    for tells in [false, true] {
+    for reports_predict in [false, true] {
         let mut harness = Harness::new(Settings { cells: 2, width: 2, ..settings() }, 7);
         harness.list_replicas(2);
         let mut random = 88172645463325252u64;
@@ -33,25 +32,25 @@
                 (random % 9) as f64
             });
             (0..).zip(queues).for_each(|(replica, queue)| harness.report_queue(now, replica, queue));
-            // The second part finds the first one out.
+            // The second part is sent while the first one is in flight.
             let parts = [1.0, 2.0].map(|after| harness.query_one_shard(now + after, 0));
             split += u32::from(i >= 2000 && parts[0].1 != parts[1].1);
             for (part, replica) in parts {
-                let took = if tells { 10.0 * (1.0 + queues[replica.0 as usize]) } else { 20.0 };
-                harness.end_attempt(now + 2.0 + took, part, 0, Outcome::Ok, took);
+                let elapsed = if reports_predict { 10.0 * (1.0 + queues[replica.0 as usize]) } else { 20.0 };
+                harness.end_attempt(now + 2.0 + elapsed, part, 0, Outcome::Ok, elapsed);
             }
             harness.actions.clear();
         }
         assert_eq!(
-            tells,
+            reports_predict,
             split < 700,
-            "reports that tell: {tells}, parts on both replicas {split} of 1000 times"
+            "reports that predict: {reports_predict}, parts on both replicas {split} of 1000 times"
         );
-        assert!(tells || split > 900, "{split} of 1000");
+        assert!(reports_predict || split > 900, "{split} of 1000");
     }
 }
 
-/// A report that is negative or not a number is none.
+/// A load report that is negative or not a finite number is ignored.
 #[test]
 fn invalid_load_reports_are_ignored() {
     for senseless in [f64::NAN, f64::INFINITY, -7.0] {
@@ -67,29 +66,29 @@
     }
 }
 
-/// Where answers tell only the use of cores, the choice still follows the reports.
+/// Where replicas report only their utilization, the selection follows that.
 #[test]
 fn reported_utilization_replaces_a_missing_queue() {
     for seed in 0..40 {
         let mut harness =
             Harness::new(Settings { cells: 2, width: 2, health_checks_allowed: false, ..settings() }, seed);
         harness.list_replicas(2);
-        let told = |utilization: f64, id: u32| Event::HealthCheckEnded {
+        let reported = |utilization: f64, id: u32| Event::HealthCheckEnded {
             replica: ReplicaId(id),
             outcome: Outcome::Ok,
             elapsed: 1.0,
             report: Some(LoadReport { utilization: Some(utilization), ..LoadReport::default() }),
         };
-        harness.handle(1.0, told(0.95, 0));
-        harness.handle(1.0, told(0.2, 1));
+        harness.handle(1.0, reported(0.95, 0));
+        harness.handle(1.0, reported(0.2, 1));
         assert_eq!(harness.select_replica(2.0, 0), ReplicaId(1));
-        harness.handle(3.0, told(f64::NAN, 1));
-        harness.handle(3.0, told(-1.0, 1));
-        assert_eq!(harness.select_replica(4.0, 0), ReplicaId(1), "a value that makes no sense is none");
+        harness.handle(3.0, reported(f64::NAN, 1));
+        harness.handle(3.0, reported(-1.0, 1));
+        assert_eq!(harness.select_replica(4.0, 0), ReplicaId(1), "an invalid value is ignored");
     }
 }
 
-/// A report from an answer that has got old is renewed by a health check where health checks are allowed.
+/// An inline load report that is old is renewed by a health check where those are allowed.
 #[test]
 fn stale_inline_load_reports_are_renewed_by_health_checks() {
     let mut harness =
@@ -99,10 +98,10 @@
         harness.query(100.0 * f64::from(i), &[0]);
         harness.end_all(100.0 * f64::from(i) + 40.0, Outcome::Error, 40.0);
     }
-    let asked = harness.health_checks.len();
+    let checked = harness.health_checks.len();
     harness.query(60_000.0, &[0]);
     assert!(
-        harness.health_checks.len() > asked,
-        "after failures, with reports long old, the drawn are asked"
+        harness.health_checks.len() > checked,
+        "after failures, with reports long old, the sampled replicas are checked"
     );
 }
--- a/tests/balancer/outlier_detection.rs
+++ b/tests/balancer/outlier_detection.rs
@@ -1,9 +1,9 @@
-//! Outlier detection: replicas that fail or do not answer get fewer parts, sound ones are not ejected.
+//! Outlier detection: replicas that fail or do not answer get fewer parts, healthy ones are not ejected.
 
 use crate::harness::*;
 use sailmux::balancer::*;
 
-/// A replica that goes on answering is not silent because one part of it was lost.
+/// A replica that goes on answering is not ejected because one part of it was lost.
 #[test]
 fn one_lost_part_does_not_eject_an_answering_replica() {
     let mut harness = Harness::new(Settings { cells: 1, width: 1, ..settings() }, 1);
@@ -16,11 +16,11 @@
         let (_, parts) = harness.query(now, &[0]);
         harness.end_attempt(now + 49.0, parts[0], 0, Outcome::Ok, 49.0);
     }
-    assert!(harness.in_flight.contains(&lost), "the lost part is still out");
+    assert!(harness.in_flight.contains(&lost), "the lost part is still in flight");
     assert!(!harness.any_replica_ejected());
 }
 
-/// A silent replica is left by the parts that follow.
+/// The parts that follow avoid a replica that does not answer.
 #[test]
 fn an_unresponsive_replica_is_no_longer_selected() {
     let mut harness = Harness::new(settings(), 2);
@@ -40,7 +40,7 @@
     assert!(late_selections <= 3, "{late_selections} of 40 parts still went to the silent replica");
 }
 
-/// One part that met no connection, or an error, is enough to draw other holders first.
+/// One refused connection or error is enough to prefer other replicas.
 #[test]
 fn one_failed_attempt_makes_other_replicas_preferred() {
     for (seed, outcome) in (0..40).flat_map(|s| [(s, Outcome::ConnectFailed), (s, Outcome::Error)]) {
@@ -48,14 +48,14 @@
         harness.list_replicas(3);
         let (part, bad) = harness.query_one_shard(1.0, 0);
         harness.end_attempt(101.0, part, 0, outcome, 100.0);
-        // The two others get busy; the bad one is still not drawn.
+        // The two others get loaded; the failed one is still not selected.
         for _ in 0..6 {
             assert_ne!(harness.select_replica(102.0, 0), bad, "seed {seed}, {outcome:?}");
         }
     }
 }
 
-/// An instant failer keeps nothing out, yet must stop winning: its failed parts go on counting.
+/// A replica that fails at once has nothing in flight, yet must not be preferred: its failed parts go on counting.
 #[test]
 fn a_replica_that_fails_at_once_is_rarely_selected() {
     let mut harness = Harness::new(settings(), 3);
@@ -77,7 +77,7 @@
     assert!(bad < 20, "the failer won {bad} of 200 parts");
 }
 
-/// A server that errors at once loses to idle ones, but wins over full ones: some of its answers are good.
+/// A replica that fails at once loses to idle ones, but wins over loaded ones: some of its answers are good.
 #[test]
 fn a_replica_that_fails_at_once_loses_to_idle_and_wins_over_loaded_ones() {
     let mut harness = Harness::new(Settings { hedging_allowed: false, ..settings() }, 5);
@@ -99,7 +99,7 @@
         }
         assert!(
             harness.in_flight.iter().any(|sent| sent.part == parts[0]),
-            "part {i} is not out after its error"
+            "part {i} is not in flight after its error"
         );
         if i % 8 == 7 {
             harness.end_all(now + 2.0, Outcome::Ok, 100.0);
@@ -108,7 +108,7 @@
     assert!((20..80).contains(&to_bad), "{to_bad} of 120 parts went to the one that errs");
 }
 
-/// An aggregator that stood still for a second does not hold its own gap against the servers.
+/// An aggregator that was stopped for a second does not count that gap against the replicas.
 #[test]
 fn a_stall_of_the_aggregator_itself_ejects_no_replica() {
     let mut harness = Harness::new(Settings { cells: 6, ..settings() }, 1);
@@ -122,13 +122,13 @@
     let sent = harness.sends.len();
     harness.actions.clear();
     harness.handle(2350.0, Event::Timer);
-    assert_eq!(harness.sends.len(), sent, "no copies: the answers are in the same batch");
+    assert_eq!(harness.sends.len(), sent, "no hedged requests: the answers are in the same batch");
     harness.answer_all_except(2350.0, 1150.0, &[]);
     harness.handle(2370.0, Event::Timer);
     assert!(!harness.any_replica_ejected());
 }
 
-/// With every holder found gone, parts wait; no burst onto the first one back.
+/// With all replicas refusing connections, parts wait; there is no burst onto the first one that returns.
 #[test]
 fn replicas_that_all_refuse_connections_are_tried_one_part_at_a_time() {
     let mut harness = Harness::new(settings(), 4);
--- a/tests/balancer/retries.rs
+++ b/tests/balancer/retries.rs
@@ -2,6 +2,7 @@
 
 use crate::harness::*;
 use sailmux::balancer::*;
+use std::collections::BTreeSet;
 
 #[test]
 fn non_idempotent_parts_are_retried_only_if_they_never_ran() {
@@ -20,10 +21,14 @@
         assert_eq!(
             harness.has_action(&Action::Fail { query }),
             !again,
-            "{outcome:?}: no refusal after it may have run"
+            "{outcome:?}: no rejection after it may have run"
         );
         harness.run_timer(10.0, 1400.0);
-        assert_eq!(harness.sends.len(), if again { 2 } else { 1 }, "no copy of an unsafe part");
+        assert_eq!(
+            harness.sends.len(),
+            if again { 2 } else { 1 },
+            "no hedged request for a non-idempotent part"
+        );
     }
 }
 
@@ -34,7 +39,7 @@
     harness.list_replicas(3);
     let (_, parts) = harness.query(1.0, &[0]);
     harness.end_attempt(50.0, parts[0], 0, Outcome::Error, 49.0);
-    assert_eq!(harness.sends.len(), 2, "within the window a repeat is dropped by the holder");
+    assert_eq!(harness.sends.len(), 2, "within the window the replica drops a duplicate");
     let mut harness = Harness::new(with_class(keyed), 1);
     harness.list_replicas(3);
     let (query, parts) = harness.query(1.0, &[0]);
@@ -43,7 +48,7 @@
     assert!(harness.has_action(&Action::Fail { query }));
 }
 
-/// A part that ran nowhere is sent again whatever the self-imposed budget has left.
+/// A part that never ran is retried whatever the internal budget has left.
 #[test]
 fn parts_that_never_ran_are_retried_beyond_the_internal_budget() {
     let mut harness = Harness::new(Settings { cells: 60, ..settings() }, 1);
@@ -55,7 +60,7 @@
     assert!(harness.sends.len() >= 40, "{} sends", harness.sends.len());
 }
 
-/// A part does not use up its attempts at one full holder while a one that is warming up waits for its chance.
+/// A part does not use up its attempts at one overloaded replica while another is warming up.
 #[test]
 fn one_overloaded_replica_does_not_use_up_all_attempts() {
     let mut harness = Harness::new(Settings { cells: 2, width: 2, ..settings() }, 7);
@@ -76,7 +81,7 @@
     assert!(sends(&harness) < 3, "{} attempts in 3 ms", sends(&harness));
 }
 
-/// A part out at a slow server is waited for: work called off half done is done anew, and all get slower.
+/// A slow attempt is waited for: cancelled work must be done again, which makes all replicas slower.
 #[test]
 fn an_attempt_times_out_after_six_tail_latencies() {
     let short = Class { latency_objective: 600.0, deadline: 600.0, ..class() };
@@ -93,29 +98,29 @@
     assert!(timeout.is_some_and(|t| (290.0..310.0).contains(&t)), "{timeout:?}");
 }
 
-/// A query that asks most servers sends one part ahead; when it and another fell their servers, that is it.
+/// A query for most replicas sends one part first; when that part and another crash their replicas, no more are sent.
 #[test]
 fn a_wide_query_sends_one_part_first() {
     let mut harness = Harness::new(Settings { cells: 6, ..settings() }, 1);
     harness.list_replicas(6);
     let (_, parts) = harness.query(1.0, &[0, 1, 2, 3, 4]);
-    assert_eq!(harness.sends.len(), 1, "one goes ahead");
+    assert_eq!(harness.sends.len(), 1, "one goes first");
     let first = harness.sends[0].part;
     harness.end_attempt(100.0, first, 0, Outcome::Ok, 99.0);
     assert_eq!(harness.sends.len(), parts.len(), "the others follow");
-    let (killer, _) = harness.query(200.0, &[0, 1, 2, 3, 4]);
+    let (crashing, _) = harness.query(200.0, &[0, 1, 2, 3, 4]);
     for at in [220.0, 240.0, 260.0, 280.0] {
         for InFlight { part, attempt } in
-            harness.in_flight.clone().into_iter().filter(|sent| sent.part > PartId(killer.0))
+            harness.in_flight.clone().into_iter().filter(|sent| sent.part > PartId(crashing.0))
         {
             harness.end_attempt(at, part, attempt, Outcome::Reset, 10.0);
         }
     }
-    let felled = harness.sends[5..].len();
-    assert!(felled <= 4, "{felled} servers felled by one query");
+    let crashed = harness.sends[5..].len();
+    assert!(crashed <= 4, "{crashed} replicas crashed by one query");
 }
 
-/// A part's own age is no ground for an early copy while the latency objective is far.
+/// A part's age is no reason for an early hedged request while the latency objective is far.
 #[test]
 fn no_hedged_request_while_the_latency_objective_is_far() {
     let mut harness = Harness::new(settings(), 1);
@@ -126,10 +131,13 @@
     harness.run_timer(3000.0, 3400.0);
     assert_eq!(harness.sends.len(), sent + 1, "eight medians late, over a second left");
     harness.run_timer(3400.0, 4450.0);
-    assert!(harness.sends.len() > sent + 1, "and before the latency objective passes there is a copy");
+    assert!(
+        harness.sends.len() > sent + 1,
+        "and before the latency objective passes there is a hedged request"
+    );
 }
 
-/// Where every other holder is slow as well, a late part gets no copy: the shard is full, not a server.
+/// Where every other replica is slow as well, a late part is not hedged: the shard is overloaded, not one replica.
 #[test]
 fn no_hedged_request_where_all_replicas_are_slow() {
     let run = |slow: &[u32]| {
@@ -142,25 +150,23 @@
             harness.answer_all_except(now + 60.0, 1000.0, &[3, 4, 5]);
         }
         harness.run_timer(12_000.0, 12_100.0);
-        let (sent, _) = (harness.sends.len(), harness.query(12_100.0, &[0]));
+        let sent = harness.sends.len();
+        harness.query(12_100.0, &[0]);
         harness.run_timer(12_100.0, 13_550.0);
         harness.sends.len() - sent
     };
-    assert!(run(&[]) > 1, "late at a shard of quick holders: copied");
-    assert!(run(&[0, 1, 2]) <= 1, "late where all three are slow: not copied");
+    assert!(run(&[]) > 1, "late at a shard of quick replicas: hedged");
+    assert!(run(&[0, 1, 2]) <= 1, "late where all three are slow: not hedged");
 }
 
-fn with_retry_budget(free: f64) -> Settings {
-    Settings {
-        retry_budget: Some(RetryBudget { free_attempts: free, share: 0.0, window: 60_000.0 }),
-        ..settings()
-    }
+/// Settings that allow this many retries in a minute.
+fn with_retry_budget(free_attempts: f64) -> Settings {
+    Settings { retry_budget: Some(RetryBudget { free_attempts, share: 0.0, window: 60_000.0 }), ..settings() }
 }
 
 #[test]
 fn the_stated_budget_bounds_retries() {
-    let budget = RetryBudget { free_attempts: 2.0, share: 0.0, window: 60_000.0 };
-    let mut harness = Harness::new(Settings { retry_budget: Some(budget), ..settings() }, 1);
+    let mut harness = Harness::new(with_retry_budget(2.0), 1);
     harness.list_replicas(3);
     for i in 0..20 {
         let now = 1.0 + 50.0 * f64::from(i);
@@ -168,27 +174,27 @@
         harness.end_attempt(now + 1.0, parts[0], 0, Outcome::Error, 1.0);
     }
     harness.run_timer(1001.0, 3000.0);
-    let firsts: std::collections::BTreeSet<PartId> = harness.sends.iter().map(|sent| sent.part).collect();
+    let firsts: BTreeSet<PartId> = harness.sends.iter().map(|sent| sent.part).collect();
     assert_eq!(harness.sends.len() - firsts.len(), 2);
 }
 
-/// With the stated budget used up, a query whose part failed ends at once, the client told to come
-/// back while its latency objective can still be met.
+/// With the stated budget used up, a query whose part failed is rejected at once, with a Retry-After in which its
+/// latency objective can still be met.
 #[test]
 fn a_failed_part_beyond_the_retry_budget_rejects_its_query_at_once() {
     let mut harness = Harness::new(with_retry_budget(0.0), 1);
     harness.list_replicas(3);
     let (query, parts) = harness.query(1.0, &[0]);
     harness.end_attempt(10.0, parts[0], 0, Outcome::Reset, 9.0);
-    let told = harness.actions.iter().find_map(|a| match a {
+    let retry_after = harness.actions.iter().find_map(|a| match a {
         Action::Reject { query: q, retry_after } if *q == query => Some(*retry_after),
         _ => None,
     });
-    let wait = told.expect("refused at once").expect("with a hint");
-    assert!(wait < 500.0, "{wait} ms: in time for another try, not the longest hint");
+    let wait = retry_after.expect("rejected at once").expect("with a Retry-After");
+    assert!(wait < 500.0, "{wait} ms: in time for a client retry, not the longest Retry-After");
 }
 
-/// Copies leave half of the stated budget to failed parts.
+/// Hedged requests leave half of the stated budget to retries of failed parts.
 #[test]
 fn hedged_requests_leave_half_of_the_retry_budget_to_retries() {
     let mut harness = Harness::new(with_retry_budget(4.0), 2);
@@ -202,14 +208,18 @@
     harness.query(6000.0, &[0; 18]);
     harness.answer_all_except(6050.0, 50.0, &[0]);
     let late = harness.in_flight.len();
-    assert!(late > 4, "{late} parts are out at the silent one");
+    assert!(late > 4, "{late} parts are in flight at the silent one");
     for i in 0..70 {
         harness.run_timer(6050.0 + 20.0 * f64::from(i), 6070.0 + 20.0 * f64::from(i));
         harness.answer_all_except(6070.0 + 20.0 * f64::from(i), 20.0, &[0]);
     }
-    assert_eq!(harness.sends.len() - sent, 18 + 2, "first attempts and two copies of the four extras");
+    assert_eq!(
+        harness.sends.len() - sent,
+        18 + 2,
+        "first attempts and two hedged requests of a budget of four"
+    );
     let (_, parts) = harness.query(7450.0, &[0]);
     let before = harness.sends.len();
     harness.end_attempt(7460.0, parts[0], 0, Outcome::Rejected, 10.0);
-    assert_eq!(harness.sends.len(), before + 1, "a failed part still has its extra attempt");
+    assert_eq!(harness.sends.len(), before + 1, "a failed part still has its retry");
 }
--- a/tests/balancer/selection.rs
+++ b/tests/balancer/selection.rs
@@ -3,7 +3,7 @@
 use crate::harness::*;
 use sailmux::balancer::*;
 
-/// With two holders and a shard, the one with more parts out is never sent the next part.
+/// Of two replicas the one with more parts in flight is never sent the next part.
 #[test]
 fn the_less_loaded_of_two_replicas_is_selected() {
     for seed in 0..50 {
@@ -15,7 +15,7 @@
     }
 }
 
-/// Nothing known: each of three holders gets about a third.
+/// With nothing known each of three replicas gets about a third.
 #[test]
 fn equally_loaded_replicas_are_selected_evenly() {
     let mut seen = [0u32; 3];
@@ -27,7 +27,7 @@
     assert!(seen.iter().all(|n| (150..250).contains(n)), "{seen:?}");
 }
 
-/// Parts sent together on one call count as one: the replica with more parts, on one call, is still a tie.
+/// Parts sent in one call count as one: a replica with more parts in one call ties with another.
 #[test]
 fn parts_sharing_one_call_count_as_one_request() {
     let (mut more_won, mut trials) = (0, 0);
@@ -53,20 +53,20 @@
     assert!(more_won * 4 > trials && more_won * 4 < trials * 3, "{more_won} of {trials}");
 }
 
-/// A shard's one holder that is not suspect still loses to a suspect once it holds far more: no herd.
+/// A shard's only unsuspected replica still loses to a suspected one once it has far more in flight.
 #[test]
 fn a_single_unsuspected_replica_does_not_get_all_parts() {
     let mut harness = Harness::new(Settings { hedging_allowed: false, ..settings() }, 5);
     harness.list_replicas(3);
     harness.warm_up(20_000.0, 50.0);
     harness.run_timer(20_000.0, 20_020.0);
-    // Two stood still for a moment, eight times as long as a part takes.
-    let mut held = vec![];
-    while held.len() < 2 {
+    // Two stalled for a moment, eight times as long as a part takes.
+    let mut stalled_parts = vec![];
+    while stalled_parts.len() < 2 {
         let (part, replica) = harness.query_one_shard(20_020.0, 0);
         match replica {
             ReplicaId(0) => harness.end_attempt(20_021.0, part, 0, Outcome::Ok, 50.0),
-            _ => held.push(part),
+            _ => stalled_parts.push(part),
         }
     }
     harness.run_timer(20_020.0, 20_420.0);
