--- /dev/null
+++ b/tests/balancer/admission.rs
@@ -0,0 +1,190 @@
+//! Admission control and load shedding: which queries are rejected on arrival or given up.
+
+use crate::harness::*;
+use sailmux::balancer::*;
+
+/// A marked client retry whose latency objective has passed is worth nothing and is not forwarded.
+#[test]
+fn a_client_retry_past_its_latency_objective_is_rejected() {
+    let mut harness = Harness::new(settings(), 1);
+    harness.list_replicas(3);
+    for i in 0..20 {
+        harness.query(f64::from(i) / 100.0, &[0]);
+    }
+    let sent = harness.sends.len();
+    let query = QueryId(900);
+    let parts = vec![only_part(PartId(901))];
+    harness.handle(
+        2.0,
+        Event::Query { query, class: 0, tenant: None, time_left: 1400.0, is_retry: true, parts },
+    );
+    assert_eq!(harness.sends.len(), sent);
+    assert!(harness.is_rejected(query));
+}
+
+/// Clients whose first attempts have shorter deadlines than others are not taken for late client retries.
+#[test]
+fn common_deadlines_are_not_taken_for_client_retries() {
+    let mut harness = Harness::new(Settings { clients_mark_retries: false, ..settings() }, 1);
+    harness.list_replicas(3);
+    for i in 0..60u64 {
+        let now = 10.0 * i as f64;
+        let (query, part) = harness.query_with_deadline(now, i, if i % 3 == 0 { 2990.0 } else { 1400.0 });
+        harness.end_attempt(now + 5.0, part, 0, Outcome::Ok, 50.0);
+        assert!(i < 8 || !harness.is_rejected(query));
+    }
+}
+
+/// A query with an uncommon deadline, which may be a client retry, is served where capacity is left.
+#[test]
+fn impatient_clients_are_served_where_capacity_is_left() {
+    let mut harness = Harness::new(Settings { clients_mark_retries: false, ..settings() }, 1);
+    harness.list_replicas(3);
+    harness.warm_up(3000.0, 50.0);
+    for i in 0..30u64 {
+        let now = 3000.0 + 100.0 * i as f64;
+        let (query, _) = harness.query_with_deadline(now, i, 400.0 + 17.0 * i as f64);
+        assert!(!harness.is_rejected(query), "query {i}");
+        harness.end_all(now + 50.0, Outcome::Ok, 50.0);
+        assert!(harness.has_action(&Action::Answer { query, complete: true }));
+    }
+}
+
+#[test]
+fn overload_sheds_the_lower_priority_weight_first() {
+    let two = vec![class(), Class { priority_weight: 0.05, ..class() }];
+    let mut harness = Harness::new(Settings { classes: two, ..settings() }, 1);
+    harness.list_replicas(3);
+    harness.warm_up(5000.0, 300.0);
+    let mut rejected = [0, 0];
+    for i in 0..60u64 {
+        let (query, class) = (QueryId(10_000 + 2 * i), (i % 2) as usize);
+        let parts = vec![only_part(PartId(10_001 + 2 * i))];
+        harness.handle(
+            5001.0,
+            Event::Query { query, class, tenant: None, time_left: 3000.0, is_retry: false, parts },
+        );
+        rejected[class] += u32::from(harness.is_rejected(query));
+    }
+    assert!(rejected[1] > rejected[0], "{rejected:?}");
+}
+
+/// Quotas are compared in proportion, as this aggregator may get most of the traffic. Under overload the tenant over its
+/// proportion is shed first.
+#[test]
+fn overload_sheds_the_tenant_over_its_quota_share_first() {
+    let tenants = vec![Tenant { quota_per_s: 5.0 }, Tenant { quota_per_s: 5.0 }];
+    let mut harness = Harness::new(Settings { tenants, over_quota_weight: 0.05, ..settings() }, 1);
+    harness.list_replicas(3);
+    harness.warm_up(5000.0, 300.0);
+    let (mut arrived, mut rejected) = ([0.0, 0.0], [0.0, 0.0]);
+    for i in 0..120u64 {
+        let before = i < 40;
+        let tenant = usize::from(!before && i % 5 == 4);
+        let query = QueryId(10_000 + 2 * i);
+        let parts = vec![only_part(PartId(10_001 + 2 * i))];
+        let (time_left, tenant_of) = (3000.0, Some(tenant));
+        harness.handle(
+            5001.0,
+            Event::Query { query, class: 0, tenant: tenant_of, time_left, is_retry: false, parts },
+        );
+        if before {
+            harness.end_attempt(5001.0, PartId(10_001 + 2 * i), 0, Outcome::Ok, 300.0);
+            continue;
+        }
+        arrived[tenant] += 1.0;
+        rejected[tenant] += f64::from(u8::from(harness.is_rejected(query)));
+    }
+    assert!(rejected[0] / arrived[0] > rejected[1] / arrived[1], "{rejected:?} of {arrived:?}");
+}
+
+/// Queries that need a shard with faults are rejected, those that do not are served.
+#[test]
+fn faults_of_one_shard_do_not_reject_queries_of_others() {
+    let mut harness = Harness::new(Settings { cells: 2, width: 1, ..settings() }, 5);
+    harness.list_replicas(2);
+    let mut rejected = [0, 0];
+    for i in 0..400 {
+        let now = 100.0 * f64::from(i);
+        let shard = i as u32 % 2;
+        let (query, _) = harness.query(now, &[shard]);
+        rejected[shard as usize] += u32::from(i > 100 && harness.is_refused(query));
+        harness.answer_all_except(now + 50.0, 50.0, &[0]);
+        harness.run_timer(now + 50.0, now + 90.0);
+    }
+    assert_eq!(rejected[1], 0, "{rejected:?}: shard 1 has no faults");
+    assert!(rejected[0] > 50, "{rejected:?}: many of 150 for shard 0 can't be in time");
+}
+
+/// An aggregator that rejected nearly all queries admits one again once the evidence is old.
+#[test]
+fn a_trial_query_is_admitted_once_the_evidence_is_old() {
+    let mut harness = Harness::new(settings(), 1);
+    harness.list_replicas(3);
+    harness.warm_up(3000.0, 300.0);
+    for i in 0..150 {
+        let now = 3000.0 + 1600.0 * f64::from(i);
+        harness.query_with_deadline(now, 1000 + i as u64, 3000.0);
+        harness.run_timer(now, now + 1500.0);
+        harness.end_all(now + 1500.0, Outcome::Timeout, 1500.0);
+    }
+    let now = 3000.0 + 1600.0 * 150.0;
+    harness.run_timer(now, now + 8000.0);
+    let sent = harness.sends.len();
+    let (query, _) = harness.query_with_deadline(now + 8000.0, 9000, 3000.0);
+    assert!(!harness.is_rejected(query), "a trial is admitted");
+    harness.run_timer(now + 8000.0, now + 8200.0);
+    assert!(harness.sends.len() > sent);
+}
+
+/// A class with an objective of 500 ms whose late answers keep a share of their value.
+fn with_late_value(late_value: f64) -> Settings {
+    let class =
+        Class { latency_objective: 500.0, deadline: 2000.0, late_value_factor: late_value, ..class() };
+    Settings { hedging_allowed: false, ..with_class(class) }
+}
+
+#[test]
+fn a_query_past_its_objective_goes_on_only_for_enough_late_value() {
+    for (late_value, goes_on) in [(0.1, false), (0.5, true)] {
+        let mut harness = Harness::new(with_late_value(late_value), 1);
+        harness.list_replicas(3);
+        let (query, _) = harness.query(0.0, &[0]);
+        harness.run_timer(0.0, 600.0);
+        assert_eq!(harness.is_rejected(query), !goes_on, "late value {late_value}");
+    }
+}
+
+/// Queries that were admitted with good chances and missed their objective, as one part of each met an overloaded
+/// replica, make the next ones doubtful though nearly all parts are quick: most are rejected, some still probe. It ends
+/// once admitted queries meet their objective.
+#[test]
+fn admission_is_recalibrated_when_admitted_queries_miss_their_objective() {
+    let mut harness = Harness::new(Settings { cells: 24, ..with_late_value(0.0) }, 3);
+    harness.list_replicas(24);
+    let mut now = 0.0;
+    let mut is_admitted = |harness: &mut Harness, overloaded: bool| {
+        let shards: Vec<u32> = (0..8).map(|i| 3 * i).collect();
+        let (query, parts) = harness.query(now, &shards);
+        let admitted = !harness.is_rejected(query);
+        harness.run_timer(now, now + 20.0);
+        now += 20.0;
+        let last = parts.len() - usize::from(overloaded);
+        for part in parts[..last].iter().filter(|_| admitted) {
+            harness.end_attempt(now, *part, 0, Outcome::Ok, 20.0);
+        }
+        if overloaded && admitted {
+            harness.run_timer(now, now + 520.0);
+            now += 520.0;
+            harness.end_attempt(now, parts[last], 0, Outcome::Cancelled, 540.0);
+        }
+        now += 20.0;
+        admitted
+    };
+    let before = (0..40).filter(|_| is_admitted(&mut harness, false)).count();
+    assert_eq!(before, 40, "all while they come in time");
+    let during = (0..60).filter(|_| is_admitted(&mut harness, true)).count();
+    assert!((3..30).contains(&during), "{during} of 60 while none comes in time");
+    let after: Vec<bool> = (0..60).map(|_| is_admitted(&mut harness, false)).collect();
+    assert!(after[40..].iter().all(|admitted| *admitted), "all again: {after:?}");
+}
