--- a/examples/inventory_storm.rs
+++ b/examples/inventory_storm.rs
@@ -5,7 +5,7 @@
 #[path = "../tests/common/mod.rs"]
 mod common;
 
-use common::fleet::{Run, WAYS, Way};
+use common::fleet::{InventoryRun, WRITE_METHODS, WriteMethod};
 use std::thread;
 use std::time::{Duration, Instant};
 
@@ -15,8 +15,8 @@
 const PARALLEL_RUNS: usize = 2;
 
 /// Drains one server after the other for a time and prints how long each drain took.
-fn measure(way: Way, watch: &str, duration: Duration) {
-    let mut run = Run::start(way, "n.csv", SERVERS, CLIENTS, &format!("  watch: {watch}\n"));
+fn measure(way: WriteMethod, watch: &str, duration: Duration) {
+    let mut run = InventoryRun::start(way, "n.csv", SERVERS, CLIENTS, &format!("  watch: {watch}\n"));
     let start = Instant::now();
     let mut times_ms = Vec::new();
     let mut turn: u64 = 0;
@@ -44,10 +44,10 @@
 
 fn main() {
     let seconds = std::env::args().nth(1).and_then(|argument| argument.parse().ok()).unwrap_or(120.0);
-    let duration = Duration::from_secs_f64(seconds) / (WAYS.len() as u32);
+    let duration = Duration::from_secs_f64(seconds) / (WRITE_METHODS.len() as u32);
     println!("way        watch   drains   p50 ms   p99 ms   max ms  queries    parts");
     let mut cases = Vec::new();
-    for way in WAYS {
+    for way in WRITE_METHODS {
         cases.push((way, "auto"));
         cases.push((way, "poll"));
     }
--- a/examples/ledger_cost.rs
+++ b/examples/ledger_cost.rs
@@ -5,7 +5,7 @@
 #[path = "../tests/common/mod.rs"]
 mod common;
 
-use common::fleet::Fleet;
+use common::fleet::LeafFleet;
 use common::process::{Client, Setup, query, scratch};
 use sailmux::ledger::*;
 use std::sync::Arc;
@@ -94,7 +94,7 @@
 
 /// The latencies of complete answers to three clients, in ms, ascending.
 fn answer_latencies(ledger: Option<&str>, seconds: f64) -> Vec<f64> {
-    let fleet = Fleet::new(6);
+    let fleet = LeafFleet::new(6);
     let known = fleet.listed();
     let operator =
         ledger.map(|mode| format!("ledger: {{dir: {}, mode: {mode}}}\n", scratch("answers").display()));
--- /dev/null
+++ b/tests/common/fleet/inventory_run.rs
@@ -0,0 +1,78 @@
+//! An aggregator under load whose inventory is rewritten.
+
+use super::super::process::{Aggregator, Setup};
+use super::inventory_writer::{InventoryWriter, WriteMethod};
+use super::leaf_fleet::LeafFleet;
+use super::load::Load;
+use std::collections::BTreeSet;
+use std::time::{Duration, Instant};
+
+/// An aggregator with a fleet of leaf servers and an inventory that is written by one method, under load.
+pub struct InventoryRun {
+    pub fleet: LeafFleet,
+    pub writer: InventoryWriter,
+    pub aggregator: Aggregator,
+    pub load: Load,
+    pub draining: BTreeSet<String>,
+    file: String,
+}
+
+impl InventoryRun {
+    /// `more_settings` are lines under `inventory` in the operator's file.
+    pub fn start(
+        method: WriteMethod,
+        file: &str,
+        leaf_servers: u32,
+        clients: usize,
+        more_settings: &str,
+    ) -> Self {
+        let fleet = LeafFleet::new(leaf_servers);
+        let mut writer = InventoryWriter::new(method, file);
+        let draining = BTreeSet::new();
+        writer.write(&fleet.inventory(file, &draining));
+        let operator = format!("inventory:\n  file: {}\n{more_settings}", writer.path().display());
+        let aggregator = Setup { operator: Some(operator), ..Setup::new(&[]) }.start();
+        let load = Load::start(aggregator.address, clients);
+        InventoryRun { fleet, writer, aggregator, load, draining, file: file.to_owned() }
+    }
+
+    /// The inventory as it should be now.
+    pub fn text(&self) -> String {
+        self.fleet.inventory(&self.file, &self.draining)
+    }
+
+    /// Drains a leaf server and waits until the aggregator says so; the time that took from the last byte written.
+    pub fn drain(&mut self, name: &str) -> Duration {
+        self.draining.insert(name.to_owned());
+        let text = self.text();
+        self.writer.write(&text);
+        self.fleet.record_drain(name);
+        let written = Instant::now();
+        self.aggregator.told_anew("drained=1");
+        written.elapsed()
+    }
+
+    /// Cancels a drain.
+    pub fn ready(&mut self, name: &str) {
+        self.draining.remove(name);
+        self.fleet.record_ready(name);
+        let text = self.text();
+        self.writer.write(&text);
+        // Where the half-written drain was held back and the rest never read, the list has not changed.
+        self.aggregator.told_either("readied=1", "held list withdrawn");
+    }
+
+    /// Ends the load and checks that no rule was broken; the numbers of queries and of parts.
+    pub fn finish(self) -> (u64, u64) {
+        let (answered, wrong) = self.load.stop();
+        assert!(
+            wrong.is_empty(),
+            "{} of {answered} queries: {:#?}",
+            wrong.len(),
+            &wrong[..wrong.len().min(5)]
+        );
+        let broken = self.fleet.broken_rules();
+        assert!(broken.is_empty(), "{} rules broken: {:#?}", broken.len(), &broken[..broken.len().min(5)]);
+        (answered, self.fleet.parts())
+    }
+}
--- /dev/null
+++ b/tests/common/fleet/leaf_fleet.rs
@@ -0,0 +1,160 @@
+//! Stand-in leaf servers that check the rules from their side: no part long after a drain, none of another cell's shard,
+//! none that is in flight already.
+
+use super::super::process::{LeafConnection, LeafServer, Listed};
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::SocketAddr;
+use std::sync::{Arc, Mutex, MutexGuard};
+use std::thread;
+use std::time::{Duration, Instant};
+
+/// The number of cells, and of shards: a shard is held by the cell of its number.
+pub const CELLS: u32 = 3;
+
+/// For how long after its drain was written a leaf server may still get parts.
+const DRAIN_GRACE_PERIOD: Duration = Duration::from_secs(1);
+
+/// What the leaf servers have seen, and which rules were broken.
+#[derive(Default)]
+pub struct Observations {
+    parts: u64,
+    /// When each drain was written, by leaf server.
+    drained_at: BTreeMap<String, Instant>,
+    cells: BTreeMap<String, u32>,
+    in_flight: BTreeSet<String>,
+    broken_rules: Vec<String>,
+}
+
+/// Stand-in leaf servers by name, which check the rules together.
+pub struct LeafFleet {
+    pub addresses: BTreeMap<String, SocketAddr>,
+    observations: Arc<Mutex<Observations>>,
+}
+
+impl LeafFleet {
+    /// This many leaf servers, over the cells in turn; each answers a part after a few milliseconds.
+    pub fn new(count: u32) -> Self {
+        let observations = Arc::new(Mutex::new(Observations::default()));
+        let mut addresses = BTreeMap::new();
+        for i in 0..count {
+            let name = format!("s{i:02}");
+            let server = LeafServer::new();
+            lock(&observations).cells.insert(name.clone(), i % CELLS);
+            addresses.insert(name.clone(), server.address);
+            let observations = observations.clone();
+            thread::spawn(move || {
+                for stream in server.listener.incoming().map_while(Result::ok) {
+                    let name = name.clone();
+                    let observations = observations.clone();
+                    thread::spawn(move || serve(&name, LeafConnection { stream }, &observations));
+                }
+            });
+        }
+        LeafFleet { addresses, observations }
+    }
+
+    /// The leaf servers as discovery lists them.
+    pub fn listed(&self) -> Vec<Listed> {
+        let row = |(name, address): (&String, &SocketAddr)| Listed {
+            name: name.clone().leak(),
+            address: address.to_string(),
+            cell: self.cell(name),
+            lifecycle: "Ready",
+            started: 0,
+        };
+        self.addresses.iter().map(row).collect()
+    }
+
+    /// The drain of a leaf server has just been written.
+    pub fn record_drain(&self, name: &str) {
+        lock(&self.observations).drained_at.insert(name.to_owned(), Instant::now());
+    }
+
+    /// The drain of a leaf server is about to be cancelled.
+    pub fn record_ready(&self, name: &str) {
+        lock(&self.observations).drained_at.remove(name);
+    }
+
+    /// A leaf server is about to be listed in another cell.
+    pub fn record_move(&self, name: &str, cell: u32) {
+        lock(&self.observations).cells.insert(name.to_owned(), cell);
+    }
+
+    /// The cell that a leaf server is listed in.
+    pub fn cell(&self, name: &str) -> u32 {
+        lock(&self.observations).cells[name]
+    }
+
+    /// The inventory as CSV or YAML by the file's name, with some leaf servers draining.
+    pub fn inventory(&self, file: &str, draining: &BTreeSet<String>) -> String {
+        let state = |name: &str| if draining.contains(name) { "draining" } else { "ready" };
+        let mut text = match file.ends_with("csv") {
+            true => "name,host,port,cell,state\n".to_owned(),
+            false => "all:\n  vars: {host: 127.0.0.1}\n  hosts:\n".to_owned(),
+        };
+        for (name, address) in &self.addresses {
+            let (port, cell, state) = (address.port(), self.cell(name), state(name));
+            text += &match file.ends_with("csv") {
+                true => format!("{name},127.0.0.1,{port},{cell},{state}\n"),
+                false => {
+                    format!("    {name}:\n      port: {port}\n      cell: {cell}\n      state: {state}\n")
+                }
+            };
+        }
+        text
+    }
+
+    /// A description of each violation of a rule.
+    pub fn broken_rules(&self) -> Vec<String> {
+        lock(&self.observations).broken_rules.clone()
+    }
+
+    /// The number of parts that were received.
+    pub fn parts(&self) -> u64 {
+        lock(&self.observations).parts
+    }
+}
+
+impl Observations {
+    /// Checks a part on its arrival at a leaf server.
+    fn part_arrived(&mut self, server: &str, part: &str, shard: u32) {
+        self.parts += 1;
+        let since_drain = self.drained_at.get(server).map(Instant::elapsed);
+        if let Some(late) = since_drain.filter(|elapsed| *elapsed > DRAIN_GRACE_PERIOD) {
+            self.broken_rules
+                .push(format!("{server}: part {part} came {late:?} after its drain was written"));
+        }
+        if self.cells[server] != shard % CELLS {
+            self.broken_rules.push(format!("{server}: part {part} came, whose shard it does not hold"));
+        }
+        if !self.in_flight.insert(part.to_owned()) {
+            self.broken_rules.push(format!("{server}: part {part} is in flight already"));
+        }
+    }
+}
+
+fn lock(observations: &Mutex<Observations>) -> MutexGuard<'_, Observations> {
+    observations.lock().expect("no thread has panicked")
+}
+
+/// Answers the parts of one connection until it ends.
+fn serve(name: &str, mut connection: LeafConnection, observations: &Mutex<Observations>) -> Option<()> {
+    loop {
+        let (letter, rest) = connection.frame()?;
+        match letter {
+            'm' => {
+                let line = rest.lines().next()?;
+                let mut fields = line.split(' ');
+                let part = fields.next()?;
+                let shard: u32 = fields.next()?.parse().ok()?;
+                lock(observations).part_arrived(name, part, shard);
+                // One to four milliseconds, depending on the part.
+                thread::sleep(Duration::from_millis(1 + u64::from(shard + line.len() as u32) % 4));
+                lock(observations).in_flight.remove(part);
+                connection.try_put('q', &format!("{part} good 1 -\n{name}")).ok()?;
+            }
+            'n' => drop(lock(observations).in_flight.remove(&rest)),
+            _ => {}
+        }
+    }
+}
--- a/tests/common/process/leaf_server.rs
+++ b/tests/common/process/leaf_server.rs
@@ -1,7 +1,7 @@
 //! Stand-in leaf servers in the platform's frames: played step by step by a test, unreachable, or answering at once.
 
 use super::waiting::PATIENCE;
-use std::io::{Read, Write};
+use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -131,10 +131,15 @@
 
     /// Sends a frame.
     pub fn put(&mut self, letter: char, rest: &str) {
+        self.try_put(letter, rest).expect("the aggregator reads");
+    }
+
+    /// Sends a frame on a connection that may be closed.
+    pub fn try_put(&mut self, letter: char, rest: &str) -> io::Result<()> {
         let mut frame = (rest.len() as u32 + 1).to_be_bytes().to_vec();
         frame.push(letter as u8);
         frame.extend(rest.as_bytes());
-        self.stream.write_all(&frame).expect("the aggregator reads");
+        self.stream.write_all(&frame)
     }
 
     /// Answers a part: `good`, `bad` for an error, `later` for a rejection.
--- a/tests/inventory_load.rs
+++ b/tests/inventory_load.rs
@@ -11,8 +11,8 @@
 use std::time::{Duration, Instant};
 
 /// Two servers drain one after the other, each for long enough that a late part would show.
-fn check_drains(way: Way, file: &str, more: &str) {
-    let mut run = Run::start(way, file, 9, 3, more);
+fn check_drains(way: WriteMethod, file: &str, more: &str) {
+    let mut run = InventoryRun::start(way, file, 9, 3, more);
     for name in ["s00", "s04"] {
         let drain_time = run.drain(name);
         assert!(
@@ -28,44 +28,44 @@
 
 #[test]
 fn renamed_file_is_applied() {
-    check_drains(Way::Rename, "n.csv", "");
-    check_drains(Way::Rename, "n.yaml", "  watch: poll\n");
+    check_drains(WriteMethod::Rename, "n.csv", "");
+    check_drains(WriteMethod::Rename, "n.yaml", "  watch: poll\n");
 }
 
 #[test]
 fn file_edited_in_place_is_applied() {
-    check_drains(Way::InPlace, "n.yaml", "");
-    check_drains(Way::InPlace, "n.csv", "  watch: poll\n");
+    check_drains(WriteMethod::InPlace, "n.yaml", "");
+    check_drains(WriteMethod::InPlace, "n.csv", "  watch: poll\n");
 }
 
 #[test]
 fn file_whose_writer_pauses_halfway_is_applied() {
-    check_drains(Way::Halting, "n.csv", "");
-    check_drains(Way::Halting, "n.yaml", "  watch: poll\n");
+    check_drains(WriteMethod::Paused, "n.csv", "");
+    check_drains(WriteMethod::Paused, "n.yaml", "  watch: poll\n");
 }
 
 #[test]
 fn replaced_symbolic_link_is_applied() {
-    check_drains(Way::Link, "n.yaml", "");
-    check_drains(Way::Link, "n.csv", "  watch: poll\n");
+    check_drains(WriteMethod::SymlinkSwap, "n.yaml", "");
+    check_drains(WriteMethod::SymlinkSwap, "n.csv", "  watch: poll\n");
 }
 
 #[test]
 fn replaced_directory_is_applied() {
-    check_drains(Way::Directory, "n.csv", "");
-    check_drains(Way::Directory, "n.yaml", "  watch: poll\n");
+    check_drains(WriteMethod::DirectorySwap, "n.csv", "");
+    check_drains(WriteMethod::DirectorySwap, "n.yaml", "  watch: poll\n");
 }
 
 #[test]
 fn file_that_is_missing_for_a_while_is_applied() {
-    check_drains(Way::Gone, "n.yaml", "");
-    check_drains(Way::Gone, "n.csv", "  watch: poll\n");
+    check_drains(WriteMethod::RemoveAndRewrite, "n.yaml", "");
+    check_drains(WriteMethod::RemoveAndRewrite, "n.csv", "  watch: poll\n");
 }
 
 #[test]
 fn notifications_without_polling_detect_renamed_and_edited_files() {
-    check_drains(Way::Rename, "n.csv", "  watch: notify\n");
-    check_drains(Way::InPlace, "n.yaml", "  watch: notify\n");
+    check_drains(WriteMethod::Rename, "n.csv", "  watch: notify\n");
+    check_drains(WriteMethod::InPlace, "n.yaml", "  watch: notify\n");
 }
 
 /// Lines are written one by one with short pauses: many intermediate states are valid lists that lose few servers.
@@ -101,17 +101,17 @@
 #[test]
 fn unreadable_file_keeps_the_last_list() {
     use std::os::unix::fs::{PermissionsExt, symlink};
-    let mut run = Run::start(Way::Rename, "n.csv", 6, 2, "");
+    let mut run = InventoryRun::start(WriteMethod::Rename, "n.csv", 6, 2, "");
     let path = run.writer.path();
     let rights = |mode| fs::set_permissions(&path, fs::Permissions::from_mode(mode)).expect("set");
     fs::remove_file(&path).expect("removed");
     symlink(&path, &path).expect("linked");
-    assert!(run.mixer.told_anew("the old list stands").contains("n.csv"));
+    assert!(run.aggregator.told_anew("the old list stands").contains("n.csv"));
     fs::remove_file(&path).expect("removed");
     fs::write(&path, run.text()).expect("written");
     rights(0);
     if fs::read(&path).is_err() {
-        assert!(run.mixer.told_anew("the old list stands").contains("n.csv"));
+        assert!(run.aggregator.told_anew("the old list stands").contains("n.csv"));
     }
     rights(0o644);
     let drain_time = run.drain("s03");
@@ -123,8 +123,8 @@
 /// A version every 50 ms, of which three of four are invalid; a server drains meanwhile.
 #[test]
 fn drain_among_many_invalid_files_takes_effect() {
-    for way in [Way::Rename, Way::InPlace] {
-        let mut run = Run::start(way, "n.csv", 9, 3, "");
+    for way in [WriteMethod::Rename, WriteMethod::InPlace] {
+        let mut run = InventoryRun::start(way, "n.csv", 9, 3, "");
         let begun = Instant::now();
         let mut drained = None;
         while begun.elapsed() < Duration::from_secs(4) {
@@ -139,7 +139,7 @@
             {
                 run.writer.write(text);
                 if i == 0 && drained.is_none() && !run.draining.is_empty() {
-                    run.fleet.drained("s03");
+                    run.fleet.record_drain("s03");
                     drained = Some(Instant::now());
                 }
                 sleep(Duration::from_millis(50));
@@ -147,7 +147,7 @@
         }
         let valid = run.text();
         run.writer.write(&valid);
-        let refused = run.mixer.counters()["lists_refused"];
+        let refused = run.aggregator.counters()["lists_refused"];
         assert!((1..=6).contains(&refused), "{way:?}: {refused} refusals told, one a second at most");
         run.finish();
     }
@@ -155,7 +155,7 @@
 
 #[test]
 fn link_replaced_every_50_ms_with_sighup_meanwhile() {
-    let mut run = Run::start(Way::Link, "n.yaml", 9, 3, "");
+    let mut run = InventoryRun::start(WriteMethod::SymlinkSwap, "n.yaml", 9, 3, "");
     let names: Vec<String> = run.fleet.addresses.keys().cloned().collect();
     for i in 0..60 {
         // Each server drains for two versions; in the last one all are ready.
@@ -163,28 +163,28 @@
         let text = run.text();
         run.writer.write(&text);
         if i % 20 == 10 {
-            run.mixer.signal("-HUP");
+            run.aggregator.signal("-HUP");
         }
         sleep(Duration::from_millis(50));
     }
     let drain_time = run.drain("s07");
     assert!(drain_time < Duration::from_secs(1), "{drain_time:?}");
     sleep(Duration::from_millis(1150));
-    assert_eq!(run.mixer.counters()["reloads"], 3);
+    assert_eq!(run.aggregator.counters()["reloads"], 3);
     run.finish();
 }
 
 #[test]
 fn server_that_changes_its_cell_gets_no_part_of_the_old_one() {
     // s09 moves from cell 0 to cell 1: what it gets after the list was applied must be of its new shard.
-    let mut run = Run::start(Way::Rename, "n.yaml", 12, 3, "");
+    let mut run = InventoryRun::start(WriteMethod::Rename, "n.yaml", 12, 3, "");
     let drained = run.drain("s09");
     assert!(drained < Duration::from_secs(1));
     sleep(Duration::from_millis(300));
-    run.fleet.moved("s09", 1);
+    run.fleet.record_move("s09", 1);
     let text = run.text();
     run.writer.write(&text);
-    run.mixer.told_anew("changed=1");
+    run.aggregator.told_anew("changed=1");
     run.ready("s09");
     sleep(Duration::from_millis(500));
     run.finish();
@@ -192,11 +192,11 @@
 
 #[test]
 fn list_that_loses_too_many_servers_is_held_back_until_confirmed() {
-    let mut run = Run::start(Way::Rename, "n.csv", 9, 2, "");
+    let mut run = InventoryRun::start(WriteMethod::Rename, "n.csv", 9, 2, "");
     let complete = run.text();
     let short: String = complete.lines().take(5).map(|l| format!("{l}\n")).collect();
     run.writer.write(&short.replacen("0,ready", "0,draining", 1));
-    let line = run.mixer.told_anew("list held back");
+    let line = run.aggregator.told_anew("list held back");
     assert!(line.contains("5 of 9 nodes would be lost at once") && line.contains("WARN"), "{line}");
     // Its drains have taken effect; the servers that it lacks still serve.
     sleep(Duration::from_millis(200));
@@ -214,18 +214,18 @@
     };
     let out = confirm();
     assert!(out.status.success(), "{out:?}");
-    let line = run.mixer.told_anew("confirmed=true");
+    let line = run.aggregator.told_anew("confirmed=true");
     assert!(line.contains("nodes=4") && line.contains("gone=5"), "{line}");
     let gone = fs::metadata(path.with_extension("csv.confirm"));
     assert!(gone.is_err(), "a confirmation is read once");
     run.writer.write(&complete);
-    run.mixer.told_anew("added=5");
+    run.aggregator.told_anew("added=5");
     run.finish();
 }
 
 #[test]
 fn draining_or_gone_in_any_source_prevails() {
-    let (fleet, discovery) = (Fleet::new(6), Discovery::new());
+    let (fleet, discovery) = (LeafFleet::new(6), Discovery::new());
     let dir = scratch("several");
     fs::write(dir.join("n.yaml"), fleet.inventory("n.yaml", &BTreeSet::new())).expect("written");
     fs::write(dir.join("drains.csv"), "name,state\n").expect("written");
@@ -241,23 +241,23 @@
     let load = Load::start(aggregator.address, 2);
     // A file drains a server that is ready by discovery.
     fs::write(dir.join("drains.csv"), "name,state\ns00,draining\n").expect("written");
-    fleet.drained("s00");
+    fleet.record_drain("s00");
     aggregator.told_anew("drained=1");
     // Discovery removes a server that is ready by the files: it stays removed.
     let gone = Listed { lifecycle: "Gone", ..known[4].clone() };
     watch.tell(&list(3, false, &[gone]));
-    fleet.drained("s04");
+    fleet.record_drain("s04");
     sleep(Duration::from_millis(300));
     fs::write(dir.join("n.yaml"), fleet.inventory("n.yaml", &BTreeSet::from(["s05".to_owned()])))
         .expect("written");
-    fleet.drained("s05");
+    fleet.record_drain("s05");
     aggregator.told_anew("drained=1");
     // Discovery lists the draining server as ready again: the drain by the file prevails.
     watch.tell(&list(4, false, &[known[0].clone()]));
     sleep(Duration::from_millis(1200));
     let (answered, wrong) = load.stop();
     assert!(answered > 50 && wrong.is_empty(), "{wrong:?}");
-    assert!(fleet.broken().is_empty(), "{:?}", fleet.broken());
+    assert!(fleet.broken_rules().is_empty(), "{:?}", fleet.broken_rules());
     // Of cell 2 only s02 is left, of cell 1 only s01: both serve by discovery alone.
     fs::remove_file(dir.join("n.yaml")).expect("removed");
     assert!(aggregator.told_anew("the old list stands").contains("n.yaml"));
--- a/tests/ledger_process.rs
+++ b/tests/ledger_process.rs
@@ -65,13 +65,13 @@
 }
 
 struct LedgerSetup {
-    fleet: Fleet,
+    fleet: LeafFleet,
     setup: Setup,
     dir: std::path::PathBuf,
 }
 
 fn ledger_setup(mode: &str) -> LedgerSetup {
-    let fleet = Fleet::new(6);
+    let fleet = LeafFleet::new(6);
     let known = fleet.listed();
     let dir = scratch("ledger");
     let operator = Some(format!(
@@ -128,7 +128,7 @@
         entries.len(),
         answered.len()
     );
-    assert!(ledger.fleet.broken().is_empty(), "{:?}", ledger.fleet.broken());
+    assert!(ledger.fleet.broken_rules().is_empty(), "{:?}", ledger.fleet.broken_rules());
     let ours = |e: &Entry| e.known && e.tenant == "acme";
     assert!(entries.iter().all(ours), "strangers were turned away with a 4xx: nothing of theirs is entered");
 }
