--- a/tests/operational_faults.rs
+++ b/tests/operational_faults.rs
@@ -11,13 +11,35 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread;
 use std::time::{Duration, Instant};
+use tokio::net::TcpSocket;
 
-fn query_status(mixer: &Aggregator, id: &str) -> u16 {
-    Client::connect(mixer.address).ask(query(id, "9000m", &[0])).status
+/// A set-up for several processes of one aggregator, with two leaf servers that both hold shard 0.
+struct TwoLeafServers {
+    a: AnsweringLeafServer,
+    _b: AnsweringLeafServer,
+    /// Keeps the port of the set-up.
+    _port: TcpSocket,
+    setup: Setup,
 }
 
-fn wait_until_ready(mixer: &mut Aggregator) {
-    until("ready", || mixer.operate("GET /-/ready") == 200);
+impl TwoLeafServers {
+    fn new() -> Self {
+        let a = AnsweringLeafServer::new();
+        let b = AnsweringLeafServer::new();
+        let port = shared_port();
+        let leaf_servers = [listed("a", a.address, 0), listed("b", b.address, 0)];
+        let setup = Setup::new(&leaf_servers).shared(&port);
+        TwoLeafServers { a, _b: b, _port: port, setup }
+    }
+}
+
+/// Sends a query for shard 0; the status of its response.
+fn query_status(aggregator: &Aggregator, id: &str) -> u16 {
+    Client::connect(aggregator.address).ask(query(id, "9000m", &[0])).status
+}
+
+fn wait_until_ready(aggregator: &mut Aggregator) {
+    until("ready", || aggregator.operate("GET /-/ready") == 200);
 }
 
 /// When the process is killed.
@@ -36,16 +58,13 @@
     const CLIENTS: usize = 4;
     for step in [Step::NewIsNotReady, Step::NewIsReady, Step::OldGotSigterm, Step::OldClosedItsListener] {
         for old_is_killed in [false, true] {
-            let (a, b) = (AnsweringLeafServer::new(), AnsweringLeafServer::new());
-            let held = shared_port();
-            let nodes = [listed("a", a.address, 0), listed("b", b.address, 0)];
-            let setup = Setup::new(&nodes).shared(&held);
+            let TwoLeafServers { a, setup, _b, _port } = TwoLeafServers::new();
             let mut old = setup.start();
             wait_until_ready(&mut old);
             assert_eq!(old.operate("POST /-/leaf-servers/a/disable"), 200);
-            let out = a.count();
-            let going = Arc::new(AtomicBool::new(true));
-            let clients = load(old.address, &going, CLIENTS);
+            let count_while_disabled = a.count();
+            let running = Arc::new(AtomicBool::new(true));
+            let clients = load(old.address, &running, CLIENTS);
             let mut new = setup.start();
             if step != Step::NewIsNotReady {
                 wait_until_ready(&mut new);
@@ -57,29 +76,36 @@
             if step == Step::OldClosedItsListener {
                 old.told("to=\"handing over\"");
             }
-            let (mut dead, mut lives) = if old_is_killed { (old, new) } else { (new, old) };
-            dead.kill();
+            let (mut killed, mut survivor) = if old_is_killed { (old, new) } else { (new, old) };
+            killed.kill();
             // An old process that got SIGTERM still exits when its successor is gone.
             if matches!(step, Step::OldGotSigterm | Step::OldClosedItsListener) && !old_is_killed {
-                assert!(lives.ended().success(), "{step:?}");
+                assert!(survivor.ended().success(), "{step:?}");
             } else {
-                wait_until_ready(&mut lives);
+                wait_until_ready(&mut survivor);
                 for i in 0..20 {
                     assert_eq!(
-                        query_status(&lives, &format!("k{i}")),
+                        query_status(&survivor, &format!("k{i}")),
                         200,
-                        "{step:?}, old dies: {old_is_killed}"
+                        "{step:?}, old is killed: {old_is_killed}"
                     );
                 }
-                assert_eq!(a.count(), out, "out through {step:?}, old dies: {old_is_killed}");
-                assert_eq!(lives.operate("POST /-/leaf-servers/a/enable"), 200);
-                lives.told("node back by hand node=\"a\"");
+                assert_eq!(
+                    a.count(),
+                    count_while_disabled,
+                    "disabled through {step:?}, old is killed: {old_is_killed}"
+                );
+                assert_eq!(survivor.operate("POST /-/leaf-servers/a/enable"), 200);
+                survivor.told("node back by hand node=\"a\"");
             }
-            going.store(false, Ordering::SeqCst);
+            running.store(false, Ordering::SeqCst);
             let ends: Vec<(u64, u64)> = clients.into_iter().filter_map(|c| c.join().ok()).collect();
-            if lives.is_running() {
-                let bad: u64 = ends.iter().map(|(_, bad)| bad).sum();
-                assert!(bad <= CLIENTS as u64, "{bad} of {ends:?} at {step:?}, old dies: {old_is_killed}");
+            if survivor.is_running() {
+                let failed: u64 = ends.iter().map(|(_, failed)| failed).sum();
+                assert!(
+                    failed <= CLIENTS as u64,
+                    "{failed} of {ends:?} at {step:?}, old is killed: {old_is_killed}"
+                );
             }
         }
     }
@@ -88,9 +114,9 @@
 /// A drain holds in both processes whichever got the command; so does its cancellation.
 #[test]
 fn a_drain_during_a_hot_restart_holds_in_both_processes() {
-    let node = AnsweringLeafServer::new();
-    let held = shared_port();
-    let setup = Setup::new(&[listed("a", node.address, 0)]).shared(&held);
+    let leaf_server = AnsweringLeafServer::new();
+    let port = shared_port();
+    let setup = Setup::new(&[listed("a", leaf_server.address, 0)]).shared(&port);
     let mut old = setup.start();
     wait_until_ready(&mut old);
     let mut new = setup.start();
@@ -99,10 +125,10 @@
     assert_eq!(old.operate("POST /-/drain"), 200);
     // The load balancer's health check may reach either process.
     for _ in 0..20 {
-        assert_eq!(old.healthz(), 503, "no from both, from the yes on");
+        assert_eq!(old.healthz(), 503, "503 from both, once the command is answered");
     }
     old.signal("-TERM");
-    assert!(old.ended().success(), "asked to end while it is drained");
+    assert!(old.ended().success(), "SIGTERM while it is drained");
     assert_eq!(new.healthz(), 503, "the drain goes on");
     assert_eq!(new.operate("GET /-/ready"), 200, "though the process could serve");
     assert_eq!(new.operate("POST /-/resume"), 200);
@@ -113,26 +139,23 @@
 /// Enabling a leaf server that is not disabled changes nothing, and the disable that follows is in force.
 #[test]
 fn an_enable_before_a_disable_does_not_cancel_it() {
-    let (a, b) = (AnsweringLeafServer::new(), AnsweringLeafServer::new());
-    let held = shared_port();
-    let nodes = [listed("a", a.address, 0), listed("b", b.address, 0)];
-    let setup = Setup::new(&nodes).shared(&held);
-    let mut mixer = setup.start();
-    wait_until_ready(&mut mixer);
+    let TwoLeafServers { a, setup, _b, _port } = TwoLeafServers::new();
+    let mut aggregator = setup.start();
+    wait_until_ready(&mut aggregator);
     for call in ["enable", "enable", "disable"] {
-        assert_eq!(mixer.operate(&format!("POST /-/leaf-servers/a/{call}")), 200);
+        assert_eq!(aggregator.operate(&format!("POST /-/leaf-servers/a/{call}")), 200);
     }
-    let out = a.count();
+    let count_while_disabled = a.count();
     for i in 0..20 {
-        assert_eq!(query_status(&mixer, &format!("q{i}")), 200);
+        assert_eq!(query_status(&aggregator, &format!("q{i}")), 200);
     }
-    assert_eq!(a.count(), out, "out");
-    assert_eq!(mixer.operate("POST /-/leaf-servers/a/enable"), 200, "one call back");
+    assert_eq!(a.count(), count_while_disabled, "disabled");
+    assert_eq!(aggregator.operate("POST /-/leaf-servers/a/enable"), 200, "one call back");
     let mut i = 0;
     until("used again", || {
         i += 1;
-        assert_eq!(query_status(&mixer, &format!("r{i}")), 200);
-        a.count() > out
+        assert_eq!(query_status(&aggregator, &format!("r{i}")), 200);
+        a.count() > count_while_disabled
     });
 }
 
@@ -140,10 +163,7 @@
 /// each is counted, and the log names the field.
 #[test]
 fn invalid_settings_change_nothing_during_a_disable_a_drain_and_a_hot_restart() {
-    let (a, b) = (AnsweringLeafServer::new(), AnsweringLeafServer::new());
-    let held = shared_port();
-    let nodes = [listed("a", a.address, 0), listed("b", b.address, 0)];
-    let setup = Setup::new(&nodes).shared(&held);
+    let TwoLeafServers { a, setup, _b, _port } = TwoLeafServers::new();
     let mut old = setup.start();
     wait_until_ready(&mut old);
     let sound = setup.config();
@@ -155,16 +175,16 @@
         sound.replace("\"hardLimitMs\":10000", "\"hardLimitMs\":0"),
     ];
     let mut rejected = 0;
-    let reject = |mixer: &mut Aggregator, last: &mut u64| {
+    let reject = |aggregator: &mut Aggregator, last: &mut u64| {
         for text in &broken {
-            std::fs::write(&mixer.config, text).expect("written");
-            mixer.signal("-HUP");
+            std::fs::write(&aggregator.config, text).expect("written");
+            aggregator.signal("-HUP");
             *last += 1;
-            mixer.told_anew("the old settings stand");
+            aggregator.told_anew("the old settings stand");
         }
     };
     assert_eq!(old.operate("POST /-/leaf-servers/a/disable"), 200);
-    let out = a.count();
+    let count_while_disabled = a.count();
     reject(&mut old, &mut rejected);
     assert_eq!(old.counters()["reloads_rejected"], rejected);
     assert_eq!(query_status(&old, "q1"), 200);
@@ -182,36 +202,33 @@
     for i in 0..20 {
         assert_eq!(query_status(&new, &format!("r{i}")), 200);
     }
-    assert_eq!(a.count(), out, "out through it all");
+    assert_eq!(a.count(), count_while_disabled, "disabled throughout");
     assert_eq!(new.counters()["reloads_rejected"], broken.len() as u64);
 }
 
 /// The disk is full: the override is in force all the same, and the log says that it is not stored.
 #[test]
 fn an_override_that_cannot_be_stored_holds_in_this_process() {
-    let (a, b) = (AnsweringLeafServer::new(), AnsweringLeafServer::new());
-    let held = shared_port();
-    let nodes = [listed("a", a.address, 0), listed("b", b.address, 0)];
-    let setup = Setup::new(&nodes).shared(&held);
-    let tmp = setup.tmp.clone().expect("a folder");
-    let mut mixer = setup.start();
-    wait_until_ready(&mut mixer);
-    let folder = std::fs::read_dir(&tmp).expect("read").next().expect("a folder").expect("read").path();
+    let TwoLeafServers { a, setup, _b, _port } = TwoLeafServers::new();
+    let tmp = setup.tmp.clone().expect("a directory");
+    let mut aggregator = setup.start();
+    wait_until_ready(&mut aggregator);
+    let directory = std::fs::read_dir(&tmp).expect("read").next().expect("a directory").expect("read").path();
     // Every write to it fails with ENOSPC.
-    symlink("/dev/full", folder.join("orders.new")).expect("made");
+    symlink("/dev/full", directory.join("orders.new")).expect("made");
     let began = Instant::now();
-    assert_eq!(mixer.operate("POST /-/leaf-servers/a/disable"), 200);
+    assert_eq!(aggregator.operate("POST /-/leaf-servers/a/disable"), 200);
     assert!(began.elapsed() < Duration::from_secs(1), "{:?}", began.elapsed());
-    mixer.told("orders cannot be kept");
-    let out = a.count();
+    aggregator.told("orders cannot be kept");
+    let count_while_disabled = a.count();
     for i in 0..20 {
-        assert_eq!(query_status(&mixer, &format!("q{i}")), 200);
+        assert_eq!(query_status(&aggregator, &format!("q{i}")), 200);
     }
-    assert_eq!(a.count(), out, "out in this process");
-    assert!(!folder.join("orders").exists(), "and nowhere else");
+    assert_eq!(a.count(), count_while_disabled, "disabled in this process");
+    assert!(!directory.join("orders").exists(), "and nowhere else");
     // Once there is space the next command stores both overrides.
-    assert_eq!(mixer.operate("POST /-/drain"), 200);
-    mixer.kill();
+    assert_eq!(aggregator.operate("POST /-/drain"), 200);
+    aggregator.kill();
     let mut next = setup.start();
     next.told("node out by hand node=\"a\"");
     assert_eq!(next.healthz(), 503, "drained");
@@ -221,15 +238,13 @@
 /// 200 means that the override is in force.
 #[test]
 fn a_thousand_concurrent_admin_commands_are_all_answered() {
-    let (a, b) = (AnsweringLeafServer::new(), AnsweringLeafServer::new());
-    let held = shared_port();
-    let nodes = [listed("a", a.address, 0), listed("b", b.address, 0)];
-    let setup = Setup::new(&nodes).shared(&held);
-    let mut mixer = setup.start();
-    wait_until_ready(&mut mixer);
-    let at: SocketAddr = mixer.told("operators on ").parse().expect("an address");
+    let TwoLeafServers { a, setup, _b, _port } = TwoLeafServers::new();
+    let mut aggregator = setup.start();
+    wait_until_ready(&mut aggregator);
+    let at: SocketAddr = aggregator.told("operators on ").parse().expect("an address");
     // More clients than the limit.
-    let clients: Vec<TcpStream> = (0..700).filter_map(|_| TcpStream::connect(mixer.address).ok()).collect();
+    let clients: Vec<TcpStream> =
+        (0..700).filter_map(|_| TcpStream::connect(aggregator.address).ok()).collect();
     assert!(clients.len() > 500, "{}", clients.len());
     let silent: Vec<TcpStream> = (0..60).map(|_| TcpStream::connect(at).expect("accepted")).collect();
     let call = |n: usize| {
@@ -251,11 +266,11 @@
     }
     assert_eq!(answered, 1000);
     drop((silent, clients));
-    assert_eq!(mixer.operate("POST /-/leaf-servers/a/disable"), 200);
-    let out = a.count();
+    assert_eq!(aggregator.operate("POST /-/leaf-servers/a/disable"), 200);
+    let count_while_disabled = a.count();
     thread::sleep(Duration::from_millis(50));
     for i in 0..10 {
-        assert_eq!(query_status(&mixer, &format!("q{i}")), 200);
+        assert_eq!(query_status(&aggregator, &format!("q{i}")), 200);
     }
-    assert_eq!(a.count(), out);
+    assert_eq!(a.count(), count_while_disabled);
 }
