--- a/examples/ledger_cost.rs
+++ b/examples/ledger_cost.rs
@@ -5,8 +5,8 @@
 #[path = "../tests/common/mod.rs"]
 mod common;
 
-use common::fleet::Fleet;
-use common::process::{Client, Setup, query, scratch};
+use common::fleet::LeafFleet;
+use common::process::{Client, Setup, query, scratch_dir};
 use sailmux::ledger::{
     Calendar, Entry, Options, Outcome, RealDisk, Record, Share, Store, UnixMs, queue, read_all,
 };
@@ -38,7 +38,7 @@
 }
 
 fn measure_store(entries: u64) -> Result<(), Box<dyn std::error::Error>> {
-    let dir = scratch("cost");
+    let dir = scratch_dir("cost");
     let options = Options::default();
     let (mut store, _) = Store::open(RealDisk::own(&dir)?, calendar(), options.clone(), "n1", AT)?;
     let groups: Vec<Vec<Record>> = (0..entries)
@@ -96,10 +96,10 @@
 
 /// The latencies of complete answers to three clients, in ms, ascending.
 fn answer_latencies(ledger: Option<&str>, seconds: f64) -> Vec<f64> {
-    let fleet = Fleet::new(6);
+    let fleet = LeafFleet::new(6);
     let known = fleet.listed();
     let operator =
-        ledger.map(|mode| format!("ledger: {{dir: {}, mode: {mode}}}\n", scratch("answers").display()));
+        ledger.map(|mode| format!("ledger: {{dir: {}, mode: {mode}}}\n", scratch_dir("answers").display()));
     let aggregator = Setup { operator, ..Setup::new(&known) }.start();
     let stop = Arc::new(AtomicBool::new(false));
     let clients: Vec<_> = (0..3)
@@ -110,7 +110,7 @@
                 while !stop.load(Ordering::Relaxed) {
                     let id = format!("c{number}n{}", times.len());
                     let start = Instant::now();
-                    assert_eq!(client.ask(query(&id, "5000m", &[0, 1, 2])).status, 200);
+                    assert_eq!(client.request(query(&id, "5000m", &[0, 1, 2])).status, 200);
                     times.push(start.elapsed().as_secs_f64() * 1e3);
                 }
                 times
--- a/tests/aggregator.rs
+++ b/tests/aggregator.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::process::{Setup, scratch};
+use common::process::{Setup, scratch_dir};
 use sailmux::aggregator::*;
 use sailmux::config::Config;
 use sailmux::endpoints::{FileList, GuardSettings, Input};
@@ -32,7 +32,7 @@
 
 /// An aggregator with these leaf servers and a configuration.
 fn aggregator_configured(servers: &str, config: &str) -> State {
-    let path = scratch("aggregator").join("config.json");
+    let path = scratch_dir("aggregator").join("config.json");
     std::fs::write(&path, config).expect("written");
     let settings = Config::at(&path).expect("a valid configuration").settings;
     let limits = Limits::of_max_descriptors(1024);
--- a/tests/aggregator_process.rs
+++ b/tests/aggregator_process.rs
@@ -15,19 +15,19 @@
     let mut watch = discovery.accept();
     assert_eq!(watch.request, "GET /v1/servers?watch=1&after=1 HTTP/1.1");
     let draining = Listed { lifecycle: "Terminating", ..listed("a", a.address, 0) };
-    watch.tell("");
-    watch.tell(&list(2, false, &[draining]));
-    aggregator.wait_for("lists_taken", 2);
+    watch.send_event("");
+    watch.send_event(&list(2, false, &[draining]));
+    aggregator.wait_for_counter("lists_taken", 2);
     let serve = background(move || {
         let mut connection = b.accept();
         for _ in 0..10 {
-            let part = connection.part();
+            let part = connection.next_part();
             connection.answer(&part, "good", "v");
         }
     });
     let mut client = Client::connect(aggregator.address);
     for i in 0..10 {
-        assert_eq!(client.ask(query(&format!("q{i}"), "9000m", &[0])).status, 200);
+        assert_eq!(client.request(query(&format!("q{i}"), "9000m", &[0])).status, 200);
     }
     serve();
     assert_eq!(aggregator.counters()["attempts_sent"], 10);
@@ -40,19 +40,19 @@
     let discovery = Discovery::new();
     let aggregator = Setup { discovery: discovery.address(), ..with_leaves(&[&a]) }.start();
     let mut first = discovery.accept();
-    first.tell(&list(7, false, &[]));
-    first.given_up();
+    first.send_event(&list(7, false, &[]));
+    first.wait_until_closed();
     let second = discovery.accept();
     assert!(second.request.contains("after=7"), "{}", second.request);
     drop(second);
     let mut third = discovery.accept();
     // The list is complete: leaf server a is removed, and b holds its shard.
-    third.tell(&list(3, true, &[listed("b", b.address, 0)]));
-    aggregator.wait_for("lists_taken", 3);
+    third.send_event(&list(3, true, &[listed("b", b.address, 0)]));
+    aggregator.wait_for_counter("lists_taken", 3);
     let mut client = Client::connect(aggregator.address);
     client.send(query("q1", "9000m", &[0]));
     let mut connection = b.accept();
-    let part = connection.part();
+    let part = connection.next_part();
     connection.answer(&part, "good", "v");
     assert_eq!(client.response().status, 200);
     let counters = aggregator.counters();
@@ -71,15 +71,15 @@
     let aggregator = Aggregator::start(&config, None);
     let mut watch = discovery.accept();
     for (i, name) in ["b", "c"].into_iter().enumerate() {
-        watch.tell(&list(i as u64 + 2, true, &[listed(name, leaves[i + 1].address, 0)]));
-        aggregator.wait_for("lists_taken", i as u64 + 2);
+        watch.send_event(&list(i as u64 + 2, true, &[listed(name, leaves[i + 1].address, 0)]));
+        aggregator.wait_for_counter("lists_taken", i as u64 + 2);
         std::thread::sleep(Duration::from_millis(50));
-        watch.tell(&list(i as u64 + 2, false, &[]));
-        aggregator.wait_for("nodes_forgotten", i as u64 + 1);
+        watch.send_event(&list(i as u64 + 2, false, &[]));
+        aggregator.wait_for_counter("nodes_forgotten", i as u64 + 1);
         let mut client = Client::connect(aggregator.address);
         client.send(query(name, "9000m", &[0]));
         let mut connection = leaves[i + 1].accept();
-        let part = connection.part();
+        let part = connection.next_part();
         connection.answer(&part, "good", "v");
         assert_eq!(client.response().status, 200);
     }
@@ -90,29 +90,33 @@
     let leaf = LeafServer::new();
     let mut aggregator = with_leaves(&[&leaf]).start();
     let mut idle = Client::connect(aggregator.address);
-    assert_eq!(idle.ask("GET /healthz HTTP/1.1\r\n\r\n").status, 200);
+    assert_eq!(idle.request("GET /healthz HTTP/1.1\r\n\r\n").status, 200);
     let mut in_flight = Client::connect(aggregator.address);
     in_flight.send(query("q1", "9000m", &[0]));
     let mut connection = leaf.accept();
-    let first = connection.part();
+    let first = connection.next_part();
     aggregator.signal("-TERM");
-    aggregator.told("graceful shutdown");
-    assert_eq!(idle.ask("GET /healthz HTTP/1.1\r\n\r\n").status, 503, "still served during the grace period");
+    aggregator.wait_for_log("graceful shutdown");
+    assert_eq!(
+        idle.request("GET /healthz HTTP/1.1\r\n\r\n").status,
+        503,
+        "still served during the grace period"
+    );
     let mut late = Client::connect(aggregator.address);
     late.send(query("q2", "9000m", &[0]));
-    let second = connection.part();
-    assert_eq!(Client::connect(aggregator.address).ask("GET /healthz HTTP/1.1\r\n\r\n").status, 503);
+    let second = connection.next_part();
+    assert_eq!(Client::connect(aggregator.address).request("GET /healthz HTTP/1.1\r\n\r\n").status, 503);
     connection.answer(&second, "good", "v");
     let reply = late.response();
     assert_eq!((reply.status, reply.header("Connection")), (200, None));
-    idle.closed();
-    late.closed();
+    idle.wait_until_closed();
+    late.wait_until_closed();
     connection.answer(&first, "good", "v");
     let reply = in_flight.response();
     assert_eq!((reply.status, reply.header("Connection")), (200, Some("close")));
-    in_flight.closed();
-    assert!(aggregator.ended().success());
-    aggregator.told("sailmux_answers_whole 2");
+    in_flight.wait_until_closed();
+    assert!(aggregator.wait_for_exit().success());
+    aggregator.wait_for_log("sailmux_answers_whole 2");
 }
 
 #[test]
@@ -144,22 +148,22 @@
     let setup = Setup { discovery: old.address(), ..with_leaves(&[&a]) };
     let mut aggregator = setup.start();
     let mut first = old.accept();
-    first.tell(&list(7, false, &[]));
-    aggregator.wait_for("lists_taken", 2);
+    first.send_event(&list(7, false, &[]));
+    aggregator.wait_for_counter("lists_taken", 2);
     let mut in_flight = Client::connect(aggregator.address);
     in_flight.send(query("q1", "9000m", &[0]));
     let mut connection = a.accept();
-    let part = connection.part();
+    let part = connection.next_part();
     let moved = Setup { discovery: new.address(), ..setup }.config();
     std::fs::write(&aggregator.config, &moved).expect("written");
     aggregator.signal("-HUP");
-    first.given_up();
+    first.wait_until_closed();
     let mut second = new.accept();
     assert!(second.request.contains("after=7"), "{}", second.request);
     // It started long ago: a leaf server that is warming up is drawn by chance alone, which may take longer than the test.
     let warm = Listed { started: 1, ..listed("b", b.address, 1) };
-    second.tell(&list(8, false, &[warm]));
-    aggregator.wait_for("lists_taken", 3);
+    second.send_event(&list(8, false, &[warm]));
+    aggregator.wait_for_counter("lists_taken", 3);
     connection.answer(&part, "good", "v");
     assert_eq!(in_flight.response().status, 200);
     for (bad, why) in [
@@ -174,11 +178,11 @@
     ] {
         std::fs::write(&aggregator.config, bad).expect("written");
         aggregator.signal("-HUP");
-        assert!(aggregator.told_anew("config.json: field ").contains(why), "{why}");
+        assert!(aggregator.wait_for_new_log("config.json: field ").contains(why), "{why}");
     }
     in_flight.send(query("q2", "9000m", &[1]));
     let mut connection = b.accept();
-    let part = connection.part();
+    let part = connection.next_part();
     connection.answer(&part, "good", "v");
     assert_eq!(in_flight.response().status, 200);
     assert_eq!((aggregator.counters()["reloads"], aggregator.counters()["reloads_rejected"]), (1, 5));
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::process::{Setup, binary, scratch};
+use common::process::{Setup, binary, scratch_dir};
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -23,7 +23,7 @@
 }
 
 fn scratch_file(name: &str, text: &str) -> PathBuf {
-    let path = scratch("cli").join(name);
+    let path = scratch_dir("cli").join(name);
     fs::write(&path, text).expect("written");
     path
 }
@@ -128,7 +128,7 @@
 
 #[test]
 fn check_prints_every_problem_of_every_file_at_once() {
-    let dir = scratch("check");
+    let dir = scratch_dir("check");
     let config = Setup::new(&[])
         .config()
         .replace("8c1f30d27a5be964", "no hex")
@@ -229,7 +229,7 @@
 
 #[test]
 fn log_events_are_json_if_so_configured() {
-    let dir = scratch("log");
+    let dir = scratch_dir("log");
     fs::write(dir.join("n.csv"), SIX).expect("written");
     let operator = format!("log: {{format: json}}\ninventory: {{file: {}}}\n", dir.join("n.csv").display());
     let mut setup = Setup { operator: Some(operator), ..Setup::new(&[]) };
--- a/tests/client_connections.rs
+++ b/tests/client_connections.rs
@@ -15,7 +15,7 @@
     let values = ["5be2a07c19f04d63", "a\"b\\c\u{e9}\u{1}"];
     for (leaf, (i, value)) in leaves.iter().zip(values.iter().enumerate()) {
         let mut connection = leaf.accept();
-        let (letter, rest) = connection.frame().expect("a call");
+        let (letter, rest) = connection.next_frame().expect("a call");
         let (line, text) = rest.split_once('\n').expect("a line");
         let fields: Vec<&str> = line.split(' ').collect();
         assert_eq!((letter, fields[0], fields[1]), ('m', format!("q1.{i}").as_str(), i.to_string().as_str()));
@@ -27,7 +27,7 @@
     let reply = client.response();
     let body = r#"{"total":true,"answers":[{"range":0,"blob":"5be2a07c19f04d63"},{"range":1,"blob":"a\"b\\cé\u0001"}]}"#;
     assert_eq!((reply.status, reply.body.as_str()), (200, body));
-    assert_eq!(client.ask("GET /healthz HTTP/1.1\r\n\r\n").status, 200, "the connection is kept");
+    assert_eq!(client.request("GET /healthz HTTP/1.1\r\n\r\n").status, 200, "the connection is kept");
 }
 
 /// A client's idempotency key goes with every attempt of every part; one that would break a frame's line is rejected.
@@ -41,8 +41,8 @@
     let mut client = Client::connect(aggregator.address);
     client.send(keyed("q1", "9e38e3142cc1013f72f4750c5a12be11"));
     for end in ["bad", "good"] {
-        let mut connection = first_of(&[&a, &b]);
-        let (letter, rest) = connection.frame().expect("a call");
+        let mut connection = accept_first(&[&a, &b]);
+        let (letter, rest) = connection.next_frame().expect("a call");
         let list = rest.split(' ').nth(2).expect("a list");
         assert!(
             letter == 'm' && list.starts_with("d=") && list.ends_with(",k=9e38e3142cc1013f72f4750c5a12be11")
@@ -52,7 +52,7 @@
     }
     assert_eq!(client.response().status, 200);
     for bad in ["a b", "a,d=1", "a=b", "\u{e9}"] {
-        assert_eq!(Client::connect(aggregator.address).ask(keyed("q2", bad)).status, 400, "{bad:?}");
+        assert_eq!(Client::connect(aggregator.address).request(keyed("q2", bad)).status, 400, "{bad:?}");
     }
 }
 
@@ -68,7 +68,7 @@
     client.send(format!("{head}\r\n\r\n9\r\n{a}\r\n"));
     client.send(format!("{:x}\r\n{b}\r\n0\r\n\r\n", b.len()));
     let mut connection = leaf.accept();
-    let part = connection.part();
+    let part = connection.next_part();
     connection.answer(&part, "good", "v");
     assert_eq!(client.response().status, 200);
 }
@@ -115,7 +115,7 @@
         ),
     ];
     for (request, status) in &cases {
-        let reply = Client::connect(aggregator.address).ask(request);
+        let reply = Client::connect(aggregator.address).request(request);
         assert_eq!(reply.status, *status, "{request:.200}");
     }
     let counters = aggregator.counters();
@@ -128,7 +128,7 @@
     let aggregator = with_leaves(&[&leaf]).start();
     let mut slow = Client::connect(aggregator.address);
     slow.send("POST /api/1 HTTP/1.1\r\n");
-    assert_eq!(Client::connect(aggregator.address).ask("GET /healthz HTTP/1.1\r\n\r\n").status, 200);
+    assert_eq!(Client::connect(aggregator.address).request("GET /healthz HTTP/1.1\r\n\r\n").status, 200);
 }
 
 /// A client that sends nothing, or only part of a request, is answered or closed soon; the error reaches one that sends on.
@@ -148,9 +148,9 @@
         // All of it is read and dropped, so that the client gets its response.
         (0..128).for_each(|_| huge.send(format!("10000\r\n{}\r\n", "x".repeat(0x10000))));
         assert_eq!(huge.response().status, 413);
-        huge.closed();
+        huge.wait_until_closed();
     }
-    silent.closed();
+    silent.wait_until_closed();
     assert_eq!((half.response().status, body.response().status), (408, 408));
     assert!(begun.elapsed() < Duration::from_secs(3), "{:?}", begun.elapsed());
 }
@@ -161,7 +161,7 @@
     let leaf = LeafServer::new();
     let config = with_leaves(&[&leaf]).config().replace("\"sockets\":1024", "\"sockets\":64");
     let aggregator = Aggregator::start(&config, None);
-    let ask = |client: &mut Client| assert_eq!(client.ask("GET /metrics HTTP/1.1\r\n\r\n").status, 200);
+    let ask = |client: &mut Client| assert_eq!(client.request("GET /metrics HTTP/1.1\r\n\r\n").status, 200);
     let mut ahead = Client::connect(aggregator.address);
     let mut crowd: Vec<Client> = Vec::new();
     for i in 0..60 {
@@ -171,7 +171,7 @@
     }
     assert!(aggregator.counters()["clients_shed"] >= 40);
     ask(&mut ahead);
-    crowd[0].closed();
+    crowd[0].wait_until_closed();
     // Clients that never send a request delay nobody either.
     crowd.extend((0..40).map(|_| Client::connect(aggregator.address)));
     ask(&mut Client::connect(aggregator.address));
@@ -184,11 +184,11 @@
     let aggregator = Aggregator::start(&config, None);
     let mut clients: Vec<Client> = (0..22).map(|_| Client::connect(aggregator.address)).collect();
     for client in &mut clients {
-        assert_eq!(client.ask("GET /metrics HTTP/1.1\r\n\r\n").status, 200);
+        assert_eq!(client.request("GET /metrics HTTP/1.1\r\n\r\n").status, 200);
     }
     let shed = std::time::Instant::now();
-    clients[0].closed();
-    clients[1].closed();
+    clients[0].wait_until_closed();
+    clients[1].wait_until_closed();
     assert!(shed.elapsed() < Duration::from_secs(1), "before they would be closed as idle");
-    assert_eq!(clients[21].ask("GET /metrics HTTP/1.1\r\n\r\n").status, 200);
+    assert_eq!(clients[21].request("GET /metrics HTTP/1.1\r\n\r\n").status, 200);
 }
--- a/tests/common/process/client.rs
+++ b/tests/common/process/client.rs
@@ -1,6 +1,6 @@
 //! Stand-in clients of the HTTP API, one connection at a time or as a steady load.
 
-use super::waiting::{PATIENCE, until};
+use super::waiting::{PATIENCE, wait_until};
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
@@ -50,13 +50,13 @@
         self.stream.get_mut().write_all(bytes.as_ref()).expect("the aggregator reads");
     }
 
-    pub fn ask(&mut self, bytes: impl AsRef<[u8]>) -> Response {
+    pub fn request(&mut self, bytes: impl AsRef<[u8]>) -> Response {
         self.send(bytes);
         self.response()
     }
 
     /// The response; none where the connection ends before it begins.
-    pub fn try_ask(&mut self, bytes: impl AsRef<[u8]>) -> Option<Response> {
+    pub fn try_request(&mut self, bytes: impl AsRef<[u8]>) -> Option<Response> {
         self.stream.get_mut().write_all(bytes.as_ref()).ok()?;
         let ended = self.stream.fill_buf().ok()?.is_empty();
         (!ended).then(|| self.response())
@@ -85,7 +85,7 @@
     }
 
     /// Closes the connection and waits until the aggregator's kernel knows, whatever the aggregator itself has read.
-    pub fn leave(self) {
+    pub fn disconnect(self) {
         let ports = |stream: &TcpStream| {
             (stream.peer_addr().expect("open").port(), stream.local_addr().expect("open").port())
         };
@@ -98,14 +98,14 @@
             let open = line.split_whitespace().nth(3) == Some("01");
             Some(port(1)? == remote && port(2)? == local && open)
         };
-        until("the aggregator's kernel knows that a client has disconnected", || {
+        wait_until("the aggregator's kernel knows that a client has disconnected", || {
             let table = std::fs::read_to_string("/proc/net/tcp").expect("readable");
             !table.lines().any(|line| open(line) == Some(true))
         });
     }
 
     /// Waits until the aggregator closes the connection.
-    pub fn closed(&mut self) {
+    pub fn wait_until_closed(&mut self) {
         let mut rest = Vec::new();
         let end = self.stream.read_to_end(&mut rest);
         assert!(rest.is_empty(), "{:?} before the end", String::from_utf8_lossy(&rest));
@@ -130,7 +130,7 @@
                 asked += 1;
                 let reuses_connection = number.is_multiple_of(2);
                 let mut client = open_connection.take().unwrap_or_else(|| Client::connect(address));
-                match client.try_ask(query(&format!("c{number}-{asked}"), "5000m", &[0])) {
+                match client.try_request(query(&format!("c{number}-{asked}"), "5000m", &[0])) {
                     Some(reply) => {
                         failed += u64::from(reply.status != 200);
                         let closes = reply.header("Connection") == Some("close");
@@ -138,7 +138,7 @@
                     }
                     // A request may cross the close of an idle connection: it is retried once on a new one.
                     None if reuses_connection => {
-                        let reply = Client::connect(address).try_ask(query(
+                        let reply = Client::connect(address).try_request(query(
                             &format!("d{number}-{asked}"),
                             "5000m",
                             &[0],
--- a/tests/common/process/discovery.rs
+++ b/tests/common/process/discovery.rs
@@ -46,13 +46,13 @@
 
 impl Watch {
     /// Sends a line of the watch.
-    pub fn tell(&mut self, line: &str) {
+    pub fn send_event(&mut self, line: &str) {
         let chunk = format!("{:x}\r\n{line}\n\r\n", line.len() + 1);
         self.stream.get_mut().write_all(chunk.as_bytes()).expect("the aggregator reads");
     }
 
     /// Waits until the aggregator closes the watch.
-    pub fn given_up(&mut self) {
+    pub fn wait_until_closed(&mut self) {
         self.stream.get_mut().set_read_timeout(Some(PATIENCE)).expect("set");
         assert_eq!(self.stream.read(&mut [0; 16]).unwrap_or(0), 0);
     }
--- a/tests/common/process/leaf_server.rs
+++ b/tests/common/process/leaf_server.rs
@@ -1,7 +1,7 @@
 //! Stand-in leaf servers in the platform's frames: played step by step by a test, unreachable, or answering at once.
 
 use super::waiting::PATIENCE;
-use std::io::{Read, Write};
+use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -28,7 +28,7 @@
     }
 
     pub fn accept(&self) -> LeafConnection {
-        first_of(&[self])
+        accept_first(&[self])
     }
 
     /// One whose listen queue is full until [`BackloggedLeafServer::clear`]: a dial to it hangs.
@@ -73,7 +73,7 @@
 }
 
 /// The next connection to any of some leaf servers.
-pub fn first_of(leaf_servers: &[&LeafServer]) -> LeafConnection {
+pub fn accept_first(leaf_servers: &[&LeafServer]) -> LeafConnection {
     let listeners: Vec<&TcpListener> = leaf_servers.iter().map(|server| &server.listener).collect();
     LeafConnection { stream: accept(&listeners) }
 }
@@ -97,7 +97,7 @@
 
 impl LeafConnection {
     /// The next frame, letter and rest; none at the end of the connection.
-    pub fn frame(&mut self) -> Option<(char, String)> {
+    pub fn next_frame(&mut self) -> Option<(char, String)> {
         let mut length = [0; 4];
         self.stream.read_exact(&mut length).ok()?;
         let mut frame = vec![0; u32::from_be_bytes(length) as usize];
@@ -115,7 +115,7 @@
     }
 
     /// Sends a frame without its last byte.
-    pub fn put_cut(&mut self, letter: char, rest: &str) {
+    pub fn send_truncated_frame(&mut self, letter: char, rest: &str) {
         let mut frame = (rest.len() as u32 + 2).to_be_bytes().to_vec();
         frame.push(letter as u8);
         frame.extend(rest.as_bytes());
@@ -123,23 +123,28 @@
     }
 
     /// The id of the part that the next frame brings.
-    pub fn part(&mut self) -> String {
-        let (letter, rest) = self.frame().expect("a call");
+    pub fn next_part(&mut self) -> String {
+        let (letter, rest) = self.next_frame().expect("a call");
         assert_eq!(letter, 'm', "{rest}");
         rest.split(' ').next().expect("an id").to_owned()
     }
 
     /// Sends a frame.
-    pub fn put(&mut self, letter: char, rest: &str) {
+    pub fn send_frame(&mut self, letter: char, rest: &str) {
+        self.try_send_frame(letter, rest).expect("the aggregator reads");
+    }
+
+    /// Sends a frame on a connection that may be closed.
+    pub fn try_send_frame(&mut self, letter: char, rest: &str) -> io::Result<()> {
         let mut frame = (rest.len() as u32 + 1).to_be_bytes().to_vec();
         frame.push(letter as u8);
         frame.extend(rest.as_bytes());
-        self.stream.write_all(&frame).expect("the aggregator reads");
+        self.stream.write_all(&frame)
     }
 
     /// Answers a part: `good`, `bad` for an error, `later` for a rejection.
     pub fn answer(&mut self, part: &str, outcome: &str, value: &str) {
-        self.put('q', &format!("{part} {outcome} 17 -\n{value}"));
+        self.send_frame('q', &format!("{part} {outcome} 17 -\n{value}"));
     }
 }
 
@@ -160,13 +165,13 @@
                 let counted = counted.clone();
                 let mut connection = LeafConnection { stream };
                 thread::spawn(move || {
-                    while let Some((letter, rest)) = connection.frame() {
+                    while let Some((letter, rest)) = connection.next_frame() {
                         match letter {
                             'm' => {
                                 counted.fetch_add(1, Ordering::SeqCst);
                                 connection.answer(rest.split(' ').next().expect("an id"), "good", "v");
                             }
-                            'p' => connection.put('p', "-"),
+                            'p' => connection.send_frame('p', "-"),
                             _ => {}
                         }
                     }
--- a/tests/common/process/program.rs
+++ b/tests/common/process/program.rs
@@ -2,7 +2,7 @@
 
 use super::client::Client;
 use super::setup::Setup;
-use super::waiting::{PATIENCE, until};
+use super::waiting::{PATIENCE, wait_until};
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 
 /// A new directory for one test, or one process of it.
-pub fn scratch(name: &str) -> PathBuf {
+pub fn scratch_dir(name: &str) -> PathBuf {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let unique = format!("{name}-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
     let dir = option_env!("CARGO_TARGET_TMPDIR").map_or_else(std::env::temp_dir, PathBuf::from).join(unique);
@@ -42,7 +42,7 @@
 
 /// Starts the program with a configuration, and an operator's file if there is one.
 pub fn spawn(config: &str, operator: Option<&str>) -> Child {
-    spawn_in(&scratch("aggregator"), config, operator, None)
+    spawn_in(&scratch_dir("aggregator"), config, operator, None)
 }
 
 fn spawn_in(dir: &Path, config: &str, operator: Option<&str>, tmp: Option<&Path>) -> Child {
@@ -68,7 +68,7 @@
     }
 
     pub fn start_in(config: &str, operator: Option<&str>, tmp: Option<&Path>) -> Self {
-        let dir = scratch("aggregator");
+        let dir = scratch_dir("aggregator");
         let mut child = spawn_in(&dir, config, operator, tmp);
         let (sender, log_lines) = channel();
         let stderr = BufReader::new(child.stderr.take().expect("piped"));
@@ -76,19 +76,19 @@
         let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
         let config = dir.join("config.json");
         let mut aggregator = Aggregator { child, config, address: nowhere, log_lines, seen: Vec::new() };
-        let address = aggregator.told("serving on ");
+        let address = aggregator.wait_for_log("serving on ");
         aggregator.address = address.parse().expect("an address");
         aggregator
     }
 
     /// A start that fails; its exit status.
-    pub fn start_in_vain(config: &str, setup: &Setup) -> ExitStatus {
-        let mut child = spawn_in(&scratch("aggregator"), config, None, setup.tmp.as_deref());
+    pub fn start_expecting_failure(config: &str, setup: &Setup) -> ExitStatus {
+        let mut child = spawn_in(&scratch_dir("aggregator"), config, None, setup.tmp_dir.as_deref());
         child.wait().expect("it ended")
     }
 
     /// Waits for a line of the log that contains the words and returns what follows them; lines already seen count too.
-    pub fn told(&mut self, words: &str) -> String {
+    pub fn wait_for_log(&mut self, words: &str) -> String {
         let after = |line: &String| line.split_once(words).map(|(_, after)| after.to_owned());
         if let Some(found) = self.seen.iter().find_map(after) {
             return found;
@@ -104,12 +104,12 @@
     }
 
     /// Waits for a line that comes from now on, past all that has been waited for before.
-    pub fn told_anew(&mut self, words: &str) -> String {
-        self.told_either(words, words)
+    pub fn wait_for_new_log(&mut self, words: &str) -> String {
+        self.wait_for_either_log(words, words)
     }
 
     /// The same for a line with either words.
-    pub fn told_either(&mut self, words: &str, others: &str) -> String {
+    pub fn wait_for_either_log(&mut self, words: &str, others: &str) -> String {
         let give_up_at = Instant::now() + PATIENCE;
         while Instant::now() < give_up_at {
             let line = self.log_lines.recv_timeout(PATIENCE);
@@ -129,24 +129,26 @@
     }
 
     /// An admin command on the admin address; the status of its response.
-    pub fn operate(&mut self, call: &str) -> u16 {
-        let admin: SocketAddr = self.told("operators on ").parse().expect("an address");
-        Client::connect(admin).ask(format!("{call} HTTP/1.1\r\nHost: m\r\nContent-Length: 0\r\n\r\n")).status
+    pub fn send_admin_command(&mut self, call: &str) -> u16 {
+        let admin: SocketAddr = self.wait_for_log("operators on ").parse().expect("an address");
+        Client::connect(admin)
+            .request(format!("{call} HTTP/1.1\r\nHost: m\r\nContent-Length: 0\r\n\r\n"))
+            .status
     }
 
     /// The status of the load balancer's health check.
     pub fn healthz(&self) -> u16 {
-        Client::connect(self.address).ask("GET /healthz HTTP/1.1\r\n\r\n").status
+        Client::connect(self.address).request("GET /healthz HTTP/1.1\r\n\r\n").status
     }
 
     /// Where the aggregator serves Flight.
-    pub fn flight(&mut self) -> String {
-        self.told("flight on ")
+    pub fn flight_address(&mut self) -> String {
+        self.wait_for_log("flight on ")
     }
 
     /// The counters as they stand.
     pub fn counters(&self) -> HashMap<String, u64> {
-        let reply = Client::connect(self.address).ask("GET /metrics HTTP/1.1\r\n\r\n");
+        let reply = Client::connect(self.address).request("GET /metrics HTTP/1.1\r\n\r\n");
         let lines = reply.body.lines().filter(|line| !line.starts_with('#'));
         let pair = |line: &str| {
             let (name, count) = line.strip_prefix("sailmux_")?.split_once(' ')?;
@@ -156,7 +158,7 @@
     }
 
     /// Waits until a counter has reached a number.
-    pub fn wait_for(&self, counter: &str, number: u64) {
+    pub fn wait_for_counter(&self, counter: &str, number: u64) {
         let give_up_at = Instant::now() + PATIENCE;
         while self.counters()[counter] < number {
             assert!(Instant::now() < give_up_at, "{counter} never reached {number}: {:#?}", self.counters());
@@ -165,8 +167,8 @@
     }
 
     /// Waits until all clients are known to have disconnected, except the one that asks.
-    pub fn is_left_alone(&self) {
-        until("all other clients are known to have disconnected", || {
+    pub fn wait_until_clients_disconnected(&self) {
+        wait_until("all other clients are known to have disconnected", || {
             let counters = self.counters();
             counters["clients_opened"] - counters["clients_closed"] == 1
         });
@@ -204,7 +206,7 @@
     }
 
     /// Waits for the end of the process; the log is complete by then.
-    pub fn ended(&mut self) -> ExitStatus {
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
         let give_up_at = Instant::now() + PATIENCE;
         loop {
             match self.child.try_wait().expect("it can be waited for") {
--- a/tests/common/process/setup.rs
+++ b/tests/common/process/setup.rs
@@ -1,6 +1,6 @@
 //! What an aggregator is started with: the endpoint list, the platform's configuration, and addresses.
 
-use super::program::{Aggregator, scratch};
+use super::program::{Aggregator, scratch_dir};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::sync::OnceLock;
@@ -36,7 +36,7 @@
 
 /// An address that refuses connections as long as this process runs: bound, and never listened at. A port that was
 /// only given back goes to the next aggregator here, which would then count calls that were meant for discovery.
-pub fn nobody() -> SocketAddr {
+pub fn unreachable_address() -> SocketAddr {
     static BOUND: OnceLock<TcpSocket> = OnceLock::new();
     let bind = || {
         let socket = TcpSocket::new_v4().expect("a socket");
@@ -56,57 +56,57 @@
 
 /// What an aggregator is started with.
 pub struct Setup {
-    pub known: String,
+    pub known_list: String,
     pub discovery: String,
     pub max_attempts: u32,
-    pub hard_limit_ms: u32,
+    pub deadline_ms: u32,
     pub keepalive_ms: u32,
     pub calls_per_connection: u32,
-    pub probes: bool,
+    pub health_checks: bool,
     pub operator: Option<String>,
     pub listen: SocketAddr,
     /// With an admin address.
-    pub managed: bool,
+    pub has_admin_address: bool,
     /// The directory for temporary files, where processes of one aggregator share it; else each has its own.
-    pub tmp: Option<PathBuf>,
+    pub tmp_dir: Option<PathBuf>,
 }
 
 impl Setup {
     /// One aggregator that knows these leaf servers and has no discovery.
     pub fn new(leaf_servers: &[Listed]) -> Self {
         Setup {
-            known: list(1, true, leaf_servers),
-            discovery: nobody().to_string(),
+            known_list: list(1, true, leaf_servers),
+            discovery: unreachable_address().to_string(),
             max_attempts: 3,
-            hard_limit_ms: 10_000,
+            deadline_ms: 10_000,
             keepalive_ms: 30_000,
             calls_per_connection: 32,
-            probes: false,
+            health_checks: false,
             operator: None,
             listen: SocketAddr::from(([127, 0, 0, 1], 0)),
-            managed: false,
-            tmp: None,
+            has_admin_address: false,
+            tmp_dir: None,
         }
     }
 
     /// One that several processes can be started with: one address, one directory, an admin address each.
     pub fn shared(self, port: &TcpSocket) -> Self {
         let listen = port.local_addr().expect("bound");
-        Setup { listen, managed: true, tmp: Some(scratch("tmp")), ..self }
+        Setup { listen, has_admin_address: true, tmp_dir: Some(scratch_dir("tmp")), ..self }
     }
 
     /// The configuration as the platform writes it.
     pub fn config(&self) -> String {
         let Setup {
-            known,
+            known_list: known,
             discovery,
             max_attempts,
-            hard_limit_ms,
+            deadline_ms: hard_limit_ms,
             keepalive_ms,
             calls_per_connection,
-            probes,
+            health_checks: probes,
             listen,
-            managed,
+            has_admin_address: managed,
             ..
         } = self;
         let management = if *managed { r#","management":"127.0.0.1:0""# } else { "" };
@@ -128,6 +128,6 @@
 
     /// Starts a process and waits until it serves.
     pub fn start(&self) -> Aggregator {
-        Aggregator::start_in(&self.config(), self.operator.as_deref(), self.tmp.as_deref())
+        Aggregator::start_in(&self.config(), self.operator.as_deref(), self.tmp_dir.as_deref())
     }
 }
--- a/tests/common/process/waiting.rs
+++ b/tests/common/process/waiting.rs
@@ -8,7 +8,7 @@
 pub const PATIENCE: Duration = Duration::from_secs(15);
 
 /// Polls until the condition holds; panics with its description after [`PATIENCE`].
-pub fn until(description: &str, mut condition: impl FnMut() -> bool) {
+pub fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
     let give_up_at = Instant::now() + PATIENCE;
     while !condition() {
         assert!(Instant::now() < give_up_at, "never: {description}");
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -18,7 +18,7 @@
     let mut client = Client::connect(aggregator.address);
     client.send(query(id, "9000m", &[shard]));
     let mut connection = leaf_server.accept();
-    let part = connection.part();
+    let part = connection.next_part();
     connection.answer(&part, "good", "v");
     assert_eq!(client.response().status, 200);
     connection
@@ -30,8 +30,8 @@
     while Instant::now() < deadline {
         connections.extend(leaf_servers.iter().filter_map(|leaf_server| leaf_server.try_accept()));
         for connection in connections.iter_mut().filter(|connection| connection.has_frame()) {
-            match connection.frame().expect("a complete frame") {
-                ('p', _) => connection.put('p', load_report),
+            match connection.next_frame().expect("a complete frame") {
+                ('p', _) => connection.send_frame('p', load_report),
                 (_, rest) => {
                     let part = rest.split(' ').next().expect("an id");
                     connection.answer(part, "good", "v");
@@ -66,10 +66,10 @@
     let known = Setup::new(&[listed("a", a.address, 0)]);
     let aggregator = Setup { discovery: discovery.address(), ..known }.start();
     let mut watch = discovery.accept();
-    watch.tell("");
+    watch.send_event("");
     let update = list(9, false, &[Listed { started: 1, ..listed("b", b.address, 1) }]);
-    watch.tell(&update.replace(',', ",\n    ").replace('{', "{\n  "));
-    aggregator.wait_for("lists_taken", 2);
+    watch.send_event(&update.replace(',', ",\n    ").replace('{', "{\n  "));
+    aggregator.wait_for_counter("lists_taken", 2);
     query_is_answered_by(&aggregator, &b, "q1", 1);
     assert_eq!(aggregator.counters()["lists_unreadable"], 0);
 }
@@ -94,12 +94,12 @@
     ] {
         accept_call(&discovery).write_all(answer.as_bytes()).expect("the aggregator reads");
     }
-    aggregator.wait_for("watches_lost", 5);
-    aggregator.told("instances[0].cell");
+    aggregator.wait_for_counter("watches_lost", 5);
+    aggregator.wait_for_log("instances[0].cell");
     query_is_answered_by(&aggregator, &a, "q1", 0);
     let mut watch = accept_call(&discovery);
     watch.write_all(chunk(&update).as_bytes()).expect("the aggregator reads");
-    aggregator.wait_for("lists_taken", 2);
+    aggregator.wait_for_counter("lists_taken", 2);
     query_is_answered_by(&aggregator, &b, "q2", 1);
     let counters = aggregator.counters();
     assert_eq!((counters["lists_unreadable"], counters["watches_lost"]), (2, 5), "{counters:?}");
@@ -139,8 +139,8 @@
     let gone = Listed { lifecycle: "Gone", ..old };
     // Started long ago: a server in slow start is drawn by chance, which may take longer than the test.
     let new = Listed { started: 1, ..listed("new", leaf_server.address, 0) };
-    watch.tell(&list(2, false, &[gone, new]));
-    aggregator.wait_for("lists_taken", 2);
+    watch.send_event(&list(2, false, &[gone, new]));
+    aggregator.wait_for_counter("lists_taken", 2);
     drop(first);
     query_is_answered_by(&aggregator, &leaf_server, "q2", 0);
     assert_eq!(aggregator.counters()["attempts_cold"], 0);
@@ -160,8 +160,8 @@
     for i in 0.. {
         if i == 20 {
             assert_eq!(aggregator.counters()["attempts_cold"], 0, "all are warm");
-            watch.tell(&list(2, false, &[listed("cold", cold.address, 0)]));
-            aggregator.wait_for("lists_taken", 2);
+            watch.send_event(&list(2, false, &[listed("cold", cold.address, 0)]));
+            aggregator.wait_for_counter("lists_taken", 2);
         }
         client.send(query(&format!("q{i}"), "9000m", &[0]));
         answer_next_part(&[&warm, &cold], &mut connections, "-");
@@ -180,7 +180,8 @@
         [("noise", "reports_missing", "reports_read"), ("busy_reqs=7", "reports_read", "reports_missing")]
     {
         let leaf_server = LeafServer::new();
-        let aggregator = Setup { probes: true, ..Setup::new(&[listed("a", leaf_server.address, 0)]) }.start();
+        let aggregator =
+            Setup { health_checks: true, ..Setup::new(&[listed("a", leaf_server.address, 0)]) }.start();
         let mut client = Client::connect(aggregator.address);
         let mut connections = Vec::new();
         for i in 0.. {
@@ -207,7 +208,7 @@
             None,
         );
         for id in ["q1", "q2"] {
-            let status = Client::connect(aggregator.address).ask(query(id, "9000m", &[0])).status;
+            let status = Client::connect(aggregator.address).request(query(id, "9000m", &[0])).status;
             assert_eq!(status, 503, "fleet size {fleet_size}");
         }
     }
--- a/tests/endings/attempts.rs
+++ b/tests/endings/attempts.rs
@@ -24,13 +24,13 @@
     let mut watch = discovery.accept();
     let mut client = send_query(&aggregator, "q");
     let mut connection = a.accept();
-    assert_eq!(connection.part(), "q.0");
+    assert_eq!(connection.next_part(), "q.0");
     let sent = Instant::now();
     let gone = Listed { lifecycle: "Gone", ..listed("a", a.address, 0) };
-    watch.tell(&list(2, false, &[gone, Listed { started: 1, ..listed("b", b.server.address, 0) }]));
-    aggregator.wait_for("lists_taken", 2);
+    watch.send_event(&list(2, false, &[gone, Listed { started: 1, ..listed("b", b.server.address, 0) }]));
+    aggregator.wait_for_counter("lists_taken", 2);
     connection.answer("q.0", "bad", "");
-    aggregator.wait_for("connections_dialled", 2);
+    aggregator.wait_for_counter("connections_dialled", 2);
     thread::sleep((WINDOW + Duration::from_millis(100)).saturating_sub(sent.elapsed()));
     b.clear();
     let mut late = b.server.accept();
@@ -45,17 +45,17 @@
 #[test]
 fn a_late_answer_is_not_taken_for_the_next_attempt() {
     let leaf_server = LeafServer::new();
-    let aggregator = Setup { hard_limit_ms: 2400, ..with_leaf_server(&leaf_server) }.start();
+    let aggregator = Setup { deadline_ms: 2400, ..with_leaf_server(&leaf_server) }.start();
     let mut client = Client::connect(aggregator.address);
     client.send(query("q", "2400m", &[0]));
     let mut first = leaf_server.accept();
-    assert_eq!(first.part(), "q.0");
-    assert_eq!(first.frame(), Some(('n', "q.0".to_owned())));
+    assert_eq!(first.next_part(), "q.0");
+    assert_eq!(first.next_frame(), Some(('n', "q.0".to_owned())));
     let mut second = leaf_server.accept();
-    assert_eq!(second.part(), "q.0");
+    assert_eq!(second.next_part(), "q.0");
     // A good answer would do no harm; this one says that the part never ran.
     first.answer("q.0", "later", "");
-    aggregator.wait_for("answers_ignored", 1);
+    aggregator.wait_for_counter("answers_ignored", 1);
     assert_eq!(aggregator.counters()["attempts_rejected"], 0);
     second.answer("q.0", "good", "v");
     assert_eq!(client.response().status, 200);
@@ -69,15 +69,15 @@
     let aggregator = with_leaf_server(&leaf_server).start();
     let first_client = send_query(&aggregator, "same");
     let mut first = leaf_server.accept();
-    assert_eq!(first.part(), "same.0");
+    assert_eq!(first.next_part(), "same.0");
     drop(first_client);
-    assert_eq!(first.frame(), Some(('n', "same.0".to_owned())));
-    aggregator.wait_for("clients_gone", 1);
+    assert_eq!(first.next_frame(), Some(('n', "same.0".to_owned())));
+    aggregator.wait_for_counter("clients_gone", 1);
     let mut client = send_query(&aggregator, "same");
     let mut second = leaf_server.accept();
-    assert_eq!(second.part(), "same.0");
+    assert_eq!(second.next_part(), "same.0");
     first.answer("same.0", "good", "theirs");
-    aggregator.wait_for("answers_ignored", 1);
+    aggregator.wait_for_counter("answers_ignored", 1);
     second.answer("same.0", "good", "ours");
     let reply = client.response();
     assert!(reply.status == 200 && reply.body.contains("ours"), "{reply:?}");
@@ -99,7 +99,7 @@
         },
         |connection| {
             connection.answer("one.0", "good", "v");
-            connection.put_cut('q', "two.0 good 17 -");
+            connection.send_truncated_frame('q', "two.0 good 17 -");
             connection.stream.shutdown(std::net::Shutdown::Write).expect("open");
         },
     ];
@@ -109,16 +109,16 @@
         let mut clients: Vec<Client> = (0..2).map(|_| Client::connect(aggregator.address)).collect();
         clients[0].send(query("one", "9000m", &[0]));
         let mut connection = leaf_server.accept();
-        assert_eq!(connection.part(), "one.0");
+        assert_eq!(connection.next_part(), "one.0");
         clients[1].send(query("two", "9000m", &[0]));
-        assert_eq!(connection.part(), "two.0");
+        assert_eq!(connection.next_part(), "two.0");
         misbehave(&mut connection);
         let answered = Instant::now();
         let reply = clients[0].response();
         assert!(reply.status == 200 && reply.body.contains("\"v\""), "case {i}: {reply:?}");
         // The other query's attempt may have run and is retried, here on a new connection.
         let mut again = leaf_server.accept();
-        assert_eq!(again.part(), "two.0", "case {i}");
+        assert_eq!(again.next_part(), "two.0", "case {i}");
         let after = answered.elapsed();
         assert!(after < Duration::from_millis(2500), "case {i}: by its timeout alone, after {after:?}");
         again.answer("two.0", "good", "v");
--- a/tests/endings/client_disconnects.rs
+++ b/tests/endings/client_disconnects.rs
@@ -15,16 +15,16 @@
         let mut client = Client::connect(aggregator.address);
         client.send((0..pipelined).map(|i| query(&format!("q{i}"), "9000m", &[0])).collect::<String>());
         let mut connection = leaf_server.accept();
-        assert_eq!(connection.part(), "q0.0");
+        assert_eq!(connection.next_part(), "q0.0");
         drop(client);
         let disconnected = Instant::now();
-        assert_eq!(connection.frame(), Some(('n', "q0.0".to_owned())), "{pipelined} pipelined");
+        assert_eq!(connection.next_frame(), Some(('n', "q0.0".to_owned())), "{pipelined} pipelined");
         assert!(
             disconnected.elapsed() < Duration::from_millis(1500),
             "{pipelined}: noticed after {:?}",
             disconnected.elapsed()
         );
-        aggregator.wait_for("clients_gone", 1);
+        aggregator.wait_for_counter("clients_gone", 1);
         assert_serves(&aggregator, &mut connection, "next");
         assert_eq!(aggregator.counters()["attempts_sent"], 2, "{pipelined} pipelined");
     }
@@ -37,7 +37,7 @@
     let aggregator = with_leaf_server(&leaf_server).start();
     let mut before = send_query(&aggregator, "before");
     let mut connection = leaf_server.accept();
-    let part = connection.part();
+    let part = connection.next_part();
     connection.answer(&part, "good", "v");
     assert_eq!(before.response().status, 200);
     aggregator.pause();
@@ -46,12 +46,12 @@
         client.send(
             (0..pipelined).map(|n| query(&format!("disconnected{i}-{n}"), "9000m", &[0])).collect::<String>(),
         );
-        client.leave();
+        client.disconnect();
     }
     before.send(query("last", "9000m", &[0]));
-    before.leave();
+    before.disconnect();
     aggregator.resume();
-    aggregator.is_left_alone();
+    aggregator.wait_until_clients_disconnected();
     assert_serves(&aggregator, &mut connection, "next");
     assert_eq!(aggregator.counters()["attempts_sent"], 2);
 }
@@ -65,23 +65,23 @@
             let (a, b) = (LeafServer::new(), LeafServer::new());
             let aggregator = Setup::new(&[listed("a", a.address, 0), listed("b", b.address, 0)]).start();
             let client = send_query(&aggregator, "q");
-            let mut connection = first_of(&[&a, &b]);
-            assert_eq!(connection.part(), "q.0");
+            let mut connection = accept_first(&[&a, &b]);
+            assert_eq!(connection.next_part(), "q.0");
             aggregator.pause();
-            client.leave();
+            client.disconnect();
             connection.answer("q.0", outcome, "v");
             aggregator.resume();
-            aggregator.is_left_alone();
+            aggregator.wait_until_clients_disconnected();
             let known = Instant::now();
             if let Some(mut other) = [&a, &b].into_iter().find_map(LeafServer::try_accept) {
                 assert!(outcome != "good", "answered, and sent again");
                 other.stream.set_read_timeout(Some(Duration::from_secs(1))).expect("set");
-                match other.frame() {
+                match other.next_frame() {
                     // The dial was for an attempt that was withdrawn before the connection was up.
                     None => continue,
                     first => {
                         assert_eq!(first.map(|(letter, _)| letter), Some('m'), "{outcome}");
-                        assert_eq!(other.frame(), Some(('n', "q.0".to_owned())), "{outcome}");
+                        assert_eq!(other.next_frame(), Some(('n', "q.0".to_owned())), "{outcome}");
                     }
                 }
                 assert!(known.elapsed() < Duration::from_millis(1500), "{outcome}: {:?}", known.elapsed());
@@ -97,11 +97,11 @@
     let aggregator = with_leaf_server(&leaf_server).start();
     let client = send_query(&aggregator, "q");
     let mut connection = leaf_server.accept();
-    assert_eq!(connection.part(), "q.0");
+    assert_eq!(connection.next_part(), "q.0");
     connection.answer("q.0", "bad", "");
-    aggregator.wait_for("attempts_bad", 1);
+    aggregator.wait_for_counter("attempts_bad", 1);
     drop(client);
-    aggregator.wait_for("clients_gone", 1);
+    aggregator.wait_for_counter("clients_gone", 1);
     // A holder is retried after a median latency, at the start 0.15 of the shortest latency objective of 10 s.
     thread::sleep(Duration::from_millis(1800));
     assert_serves(&aggregator, &mut connection, "next");
@@ -113,21 +113,21 @@
 fn a_disconnect_as_the_attempt_times_out_leaves_nothing_in_flight() {
     let (a, b) = (LeafServer::new(), LeafServer::new());
     let leaf_servers = [listed("a", a.address, 0), listed("b", b.address, 0)];
-    let aggregator = Setup { hard_limit_ms: 2400, ..Setup::new(&leaf_servers) }.start();
+    let aggregator = Setup { deadline_ms: 2400, ..Setup::new(&leaf_servers) }.start();
     let mut client = Client::connect(aggregator.address);
     client.send(query("q", "2400m", &[0]));
-    let mut connection = first_of(&[&a, &b]);
-    assert_eq!(connection.part(), "q.0");
+    let mut connection = accept_first(&[&a, &b]);
+    assert_eq!(connection.next_part(), "q.0");
     aggregator.pause();
-    client.leave();
+    client.disconnect();
     // A third of the deadline, where three attempts may be made one after the other.
     thread::sleep(Duration::from_millis(900));
     aggregator.resume();
-    aggregator.is_left_alone();
-    assert_eq!(connection.frame(), Some(('n', "q.0".to_owned())));
+    aggregator.wait_until_clients_disconnected();
+    assert_eq!(connection.next_frame(), Some(('n', "q.0".to_owned())));
     if let Some(mut other) = [&a, &b].into_iter().find_map(LeafServer::try_accept) {
         other.stream.set_read_timeout(Some(Duration::from_millis(500))).expect("set");
-        let frames: Vec<char> = std::iter::from_fn(|| other.frame()).map(|(letter, _)| letter).collect();
+        let frames: Vec<char> = std::iter::from_fn(|| other.next_frame()).map(|(letter, _)| letter).collect();
         assert!(frames.is_empty() || frames == ['m', 'n'], "{frames:?}");
     }
 }
@@ -142,21 +142,21 @@
         let id = format!("q{round}");
         let client = send_query(&aggregator, &id);
         let mut connection = leaf_server.accept();
-        assert_eq!(connection.part(), format!("{id}.0"));
+        assert_eq!(connection.next_part(), format!("{id}.0"));
         aggregator.pause();
-        client.leave();
+        client.disconnect();
         drop(connection);
         aggregator.resume();
-        aggregator.is_left_alone();
-        aggregator.wait_for("connections_broken", 2 * round + 1);
+        aggregator.wait_until_clients_disconnected();
+        aggregator.wait_for_counter("connections_broken", 2 * round + 1);
         // Nothing is in flight: the next query is served on a new connection.
         let mut next = send_query(&aggregator, &format!("next{round}"));
         let mut connection = leaf_server.accept();
-        assert_eq!(connection.part(), format!("next{round}.0"));
+        assert_eq!(connection.next_part(), format!("next{round}.0"));
         connection.answer(&format!("next{round}.0"), "good", "v");
         assert_eq!(next.response().status, 200);
         drop(connection);
-        aggregator.wait_for("connections_broken", 2 * round + 2);
+        aggregator.wait_for_counter("connections_broken", 2 * round + 2);
     }
 }
 
@@ -167,12 +167,12 @@
     let config = with_long_dial_timeout(&with_leaf_server(&slow.server).config());
     let aggregator = Aggregator::start(&config, None);
     let client = send_query(&aggregator, "q");
-    aggregator.wait_for("connections_dialled", 1);
+    aggregator.wait_for_counter("connections_dialled", 1);
     drop(client);
-    aggregator.wait_for("clients_gone", 1);
+    aggregator.wait_for_counter("clients_gone", 1);
     slow.clear();
     let mut connection = slow.server.accept();
-    aggregator.wait_for("connections_up", 1);
+    aggregator.wait_for_counter("connections_up", 1);
     assert_serves(&aggregator, &mut connection, "next");
     assert_eq!(aggregator.counters()["attempts_sent"], 1);
 }
@@ -185,11 +185,11 @@
     let whole = query("half", "9000m", &[0]);
     let mut client = Client::connect(aggregator.address);
     client.send(&whole[..whole.len() - 1]);
-    client.leave();
-    aggregator.is_left_alone();
+    client.disconnect();
+    aggregator.wait_until_clients_disconnected();
     let mut next = send_query(&aggregator, "next");
     let mut connection = leaf_server.accept();
-    assert_eq!(connection.part(), "next.0");
+    assert_eq!(connection.next_part(), "next.0");
     connection.answer("next.0", "good", "v");
     assert_eq!(next.response().status, 200);
     assert_eq!(aggregator.counters()["attempts_sent"], 1);
@@ -204,7 +204,7 @@
     client.send(query("q1", "9000m", &[0]) + &query("q2", "400m", &[0]));
     let sent = Instant::now();
     let mut connection = leaf_server.accept();
-    assert_eq!(connection.part(), "q1.0");
+    assert_eq!(connection.next_part(), "q1.0");
     thread::sleep(Duration::from_millis(450).saturating_sub(sent.elapsed()));
     connection.answer("q1.0", "good", "v");
     assert_eq!(client.response().status, 200);
--- a/tests/endings/discovery.rs
+++ b/tests/endings/discovery.rs
@@ -14,8 +14,8 @@
     let config = of_large_fleet(&setup.config());
     let aggregator = Aggregator::start(&config, None);
     let mut watch = discovery.accept();
-    watch.tell(&list(2, false, &[]));
-    aggregator.wait_for("lists_taken", 2);
+    watch.send_event(&list(2, false, &[]));
+    aggregator.wait_for_counter("lists_taken", 2);
     (aggregator, watch)
 }
 
@@ -70,8 +70,8 @@
                 }
             }
             let draining = Listed { lifecycle: "Terminating", ..listed("a", leaf_server.address, 0) };
-            discovery.accept().tell(&list(3, false, &[draining]));
-            aggregator.wait_for("lists_taken", 3);
+            discovery.accept().send_event(&list(3, false, &[draining]));
+            aggregator.wait_for_counter("lists_taken", 3);
             (calls, silent.elapsed())
         })
     });
@@ -89,8 +89,8 @@
         let config = of_large_fleet(&setup.config());
         let aggregator = Aggregator::start(&config.replace("\"pushed\"", "\"on_request\""), None);
         let mut watch = discovery.accept();
-        watch.tell("");
-        aggregator.wait_for("list_calls", 1);
+        watch.send_event("");
+        aggregator.wait_for_counter("list_calls", 1);
         // So that the aggregator has read the line before the end.
         thread::sleep(Duration::from_millis(20));
         drop(watch);
@@ -109,25 +109,25 @@
     let setup = Setup { discovery: old.address(), ..with_leaf_server(&a) };
     let aggregator = setup.start();
     let mut first = old.accept();
-    first.tell(&list(70, false, &[]));
-    aggregator.wait_for("lists_taken", 2);
+    first.send_event(&list(70, false, &[]));
+    aggregator.wait_for_counter("lists_taken", 2);
     std::fs::write(&aggregator.config, Setup { discovery: new.address(), ..setup }.config())
         .expect("written");
     aggregator.pause();
-    first.tell(&list(71, false, &[Listed { started: 1, ..listed("a", a.address, 0) }]));
+    first.send_event(&list(71, false, &[Listed { started: 1, ..listed("a", a.address, 0) }]));
     aggregator.signal("-HUP");
     aggregator.resume();
     let mut second = new.accept();
-    second.tell(&list(5, true, &[Listed { started: 1, ..listed("b", b.address, 0) }]));
-    aggregator.wait_for("reloads", 1);
+    second.send_event(&list(5, true, &[Listed { started: 1, ..listed("b", b.address, 0) }]));
+    aggregator.wait_for_counter("reloads", 1);
     // Only b gets parts from now on.
     let mut client = Client::connect(aggregator.address);
-    until("b is listed", || aggregator.counters()["lists_taken"] >= 3);
+    wait_until("b is listed", || aggregator.counters()["lists_taken"] >= 3);
     let mut connection = None;
     for i in 0..10 {
         client.send(query(&format!("q{i}"), "9000m", &[0]));
         let connection = connection.get_or_insert_with(|| b.accept());
-        let part = connection.part();
+        let part = connection.next_part();
         connection.answer(&part, "good", "v");
         assert_eq!(client.response().status, 200);
     }
@@ -155,11 +155,14 @@
             });
         }
     });
-    for discovery in [silent.address(), nobody().to_string(), address] {
+    for discovery in [silent.address(), unreachable_address().to_string(), address] {
         let begun = Instant::now();
         let mut aggregator =
-            Setup { discovery: discovery.clone(), managed: true, ..with_leaf_server(&leaf_server) }.start();
-        until("ready", || aggregator.operate("GET /-/ready") == 200 && aggregator.healthz() == 200);
+            Setup { discovery: discovery.clone(), has_admin_address: true, ..with_leaf_server(&leaf_server) }
+                .start();
+        wait_until("ready", || {
+            aggregator.send_admin_command("GET /-/ready") == 200 && aggregator.healthz() == 200
+        });
         assert!(begun.elapsed() < Duration::from_secs(6), "{discovery}: {:?}", begun.elapsed());
     }
 }
--- a/tests/endings/leaf_connections.rs
+++ b/tests/endings/leaf_connections.rs
@@ -12,7 +12,7 @@
     let aggregator = with_leaf_server(&leaf_server).start();
     let mut client = send_query(&aggregator, "q1");
     let mut connection = leaf_server.accept();
-    assert_eq!(connection.part(), "q1.0");
+    assert_eq!(connection.next_part(), "q1.0");
     connection.answer("q1.0", "good", "v");
     assert_eq!(client.response().status, 200);
     aggregator.pause();
@@ -20,7 +20,7 @@
     client.send(query("q2", "9000m", &[0]));
     aggregator.resume();
     let mut again = leaf_server.accept();
-    assert_eq!(again.part(), "q2.0");
+    assert_eq!(again.next_part(), "q2.0");
     again.answer("q2.0", "good", "v");
     assert_eq!(client.response().status, 200);
 }
@@ -36,10 +36,14 @@
         let aggregator = Aggregator::start(&with_long_dial_timeout(&setup.config()), None);
         let mut watch = discovery.accept();
         let mut client = send_query(&aggregator, "q");
-        aggregator.wait_for("connections_dialled", 1);
+        aggregator.wait_for_counter("connections_dialled", 1);
         let draining = Listed { lifecycle, ..listed("a", slow.server.address, 0) };
-        watch.tell(&list(2, false, &[draining, Listed { started: 1, ..listed("b", other.address, 0) }]));
-        aggregator.wait_for("lists_taken", 2);
+        watch.send_event(&list(
+            2,
+            false,
+            &[draining, Listed { started: 1, ..listed("b", other.address, 0) }],
+        ));
+        aggregator.wait_for_counter("lists_taken", 2);
         let draining_since = Instant::now();
         let mut connection = other.accept();
         assert!(
@@ -47,14 +51,14 @@
             "{lifecycle}: elsewhere after {:?}",
             draining_since.elapsed()
         );
-        assert_eq!(connection.part(), "q.0");
+        assert_eq!(connection.next_part(), "q.0");
         slow.clear();
         if lifecycle == "Terminating" {
             let mut late = slow.server.accept();
             late.stream.set_read_timeout(Some(Duration::from_millis(300))).expect("set");
-            assert_eq!(late.frame(), None, "nothing is written to it");
+            assert_eq!(late.next_frame(), None, "nothing is written to it");
         } else {
-            aggregator.wait_for("connections_closed", 1);
+            aggregator.wait_for_counter("connections_closed", 1);
         }
         connection.answer("q.0", "good", "v");
         assert_eq!(client.response().status, 200);
--- a/tests/endings/main.rs
+++ b/tests/endings/main.rs
@@ -21,7 +21,7 @@
 /// Sends and serves one query: all that arrived before it has been handled by then.
 fn assert_serves(aggregator: &Aggregator, connection: &mut LeafConnection, id: &str) {
     let mut client = send_query(aggregator, id);
-    assert_eq!(connection.part(), format!("{id}.0"), "nothing else comes before it");
+    assert_eq!(connection.next_part(), format!("{id}.0"), "nothing else comes before it");
     connection.answer(&format!("{id}.0"), "good", "v");
     assert_eq!(client.response().status, 200);
 }
@@ -36,7 +36,7 @@
 /// Sends SIGTERM and waits until the shutdown has begun.
 fn begin_shutdown(aggregator: &mut Aggregator) {
     aggregator.signal("-TERM");
-    aggregator.told("graceful shutdown");
+    aggregator.wait_for_log("graceful shutdown");
 }
 
 /// The configuration with a dial timeout that outlasts the test.
--- a/tests/endings/reload.rs
+++ b/tests/endings/reload.rs
@@ -34,15 +34,15 @@
     let mut in_flight = Client::connect(aggregator.address);
     in_flight.send(query_of("in_flight", "once", "acme"));
     let mut connection = leaf_server.accept();
-    assert_eq!(connection.part(), "in_flight.0");
+    assert_eq!(connection.next_part(), "in_flight.0");
     let after = config_with(&[class("once", "\"retryable\""), class("new", "\"retryable\"")], "other");
     std::fs::write(&aggregator.config, &after).expect("written");
     aggregator.signal("-HUP");
-    aggregator.wait_for("reloads", 1);
+    aggregator.wait_for_counter("reloads", 1);
     for (id, class, tenant, status) in
         [("a", "plain", "other", 400), ("b", "new", "acme", 400), ("c", "nothing", "other", 400)]
     {
-        let reply = Client::connect(aggregator.address).ask(query_of(id, class, tenant));
+        let reply = Client::connect(aggregator.address).request(query_of(id, class, tenant));
         assert_eq!(reply.status, status, "{class} of {tenant}");
     }
     assert_eq!(aggregator.counters()["queries_malformed"], 3);
@@ -51,9 +51,9 @@
     assert_eq!(in_flight.response().status, 502);
     let mut client = Client::connect(aggregator.address);
     client.send(query_of("d", "new", "other"));
-    assert_eq!(connection.part(), "d.0");
+    assert_eq!(connection.next_part(), "d.0");
     connection.answer("d.0", "bad", "");
-    assert_eq!(connection.part(), "d.0", "its class may be retried");
+    assert_eq!(connection.next_part(), "d.0", "its class may be retried");
     connection.answer("d.0", "good", "v");
     assert_eq!(client.response().status, 200);
 }
@@ -67,7 +67,7 @@
     let aggregator = Aggregator::start(&config, None);
     let mut client = send_query(&aggregator, "q");
     let mut connection = leaf_server.accept();
-    let part = connection.part();
+    let part = connection.next_part();
     connection.answer(&part, "good", "v");
     assert_eq!(client.response().status, 200);
 }
--- a/tests/endings/shutdown.rs
+++ b/tests/endings/shutdown.rs
@@ -23,12 +23,12 @@
         aggregator.resume();
         let mut connection = leaf_server.accept();
         for _ in 0..clients.len() {
-            let part = connection.part();
+            let part = connection.next_part();
             connection.answer(&part, "good", "v");
         }
         assert!(clients.iter_mut().all(|c| c.response().status == 200), "round {round}");
         drop(clients);
-        assert!(aggregator.ended().success());
+        assert!(aggregator.wait_for_exit().success());
     }
 }
 
@@ -45,7 +45,7 @@
     for i in 0..MAX_CLIENTS {
         let client = send_query(&aggregator, &format!("q{i}"));
         clients.push(client);
-        assert_eq!(connection.get_or_insert_with(|| leaf_server.accept()).part(), format!("q{i}.0"));
+        assert_eq!(connection.get_or_insert_with(|| leaf_server.accept()).next_part(), format!("q{i}.0"));
     }
     let mut queued = send_query(&aggregator, "queued");
     begin_shutdown(&mut aggregator);
@@ -57,11 +57,11 @@
         assert_eq!(client.response().status, 200);
     }
     drop(clients);
-    assert_eq!(connection.part(), "queued.0");
+    assert_eq!(connection.next_part(), "queued.0");
     connection.answer("queued.0", "good", "v");
     assert_eq!(queued.response().status, 200);
     drop(queued);
-    assert!(aggregator.ended().success());
+    assert!(aggregator.wait_for_exit().success());
 }
 
 /// A request arrives on an idle connection as the shutting down aggregator closes it: it is answered or not forwarded,
@@ -73,28 +73,28 @@
         let mut aggregator = with_leaf_server(&leaf_server).start();
         let mut client = send_query(&aggregator, "first");
         let mut connection = leaf_server.accept();
-        let part = connection.part();
+        let part = connection.next_part();
         connection.answer(&part, "good", "v");
         assert_eq!(client.response().status, 200);
         begin_shutdown(&mut aggregator);
         thread::sleep(Duration::from_millis(after_ms));
         let answered = {
-            let serve = background(move || match connection.frame() {
+            let serve = background(move || match connection.next_frame() {
                 Some(('m', rest)) => {
                     connection.answer(rest.split(' ').next().expect("an id"), "good", "v");
-                    connection.frame();
+                    connection.next_frame();
                     true
                 }
                 _ => false,
             });
-            let reply = client.try_ask(query("crossing", "9000m", &[0]));
+            let reply = client.try_request(query("crossing", "9000m", &[0]));
             drop(client);
             let forwarded = serve();
             assert!(!forwarded || reply.is_some(), "{after_ms} ms: forwarded, and not answered");
             reply
         };
         assert!(answered.is_none_or(|r| r.status == 200), "{after_ms} ms");
-        assert!(aggregator.ended().success());
+        assert!(aggregator.wait_for_exit().success());
     }
 }
 
@@ -114,19 +114,19 @@
             client.send(&request(cut)[..cut]);
             clients.push(client);
         }
-        aggregator.wait_for("clients_opened", cuts.len() as u64);
+        aggregator.wait_for_counter("clients_opened", cuts.len() as u64);
         begin_shutdown(&mut aggregator);
         thread::sleep(Duration::from_millis(rest_after_ms));
         let mut connection = None;
         for (client, cut) in clients.iter_mut().zip(cuts) {
             client.send(&request(cut)[cut..]);
             let connection = connection.get_or_insert_with(|| leaf_server.accept());
-            let part = connection.part();
+            let part = connection.next_part();
             connection.answer(&part, "good", "v");
             assert_eq!(client.response().status, 200, "cut at {cut}, the rest after {rest_after_ms} ms");
         }
         drop(clients);
-        assert!(aggregator.ended().success());
+        assert!(aggregator.wait_for_exit().success());
     }
 }
 
@@ -139,9 +139,9 @@
     let mut hung = Client::connect(aggregator.address);
     hung.send(query("hung", "1500m", &[0]));
     let mut connection = leaf_server.accept();
-    assert_eq!(connection.part(), "hung.0");
+    assert_eq!(connection.next_part(), "hung.0");
     let unread = send_query(&aggregator, "unread");
-    assert_eq!(connection.part(), "unread.0");
+    assert_eq!(connection.next_part(), "unread.0");
     let _silent = Client::connect(aggregator.address);
     begin_shutdown(&mut aggregator);
     connection.answer("unread.0", "good", &"v".repeat(60_000));
@@ -149,7 +149,7 @@
     assert_ne!(hung.response().status, 200, "answered though not served");
     assert!(asked.elapsed() < Duration::from_secs(2), "{:?}", asked.elapsed());
     drop(hung);
-    assert!(aggregator.ended().success());
+    assert!(aggregator.wait_for_exit().success());
     drop(unread);
 }
 
@@ -159,19 +159,19 @@
     let discovery = Discovery::new();
     let mut starting = Setup { discovery: discovery.address(), ..Setup::new(&[]) }.start();
     starting.signal("-TERM");
-    assert!(starting.ended().success());
+    assert!(starting.wait_for_exit().success());
     let leaf_server = LeafServer::new();
     let mut reloading = with_leaf_server(&leaf_server).start();
     let mut waiting = send_query(&reloading, "waiting");
     let mut connection = leaf_server.accept();
-    assert_eq!(connection.part(), "waiting.0");
+    assert_eq!(connection.next_part(), "waiting.0");
     reloading.pause();
     reloading.signal("-HUP");
     reloading.signal("-TERM");
     reloading.resume();
-    reloading.told("graceful shutdown");
+    reloading.wait_for_log("graceful shutdown");
     connection.answer("waiting.0", "good", "v");
     assert_eq!(waiting.response().status, 200);
     drop(waiting);
-    assert!(reloading.ended().success());
+    assert!(reloading.wait_for_exit().success());
 }
--- a/tests/http_and_flight.rs
+++ b/tests/http_and_flight.rs
@@ -57,9 +57,9 @@
     fn try_part(&mut self) -> Option<Part> {
         self.connections.extend(self.leaf.try_accept());
         let connection = self.connections.iter().position(LeafConnection::has_frame)?;
-        match self.connections[connection].frame()? {
+        match self.connections[connection].next_frame()? {
             ('p', _) => {
-                self.connections[connection].put('p', "inflight=7,qps=3");
+                self.connections[connection].send_frame('p', "inflight=7,qps=3");
                 None
             }
             ('m', rest) => Some(Part::Platform { connection, name: rest.split(' ').next()?.to_owned() }),
@@ -76,9 +76,9 @@
             LeafResponse::Served(value) => link.answer(name, "good", value),
             LeafResponse::Failed => link.answer(name, "bad", ""),
             LeafResponse::Rejected => link.answer(name, "later", ""),
-            LeafResponse::Unreadable => link.put('q', "noise"),
+            LeafResponse::Unreadable => link.send_frame('q', "noise"),
             LeafResponse::Cut(value) => {
-                link.put_cut('q', &format!("{name} good 1 -\n{value}"));
+                link.send_truncated_frame('q', &format!("{name} good 1 -\n{value}"));
                 self.connections.remove(connection);
             }
         }
@@ -86,7 +86,7 @@
 
     fn await_cancellation(&mut self, connection: usize, name: String) {
         if !self.cancelled.contains(&name) {
-            assert_eq!(self.connections[connection].frame(), Some(('n', name)));
+            assert_eq!(self.connections[connection].next_frame(), Some(('n', name)));
         }
     }
 }
@@ -184,7 +184,7 @@
             PendingQuery::Platform(client)
         }
         Protocol::Flight => {
-            let gateway = Gateway::connect(&aggregator.flight());
+            let gateway = Gateway::connect(&aggregator.flight_address());
             let pull = gateway.pull(ticket(name, shards), Duration::from_millis(deadline_ms));
             PendingQuery::Flight(Box::new(gateway), pull)
         }
@@ -263,7 +263,7 @@
         // Both hold shard 0.
         let mut leaves = [AnyLeaf::new(leaf_protocol), AnyLeaf::new(leaf_protocol)];
         let listed = [leaves[0].listed("a", 0), leaves[1].listed("b", 0)];
-        let setup = Setup { operator: flight_enabled(), hard_limit_ms, ..Setup::new(&listed) };
+        let setup = Setup { operator: flight_enabled(), deadline_ms: hard_limit_ms, ..Setup::new(&listed) };
         let mut aggregator = setup.start();
         let outcomes = scenario(&mut aggregator, client_protocol, &mut leaves);
         let mut counters = aggregator.counters();
@@ -390,7 +390,7 @@
         let (leaf, part) = next_part(leaves);
         pending.cancel();
         leaves[leaf].await_cancellation(part);
-        aggregator.wait_for("clients_gone", 1);
+        aggregator.wait_for_counter("clients_gone", 1);
         assert_eq!(aggregator.counters()["attempts_cancelled"], 1);
         vec![]
     });
@@ -410,7 +410,7 @@
     let leaf = LeafServer::new();
     let setup = Setup { operator: flight_enabled(), ..Setup::new(&[listed("a", leaf.address, 0)]) };
     let mut aggregator = setup.start();
-    let gateway = Gateway::connect(&aggregator.flight());
+    let gateway = Gateway::connect(&aggregator.flight_address());
     let valid = ticket("q1", &[0]);
     let info = gateway.info(&valid).expect("an answer");
     assert_eq!(info.endpoint[0].ticket.as_ref().expect("a ticket").ticket, valid.as_bytes());
@@ -425,7 +425,7 @@
 fn health_checks_are_answered_over_both_protocols() {
     for protocol in [Protocol::Platform, Protocol::Flight] {
         let mut leaves = [AnyLeaf::new(protocol)];
-        let aggregator = Setup { probes: true, ..Setup::new(&[leaves[0].listed("a", 0)]) }.start();
+        let aggregator = Setup { health_checks: true, ..Setup::new(&[leaves[0].listed("a", 0)]) }.start();
         let mut client = Client::connect(aggregator.address);
         let deadline = Instant::now() + PATIENCE;
         // Health checks follow some of the choices between leaf servers.
@@ -447,7 +447,7 @@
     let setup = Setup { operator: flight_enabled(), ..Setup::new(&[]) };
     let config = setup.config().replace("\"sockets\":1024", "\"sockets\":16");
     let mut aggregator = Aggregator::start(&config, setup.operator.as_deref());
-    let flight = aggregator.flight();
+    let flight = aggregator.flight_address();
     let first = Gateway::connect(&flight);
     let waiting = background(move || Gateway::connect(&flight).info(&ticket("q2", &[0])).is_ok());
     assert!(first.info(&ticket("q1", &[0])).is_ok());
--- a/tests/inventory.rs
+++ b/tests/inventory.rs
@@ -23,7 +23,7 @@
     for file in FILES {
         let first = LeafServer::new();
         let second = LeafServer::new();
-        let path = scratch("inventory").join(file);
+        let path = scratch_dir("inventory").join(file);
         fs::write(&path, inventory_text(file, &first)).expect("written");
         let operator = Some(format!("inventory:\n  file: {}\n", path.display()));
         let mut aggregator = Setup { operator, ..Setup::new(&[]) }.start();
@@ -31,7 +31,7 @@
         let mut query_through = |id: &str, server: &LeafServer| {
             client.send(query(id, "9000m", &[0]));
             let mut link = server.accept();
-            let part = link.part();
+            let part = link.next_part();
             link.answer(&part, "good", "v");
             assert_eq!(client.response().status, 200);
             link
@@ -39,11 +39,11 @@
         let mut link = query_through("q1", &first);
         // The leaf server has moved: its old connection is closed, and the next part goes to the new address.
         fs::write(&path, inventory_text(file, &second)).expect("written");
-        assert_eq!(link.frame(), None);
+        assert_eq!(link.next_frame(), None);
         drop(query_through("q2", &second));
         let bad = inventory_text(file, &first).replace("cell: 0", "cell: no").replace(",0,z", ",no,z");
         fs::write(&path, bad).expect("written");
-        assert!(aggregator.told("s0.cell").contains("the old list stands"), "{file}");
+        assert!(aggregator.wait_for_log("s0.cell").contains("the old list stands"), "{file}");
         query_through("q3", &second);
         assert_eq!(aggregator.counters()["lists_taken"], 2);
     }
@@ -58,7 +58,7 @@
         ("n.csv", "name,port\ns0,1\n", "s0.cell"),
         ("n.csv", "name,port,cell\ns0,1,0\ns0,1,0\n", "n.csv:3: name"),
     ] {
-        let path = scratch("inventory").join(file);
+        let path = scratch_dir("inventory").join(file);
         fs::write(&path, text).expect("written");
         let operator = format!("inventory:\n  file: {}\n", path.display());
         let mut child = spawn(&Setup::new(&[]).config(), Some(&operator));
--- a/tests/leaf_connections.rs
+++ b/tests/leaf_connections.rs
@@ -10,18 +10,18 @@
 #[test]
 fn cancellation_is_written_before_the_next_attempt_is_sent() {
     let (a, b) = (LeafServer::new(), LeafServer::new());
-    let aggregator = Setup { hard_limit_ms: 2400, ..with_two_holders(&a, &b) }.start();
+    let aggregator = Setup { deadline_ms: 2400, ..with_two_holders(&a, &b) }.start();
     let mut client = Client::connect(aggregator.address);
     client.send(query("q1", "2400m", &[0]));
-    let mut connections = [first_of(&[&a, &b]), first_of(&[&a, &b])];
+    let mut connections = [accept_first(&[&a, &b]), accept_first(&[&a, &b])];
     // The second attempt has arrived: the first connection must hold its part and the cancellation already.
     connections[0].stream.set_nonblocking(true).expect("set");
-    assert_eq!(connections[0].part(), "q1.0");
-    assert_eq!(connections[0].frame(), Some(('n', "q1.0".to_owned())));
-    assert_eq!(connections[1].part(), "q1.0");
+    assert_eq!(connections[0].next_part(), "q1.0");
+    assert_eq!(connections[0].next_frame(), Some(('n', "q1.0".to_owned())));
+    assert_eq!(connections[1].next_part(), "q1.0");
     // A late answer to the cancelled attempt is ignored: only the second one counts.
     connections[0].answer("q1.0", "good", "late");
-    aggregator.wait_for("attempts_timed_out", 1);
+    aggregator.wait_for_counter("attempts_timed_out", 1);
     connections[1].answer("q1.0", "good", "in time");
     let reply = client.response();
     assert_eq!((reply.status, reply.body.contains("in time")), (200, true), "{reply:?}");
@@ -34,14 +34,16 @@
         ("attempts_bad", |connection, part| connection.answer(part, "bad", "")),
         ("attempts_rejected", |connection, part| connection.answer(part, "later", "")),
         ("attempts_reset", |connection, _| drop(connection.stream.shutdown(std::net::Shutdown::Both))),
-        ("attempts_bad", |connection, _| connection.put('x', "no such letter")),
-        ("attempts_bad", |connection, _| connection.put('r', "what was that")),
-        ("attempts_bad", |connection, part| connection.put('q', &format!("{part} fine 17 -\nv"))),
-        ("attempts_bad", |connection, part| connection.put('q', &format!("{part} good x -\nv"))),
-        ("attempts_bad", |connection, part| connection.put('q', &format!("{part} good 17 - v"))),
-        ("attempts_bad", |connection, part| connection.put('q', &format!("z{part} good 17 -\nv"))),
+        ("attempts_bad", |connection, _| connection.send_frame('x', "no such letter")),
+        ("attempts_bad", |connection, _| connection.send_frame('r', "what was that")),
+        ("attempts_bad", |connection, part| connection.send_frame('q', &format!("{part} fine 17 -\nv"))),
+        ("attempts_bad", |connection, part| connection.send_frame('q', &format!("{part} good x -\nv"))),
+        ("attempts_bad", |connection, part| connection.send_frame('q', &format!("{part} good 17 - v"))),
+        ("attempts_bad", |connection, part| connection.send_frame('q', &format!("z{part} good 17 -\nv"))),
         // A length that does not fit, and one of 3 GB.
-        ("attempts_bad", |connection, part| connection.put_cut('q', &format!("{part} good 17 -\nv"))),
+        ("attempts_bad", |connection, part| {
+            connection.send_truncated_frame('q', &format!("{part} good 17 -\nv"))
+        }),
         ("attempts_bad", |connection, _| {
             connection.stream.write_all(&[0xc0, 0, 0, 0, b'q']).expect("the aggregator reads");
         }),
@@ -51,11 +53,11 @@
         let aggregator = with_two_holders(&a, &b).start();
         let mut client = Client::connect(aggregator.address);
         client.send(query("q1", "9000m", &[0]));
-        let mut first = first_of(&[&a, &b]);
-        let part = first.part();
+        let mut first = accept_first(&[&a, &b]);
+        let part = first.next_part();
         respond(&mut first, &part);
-        let mut second = first_of(&[&a, &b]);
-        let part = second.part();
+        let mut second = accept_first(&[&a, &b]);
+        let part = second.next_part();
         second.answer(&part, "good", "v");
         assert_eq!(client.response().status, 200);
         let counters = aggregator.counters();
@@ -70,16 +72,17 @@
 #[test]
 fn refused_connection_proves_that_the_part_never_ran() {
     let leaf = LeafServer::new();
-    let aggregator = Setup::new(&[listed("a", nobody(), 0), listed("b", leaf.address, 0)]).start();
+    let aggregator =
+        Setup::new(&[listed("a", unreachable_address(), 0), listed("b", leaf.address, 0)]).start();
     let serve = background(move || {
         let mut connection = leaf.accept();
-        while let Some((_, rest)) = connection.frame() {
+        while let Some((_, rest)) = connection.next_frame() {
             connection.answer(rest.split(' ').next().unwrap_or_default(), "good", "v");
         }
     });
     let mut client = Client::connect(aggregator.address);
     for i in 0..20 {
-        assert_eq!(client.ask(query(&format!("q{i}"), "9000m", &[0])).status, 200);
+        assert_eq!(client.request(query(&format!("q{i}"), "9000m", &[0])).status, 200);
     }
     let counters = aggregator.counters();
     assert_eq!((counters["attempts_sent"], counters["attempts_reset"]), (20, 0));
@@ -97,7 +100,7 @@
     client.send(query("q1", "9000m", &[0]));
     let mut connection = leaf.accept();
     for _ in 0..3 {
-        let part = connection.part();
+        let part = connection.next_part();
         connection.answer(&part, "bad", "");
     }
     let reply = client.response();
@@ -113,10 +116,10 @@
     let mut client = Client::connect(aggregator.address);
     client.send(query("q1", "9000m", &[0]));
     let mut connection = leaf.accept();
-    assert_eq!(connection.part(), "q1.0");
+    assert_eq!(connection.next_part(), "q1.0");
     drop(client);
-    assert_eq!(connection.frame(), Some(('n', "q1.0".to_owned())));
-    aggregator.wait_for("clients_gone", 1);
+    assert_eq!(connection.next_frame(), Some(('n', "q1.0".to_owned())));
+    aggregator.wait_for_counter("clients_gone", 1);
     assert_eq!(aggregator.counters()["attempts_cancelled"], 1);
 }
 
@@ -131,7 +134,7 @@
     }
     for _ in 0..2 {
         let mut connection = leaf.accept();
-        let part = connection.part();
+        let part = connection.next_part();
         connection.answer(&part, "good", "v");
         std::mem::forget(connection);
     }
@@ -145,10 +148,10 @@
     let mut client = Client::connect(aggregator.address);
     client.send(query("q1", "9000m", &[0]));
     let mut connection = leaf.accept();
-    let part = connection.part();
+    let part = connection.next_part();
     connection.answer(&part, "good", "v");
     assert_eq!(client.response().status, 200);
-    assert_eq!(connection.frame(), None, "closed by the aggregator");
+    assert_eq!(connection.next_frame(), None, "closed by the aggregator");
     assert_eq!(aggregator.counters()["connections_closed"], 1);
 }
 
@@ -170,10 +173,10 @@
     let mut client = Client::connect(aggregator.address);
     client.send(query("small", "9000m", &[1]));
     let mut connection = leaf.accept();
-    let part = connection.part();
+    let part = connection.next_part();
     connection.answer(&part, "good", "v");
     assert_eq!(client.response().status, 200);
-    aggregator.wait_for("connections_closed", 1);
+    aggregator.wait_for_counter("connections_closed", 1);
     for mut client in waiting {
         assert_eq!(client.response().status, 503);
     }
@@ -191,21 +194,21 @@
     };
     let leaver = ask("q0");
     let mut full = leaf.accept();
-    assert_eq!(full.part(), "q0.0");
+    assert_eq!(full.next_part(), "q0.0");
     let _stays = ask("q1");
-    assert_eq!(full.part(), "q1.0");
+    assert_eq!(full.next_part(), "q1.0");
     let _second = ask("q2");
     let mut other = leaf.accept();
-    assert_eq!(other.part(), "q2.0", "a full connection keeps one call of three free");
+    assert_eq!(other.next_part(), "q2.0", "a full connection keeps one call of three free");
     drop(leaver);
-    assert_eq!(full.frame(), Some(('n', "q0.0".to_owned())));
-    aggregator.wait_for("attempts_cancelled", 1);
+    assert_eq!(full.next_frame(), Some(('n', "q0.0".to_owned())));
+    aggregator.wait_for_counter("attempts_cancelled", 1);
     let _third = ask("q3");
-    assert_eq!(other.part(), "q3.0", "a cancelled attempt counts until it is answered");
+    assert_eq!(other.next_part(), "q3.0", "a cancelled attempt counts until it is answered");
     full.answer("q0.0", "good", "late");
-    aggregator.wait_for("answers_ignored", 1);
+    aggregator.wait_for_counter("answers_ignored", 1);
     let _fourth = ask("q4");
-    assert_eq!(full.part(), "q4.0", "an answer frees it");
+    assert_eq!(full.next_part(), "q4.0", "an answer frees it");
 }
 
 /// Noise around a served answer takes nothing from it: not in its load report, nor right behind it.
@@ -225,15 +228,15 @@
         let aggregator = with_two_holders(&a, &b).start();
         let mut client = Client::connect(aggregator.address);
         client.send(query("q1", "9000m", &[0]));
-        let mut connection = first_of(&[&a, &b]);
-        let part = connection.part();
+        let mut connection = accept_first(&[&a, &b]);
+        let part = connection.next_part();
         let rest = format!("{part} good 17 {report}\nv");
         let mut bytes = (rest.len() as u32 + 1).to_be_bytes().to_vec();
         bytes.extend(format!("q{rest}{behind}").as_bytes());
         connection.stream.write_all(&bytes).expect("the aggregator reads");
         assert_eq!(client.response().status, 200, "{report:?} {behind:?}");
         if !behind.is_empty() {
-            assert_eq!(connection.frame(), None, "of no further use");
+            assert_eq!(connection.next_frame(), None, "of no further use");
         }
         let counters = aggregator.counters();
         assert_eq!((counters["attempts_good"], counters["attempts_bad"]), (1, 0), "{report:?} {behind:?}");
--- a/tests/ledger_process.rs
+++ b/tests/ledger_process.rs
@@ -65,15 +65,15 @@
 }
 
 struct LedgerSetup {
-    fleet: Fleet,
+    fleet: LeafFleet,
     setup: Setup,
     dir: std::path::PathBuf,
 }
 
 fn ledger_setup(mode: &str) -> LedgerSetup {
-    let fleet = Fleet::new(6);
+    let fleet = LeafFleet::new(6);
     let known = fleet.listed();
-    let dir = scratch("ledger");
+    let dir = scratch_dir("ledger");
     let operator = Some(format!(
         "ledger: {{dir: {}, mode: {mode}, prices: {{c: {{query: 500, part: 250}}}}}}\n",
         dir.display()
@@ -129,7 +129,7 @@
         entries.len(),
         answered.len()
     );
-    assert!(ledger.fleet.broken().is_empty(), "{:?}", ledger.fleet.broken());
+    assert!(ledger.fleet.broken_rules().is_empty(), "{:?}", ledger.fleet.broken_rules());
     let ours = |e: &Entry| e.tenant_is_known && e.tenant == "acme";
     assert!(entries.iter().all(ours), "strangers were turned away with a 4xx: nothing of theirs is entered");
 }
@@ -163,10 +163,10 @@
         let mut client = Client::connect(aggregator.address);
         for _ in 0..20 {
             let id = format!("e{}", ids.len());
-            assert_eq!(client.ask(query(&id, "5000m", &[0, 1])).status, 200);
+            assert_eq!(client.request(query(&id, "5000m", &[0, 1])).status, 200);
             ids.push(id);
         }
-        let text = client.ask("GET /metrics HTTP/1.1\r\n\r\n").body;
+        let text = client.request("GET /metrics HTTP/1.1\r\n\r\n").body;
         let labels = r#"{tenant="acme",class="c",share="within",outcome="whole"}"#;
         for wanted in [
             format!("sailmux_tenant_queries_total{labels} 20"),
@@ -176,7 +176,7 @@
         }
         drop(client);
         aggregator.signal("-TERM");
-        assert!(aggregator.ended().success());
+        assert!(aggregator.wait_for_exit().success());
     }
     let (entries, gaps) = entries(&ledger.dir);
     assert_eq!(entries.iter().map(|e| e.query.clone()).collect::<Vec<_>>(), ids);
--- a/tests/lifecycle.rs
+++ b/tests/lifecycle.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::process::{Setup, scratch};
+use common::process::{Setup, scratch_dir};
 use common::timeline::Timeline;
 use sailmux::aggregator::*;
 use sailmux::config::Config;
@@ -81,7 +81,7 @@
     }
 
     fn start(&mut self, name: &'static str) {
-        let path = scratch("lifecycle").join("config.json");
+        let path = scratch_dir("lifecycle").join("config.json");
         std::fs::write(&path, Setup::new(&[]).config()).expect("written");
         let settings = Config::at(&path).expect("a valid configuration").settings;
         let limits = Limits::of_max_descriptors(256);
--- a/tests/operate.rs
+++ b/tests/operate.rs
@@ -13,20 +13,20 @@
 
 /// An aggregator with an admin interface.
 fn with_admin(servers: &[Listed]) -> Setup {
-    Setup { managed: true, ..Setup::new(servers) }
+    Setup { has_admin_address: true, ..Setup::new(servers) }
 }
 
 /// The status of a query over a connection of its own.
 fn query_status(aggregator: &Aggregator, id: &str) -> u16 {
-    Client::connect(aggregator.address).ask(query(id, "9000m", &[0])).status
+    Client::connect(aggregator.address).request(query(id, "9000m", &[0])).status
 }
 
 #[test]
 fn the_admin_interface_answers_beside_60_idle_connections() {
     let server = AnsweringLeafServer::new();
     let mut aggregator = with_admin(&[listed("a", server.address, 0)]).start();
-    let at: SocketAddr = aggregator.told("operators on ").parse().expect("an address");
-    until("ready", || aggregator.operate("GET /-/ready") == 200);
+    let at: SocketAddr = aggregator.wait_for_log("operators on ").parse().expect("an address");
+    wait_until("ready", || aggregator.send_admin_command("GET /-/ready") == 200);
     let idle: Vec<TcpStream> = (0..60).map(|_| TcpStream::connect(at).expect("accepted")).collect();
     for (i, mut stream) in idle.iter().enumerate() {
         // Some send half a call.
@@ -45,7 +45,7 @@
         ("GET /-/else", 404),
     ] {
         let began = Instant::now();
-        assert_eq!(aggregator.operate(call), status, "{call}");
+        assert_eq!(aggregator.send_admin_command(call), status, "{call}");
         assert!(began.elapsed() < Duration::from_secs(1), "{call} took {:?}", began.elapsed());
     }
     let mut last = &idle[59];
@@ -61,8 +61,8 @@
     let servers = [listed("a", a.address, 0), listed("b", b.address, 0)];
     let mut aggregator = Setup { discovery: discovery.address(), ..with_admin(&servers) }.start();
     let mut watch = discovery.accept();
-    watch.tell(&list(2, true, &servers));
-    aggregator.wait_for("lists_taken", 2);
+    watch.send_event(&list(2, true, &servers));
+    aggregator.wait_for_counter("lists_taken", 2);
     let ask = |aggregator: &Aggregator, n: usize, from: &str| {
         for i in 0..n {
             assert_eq!(query_status(aggregator, &format!("{from}{i}")), 200);
@@ -70,25 +70,25 @@
     };
     ask(&aggregator, 40, "p");
     assert!(a.count() > 0 && b.count() > 0);
-    assert_eq!(aggregator.operate("POST /-/leaf-servers/a/disable"), 200);
-    assert_eq!(aggregator.operate("POST /-/leaf-servers/a/disable"), 200);
+    assert_eq!(aggregator.send_admin_command("POST /-/leaf-servers/a/disable"), 200);
+    assert_eq!(aggregator.send_admin_command("POST /-/leaf-servers/a/disable"), 200);
     let before = a.count();
-    watch.tell(&list(3, true, &servers));
-    aggregator.wait_for("lists_taken", 4);
+    watch.send_event(&list(3, true, &servers));
+    aggregator.wait_for_counter("lists_taken", 4);
     aggregator.signal("-HUP");
-    aggregator.wait_for("reloads", 1);
+    aggregator.wait_for_counter("reloads", 1);
     ask(&aggregator, 40, "q");
     assert_eq!(a.count(), before, "disabled");
     // Discovery removes it and lists it again: the override is of the name.
-    watch.tell(&list(4, false, &[Listed { lifecycle: "Gone", ..servers[0].clone() }]));
-    watch.tell(&list(5, false, &servers[..1]));
-    aggregator.wait_for("lists_taken", 6);
+    watch.send_event(&list(4, false, &[Listed { lifecycle: "Gone", ..servers[0].clone() }]));
+    watch.send_event(&list(5, false, &servers[..1]));
+    aggregator.wait_for_counter("lists_taken", 6);
     ask(&aggregator, 20, "r");
     assert_eq!(a.count(), before, "disabled after discovery listed it again");
-    assert_eq!(aggregator.operate("POST /-/leaf-servers/a/enable"), 200);
+    assert_eq!(aggregator.send_admin_command("POST /-/leaf-servers/a/enable"), 200);
     let back = Instant::now();
     let mut i = 0;
-    until("a is used again", || {
+    wait_until("a is used again", || {
         i += 1;
         assert_eq!(query_status(&aggregator, &format!("s{i}")), 200);
         a.count() > before
@@ -102,23 +102,23 @@
     let server = AnsweringLeafServer::new();
     let mut aggregator = with_admin(&[listed("a", server.address, 0)]).start();
     let mut persistent = Client::connect(aggregator.address);
-    assert_eq!(persistent.ask(query("q1", "9000m", &[0])).status, 200);
+    assert_eq!(persistent.request(query("q1", "9000m", &[0])).status, 200);
     let mut idle = Client::connect(aggregator.address);
-    assert_eq!(aggregator.operate("POST /-/drain"), 200);
+    assert_eq!(aggregator.send_admin_command("POST /-/drain"), 200);
     let drained = Instant::now();
     assert_eq!(aggregator.healthz(), 503);
     assert_eq!(query_status(&aggregator, "q2"), 200, "a new client is served all the same");
-    persistent.closed();
-    idle.closed();
+    persistent.wait_until_closed();
+    idle.wait_until_closed();
     assert!(drained.elapsed() < Duration::from_secs(2), "{:?}", drained.elapsed());
     let mut late = Client::connect(aggregator.address);
-    let reply = late.ask(query("q3", "9000m", &[0]));
+    let reply = late.request(query("q3", "9000m", &[0]));
     assert_eq!((reply.status, reply.header("Connection")), (200, Some("close")));
-    assert_eq!(aggregator.operate("POST /-/resume"), 200);
+    assert_eq!(aggregator.send_admin_command("POST /-/resume"), 200);
     assert_eq!(aggregator.healthz(), 200);
-    assert_eq!(aggregator.operate("POST /-/drain"), 200);
+    assert_eq!(aggregator.send_admin_command("POST /-/drain"), 200);
     aggregator.signal("-TERM");
-    assert!(aggregator.ended().success(), "SIGTERM while it is drained");
+    assert!(aggregator.wait_for_exit().success(), "SIGTERM while it is drained");
 }
 
 /// Three processes one after the other under load, with an override given to each.
@@ -131,29 +131,29 @@
     let mut old = setup.start();
     let running = Arc::new(AtomicBool::new(true));
     let clients = load(old.address, &running, 6);
-    assert_eq!(old.operate("POST /-/leaf-servers/a/disable"), 200);
+    assert_eq!(old.send_admin_command("POST /-/leaf-servers/a/disable"), 200);
     let out = a.count();
     for round in 0..2 {
         let mut new = setup.start();
-        until("the new one is ready", || new.operate("GET /-/ready") == 200);
+        wait_until("the new one is ready", || new.send_admin_command("GET /-/ready") == 200);
         // An override given to either process is in force in both once it is answered.
         let (given_to, other, call, logged) = match round {
             0 => (&mut old, &mut new, "disable", "leaf server disabled leaf_server=\"b\""),
             _ => (&mut new, &mut old, "enable", "leaf server enabled leaf_server=\"b\""),
         };
-        assert_eq!(given_to.operate(&format!("POST /-/leaf-servers/b/{call}")), 200);
-        other.told(logged);
+        assert_eq!(given_to.send_admin_command(&format!("POST /-/leaf-servers/b/{call}")), 200);
+        other.wait_for_log(logged);
         let served = b.count();
         thread::sleep(Duration::from_millis(100));
         assert!(round > 0 || b.count() == served, "disabled in both from the answer on");
         old.signal("-TERM");
-        assert!(old.ended().success());
-        old.told("to=\"hot restarting\"");
+        assert!(old.wait_for_exit().success());
+        old.wait_for_log("to=\"hot restarting\"");
         old = new;
     }
     assert_eq!(a.count(), out, "disabled through two hot restarts");
     let before = b.count();
-    until("b is used again", || b.count() > before);
+    wait_until("b is used again", || b.count() > before);
     running.store(false, Ordering::SeqCst);
     let mut queries = 0;
     let mut failures = 0;
@@ -173,23 +173,25 @@
     let reserved_port = shared_port();
     let setup = Setup::new(&[listed("a", server.address, 0)]).shared(&reserved_port);
     let mut old = setup.start();
-    old.told("to=\"ready\"");
-    let broken =
-        Aggregator::start_in_vain(&setup.config().replace("\"maxAttempts\":3", "\"maxAttempts\":0"), &setup);
+    old.wait_for_log("to=\"ready\"");
+    let broken = Aggregator::start_expecting_failure(
+        &setup.config().replace("\"maxAttempts\":3", "\"maxAttempts\":0"),
+        &setup,
+    );
     assert!(!broken.success(), "it does not start");
     let mut new = setup.start();
-    until("the new one is ready", || new.operate("GET /-/ready") == 200);
-    old.told("others=1 ready=true");
+    wait_until("the new one is ready", || new.send_admin_command("GET /-/ready") == 200);
+    old.wait_for_log("others=1 ready=true");
     new.kill();
-    old.told("others=0 ready=false");
+    old.wait_for_log("others=0 ready=false");
     for i in 0..20 {
         assert_eq!(query_status(&old, &format!("q{i}")), 200);
     }
     assert_eq!(old.healthz(), 200);
     // Without another process it shuts down as ever.
     old.signal("-TERM");
-    assert!(old.ended().success());
-    old.told("to=\"shutting down\"");
+    assert!(old.wait_for_exit().success());
+    old.wait_for_log("to=\"shutting down\"");
 }
 
 /// Garbage, a truncated file, a later version's file, or a directory that cannot be made: logged, never applied; admin
@@ -199,9 +201,9 @@
     let server = AnsweringLeafServer::new();
     let reserved_port = shared_port();
     let setup = Setup::new(&[listed("a", server.address, 0)]).shared(&reserved_port);
-    let tmp = setup.tmp.clone().expect("a directory");
+    let tmp = setup.tmp_dir.clone().expect("a directory");
     let mut first = setup.start();
-    assert_eq!(first.operate("POST /-/leaf-servers/a/disable"), 200);
+    assert_eq!(first.send_admin_command("POST /-/leaf-servers/a/disable"), 200);
     first.kill();
     let directory = std::fs::read_dir(&tmp).expect("read").next().expect("a directory").expect("read").path();
     let valid = std::fs::read(directory.join("orders")).expect("kept");
@@ -210,21 +212,21 @@
     {
         std::fs::write(directory.join("orders"), &unusable).expect("written");
         let mut aggregator = setup.start();
-        aggregator.told("moved aside");
+        aggregator.wait_for_log("moved aside");
         assert_eq!(std::fs::read(directory.join("orders.unusable")).expect("aside"), unusable);
         assert_eq!(query_status(&aggregator, "q"), 200, "no override is in force");
         aggregator.kill();
     }
     std::fs::write(directory.join("orders"), &valid).expect("written");
     let mut aggregator = setup.start();
-    aggregator.told("leaf server disabled");
+    aggregator.wait_for_log("leaf server disabled");
     aggregator.kill();
     let not_a_directory = tmp.join("file");
     std::fs::write(&not_a_directory, "").expect("written");
-    let mut aggregator = Setup { tmp: Some(not_a_directory), ..setup }.start();
-    aggregator.told("overrides cannot be stored");
-    assert_eq!(aggregator.operate("POST /-/leaf-servers/a/disable"), 200);
-    aggregator.told("leaf server disabled");
+    let mut aggregator = Setup { tmp_dir: Some(not_a_directory), ..setup }.start();
+    aggregator.wait_for_log("overrides cannot be stored");
+    assert_eq!(aggregator.send_admin_command("POST /-/leaf-servers/a/disable"), 200);
+    aggregator.wait_for_log("leaf server disabled");
 }
 
 /// A query in flight keeps the attempts and the class that it began with; the next ones go by the new settings.
@@ -235,51 +237,51 @@
     let mut aggregator = setup.start();
     let mut in_flight = Client::connect(aggregator.address);
     in_flight.send(query("q1", "9000m", &[0]));
-    let mut connection = first_of(&[&a, &b]);
-    let part = connection.part();
+    let mut connection = accept_first(&[&a, &b]);
+    let part = connection.next_part();
     let new = setup
         .config()
         .replace("\"name\":\"c\"", "\"name\":\"d\"")
         .replace("\"maxAttempts\":3", "\"maxAttempts\":1");
     std::fs::write(&aggregator.config, new).expect("written");
     aggregator.signal("-HUP");
-    aggregator.wait_for("reloads", 1);
+    aggregator.wait_for_counter("reloads", 1);
     connection.answer(&part, "later", "");
     // By the old settings it is retried; the class is unknown to new queries.
-    let mut second = first_of(&[&a, &b]);
+    let mut second = accept_first(&[&a, &b]);
     let mut other = Client::connect(aggregator.address);
-    assert_eq!(other.ask(query("q2", "9000m", &[0])).status, 400);
-    let part = second.part();
+    assert_eq!(other.request(query("q2", "9000m", &[0])).status, 400);
+    let part = second.next_part();
     second.answer(&part, "good", "v");
     assert_eq!(in_flight.response().status, 200);
     let renamed = query("q3", "9000m", &[0]).replace("Req-Kind: c", "Req-Kind: d");
     let mut client = Client::connect(aggregator.address);
     client.send(renamed);
     let mut connections = [connection, second];
-    until("a part comes", || connections.iter().any(LeafConnection::has_frame));
+    wait_until("a part comes", || connections.iter().any(LeafConnection::has_frame));
     let connection = connections.iter_mut().find(|l| l.has_frame()).expect("one");
-    let part = connection.part();
+    let part = connection.next_part();
     connection.answer(&part, "later", "");
     assert_eq!(client.response().status, 503, "one attempt, by the new settings");
-    until("ready", || aggregator.operate("GET /-/ready") == 200);
+    wait_until("ready", || aggregator.send_admin_command("GET /-/ready") == 200);
 }
 
 /// Anything else gets a status of its own.
 #[test]
 fn admin_calls_are_distinguished_by_method_and_path() {
     let server = LeafServer::new();
-    let servers = [listed("s-1", server.address, 0), listed("s/1", nobody(), 0)];
-    let mut aggregator = Setup { managed: true, ..Setup::new(&servers) }.start();
-    until("ready", || aggregator.operate("GET /-/ready") == 200);
-    assert_eq!(aggregator.operate("POST /-/leaf-servers/s-1/disable"), 200);
-    assert!(aggregator.told("leaf server disabled ").contains("s-1"));
-    assert_eq!(aggregator.operate("POST /-/leaf-servers/s%2F1/disable"), 200);
-    assert_eq!(aggregator.operate("POST /-/leaf-servers/s%2F1/enable"), 200);
-    assert!(aggregator.told("leaf server enabled ").contains("s/1"));
-    assert_eq!(aggregator.operate("POST /-/ready"), 405);
-    assert_eq!(aggregator.operate("GET /-/drain"), 405);
+    let servers = [listed("s-1", server.address, 0), listed("s/1", unreachable_address(), 0)];
+    let mut aggregator = Setup { has_admin_address: true, ..Setup::new(&servers) }.start();
+    wait_until("ready", || aggregator.send_admin_command("GET /-/ready") == 200);
+    assert_eq!(aggregator.send_admin_command("POST /-/leaf-servers/s-1/disable"), 200);
+    assert!(aggregator.wait_for_log("leaf server disabled ").contains("s-1"));
+    assert_eq!(aggregator.send_admin_command("POST /-/leaf-servers/s%2F1/disable"), 200);
+    assert_eq!(aggregator.send_admin_command("POST /-/leaf-servers/s%2F1/enable"), 200);
+    assert!(aggregator.wait_for_log("leaf server enabled ").contains("s/1"));
+    assert_eq!(aggregator.send_admin_command("POST /-/ready"), 405);
+    assert_eq!(aggregator.send_admin_command("GET /-/drain"), 405);
     for path in ["/", "/-/", "/-/leaf-servers//disable", "/-/leaf-servers/a/b/disable", "/ready"] {
-        assert_eq!(aggregator.operate(&format!("POST {path}")), 404, "{path}");
+        assert_eq!(aggregator.send_admin_command(&format!("POST {path}")), 404, "{path}");
     }
-    assert_eq!(aggregator.operate("POST /-/leaf-servers/%ff/enable"), 400);
+    assert_eq!(aggregator.send_admin_command("POST /-/leaf-servers/%ff/enable"), 400);
 }
--- a/tests/stored_formats.rs
+++ b/tests/stored_formats.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::process::{PATIENCE, Setup, binary, scratch};
+use common::process::{PATIENCE, Setup, binary, scratch_dir};
 use sailmux::hot_restart::{
     Override, OverrideSubject, Overrides, ProcessStatus, SharedDirectory, Sibling, StoredOverrides, snapshot,
 };
@@ -36,7 +36,7 @@
 
 /// A temporary folder with copies of stored files.
 fn copied(from: &str, names: &[&str]) -> PathBuf {
-    let dir = scratch("stored");
+    let dir = scratch_dir("stored");
     for name in names {
         fs::write(dir.join(name), bytes(&format!("{from}/{name}"))).expect("written");
     }
@@ -534,7 +534,7 @@
         // The journal ends behind the record that the export was begun; opening the ledger completes it.
         let begun = |r: &Record| matches!(r, Record::ExportIntent { name: n, .. } if n == name);
         let (_, _, end) = scanned.records.iter().find(|(_, r, _)| begun(r)).expect("it was begun");
-        let dir = scratch("stored");
+        let dir = scratch_dir("stored");
         fs::write(dir.join(FIRST), &segment[..*end]).expect("written");
         let disk = RealDisk::own(&dir).expect("owned");
         let (_, recovery) =
@@ -781,7 +781,7 @@
 
 /// The folder of mixer n0 at 127.0.0.1:7000, with the stored files in it.
 fn shared_folder() -> (SharedDirectory, PathBuf) {
-    let below = scratch("stored");
+    let below = scratch_dir("stored");
     let folder = SharedDirectory::open(&below, "n0", "127.0.0.1:7000").expect("made");
     let dir = below.join("sailmux-24ae7d61");
     assert!(dir.is_dir(), "the folder has the name that version 0.1.0 gives it");
@@ -864,7 +864,7 @@
 
 #[test]
 fn stored_confirmation_file_makes_a_mixer_take_the_list_that_it_holds_back() {
-    let dir = scratch("stored");
+    let dir = scratch_dir("stored");
     let path = dir.join("nodes.csv");
     let place = |name: &str, content: &[u8]| {
         let whole = dir.join("whole.tmp");
@@ -875,10 +875,10 @@
     let operator = format!("inventory:\n  file: {}\n", path.display());
     let mut mixer = Setup { operator: Some(operator), ..Setup::new(&[]) }.start();
     place("nodes.csv", &bytes("inventory/nodes.csv"));
-    let line = mixer.told_anew("list held back");
+    let line = mixer.wait_for_new_log("list held back");
     assert!(line.contains("6 of 9 nodes would be lost at once"), "{line}");
     place("nodes.csv.confirm", &bytes("inventory/nodes.csv.confirm"));
-    let line = mixer.told_anew("confirmed=true");
+    let line = mixer.wait_for_new_log("confirmed=true");
     assert!(line.contains("nodes=3") && line.contains("gone=6"), "{line}");
     assert!(!dir.join("nodes.csv.confirm").exists(), "a confirmation is read once");
 }
