--- a/tests/common/fleet/leaf_fleet.rs
+++ b/tests/common/fleet/leaf_fleet.rs
@@ -88,17 +88,17 @@
     /// The inventory as CSV or YAML by the file's name, with some leaf servers draining.
     pub fn inventory(&self, file: &str, draining: &BTreeSet<String>) -> String {
         let state = |name: &str| if draining.contains(name) { "draining" } else { "ready" };
-        let mut text = match file.ends_with("csv") {
-            true => "name,host,port,cell,state\n".to_owned(),
-            false => "all:\n  vars: {host: 127.0.0.1}\n  hosts:\n".to_owned(),
+        let mut text = if file.ends_with("csv") {
+            "name,host,port,cell,state\n".to_owned()
+        } else {
+            "all:\n  vars: {host: 127.0.0.1}\n  hosts:\n".to_owned()
         };
         for (name, address) in &self.addresses {
             let (port, cell, state) = (address.port(), self.cell(name), state(name));
-            text += &match file.ends_with("csv") {
-                true => format!("{name},127.0.0.1,{port},{cell},{state}\n"),
-                false => {
-                    format!("    {name}:\n      port: {port}\n      cell: {cell}\n      state: {state}\n")
-                }
+            text += &if file.ends_with("csv") {
+                format!("{name},127.0.0.1,{port},{cell},{state}\n")
+            } else {
+                format!("    {name}:\n      port: {port}\n      cell: {cell}\n      state: {state}\n")
             };
         }
         text
--- a/tests/leaf_connections.rs
+++ b/tests/leaf_connections.rs
@@ -42,7 +42,7 @@
         ("attempts_bad", |connection, part| connection.send_frame('q', &format!("z{part} good 17 -\nv"))),
         // A length that does not fit, and one of 3 GB.
         ("attempts_bad", |connection, part| {
-            connection.send_truncated_frame('q', &format!("{part} good 17 -\nv"))
+            connection.send_truncated_frame('q', &format!("{part} good 17 -\nv"));
         }),
         ("attempts_bad", |connection, _| {
             connection.stream.write_all(&[0xc0, 0, 0, 0, b'q']).expect("the aggregator reads");
