--- a/src/ledger/writer/queue.rs
+++ b/src/ledger/writer/queue.rs
@@ -13,7 +13,7 @@
 /// A record and the number of the entry with which it was enqueued.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NumberedRecord {
-    /// Counted from 1 by [`Handle::put`].
+    /// Counted from 1 by [`Handle::enqueue`].
     pub number: u64,
     /// An entry, or a gap for entries that did not fit.
     pub record: Record,
