--- a/tests/stored_formats.rs
+++ b/tests/stored_formats.rs
@@ -96,6 +96,7 @@
 }
 
 /// An entry of each outcome, with both shares, known and unknown tenants.
+#[allow(clippy::too_many_lines, reason = "one literal record after another")]
 fn batch(from: i64) -> Vec<Record> {
     let at = NOVEMBER + from;
     let acme = Entry {
