--- a/src/aggregator/connections.rs
+++ b/src/aggregator/connections.rs
@@ -144,7 +144,12 @@
         }
     }
 
-    pub(super) fn connection_ended(&mut self, id: ConnectionId, reason: String, protocol_error: bool) {
+    pub(super) fn connection_ended(
+        &mut self,
+        id: ConnectionId,
+        reason: Option<String>,
+        protocol_error: bool,
+    ) {
         let Some(connection) = self.state.connections.remove(&id) else { return };
         let counters = &mut self.state.counters;
         let was_connecting = connection.phase == ConnectionPhase::Connecting;
@@ -152,7 +157,7 @@
         counters.connections_protocol_errors += u64::from(protocol_error);
         if connection.phase != ConnectionPhase::Closing {
             counters.connections_broken += 1;
-            if !reason.is_empty() {
+            if let Some(reason) = reason {
                 let event = LogEvent::LeafConnectionEnded { replica: connection.replica, reason };
                 self.effects.push(Effect::Log(event));
             }
--- a/src/aggregator/effect.rs
+++ b/src/aggregator/effect.rs
@@ -1,6 +1,6 @@
 //! What the aggregator asks its caller to do. The event loop of `net` carries these out.
 
-use super::{AdminCallId, AdminOutcome, AttemptId, ClientId, ConnectionId, Reply};
+use super::{AdminCallId, AdminOutcome, AttemptId, ClientId, ConnectionId, Lifecycle, Reply};
 use crate::balancer::{self, ReplicaId};
 use crate::clock::Millis;
 use crate::endpoints::AuditEvent;
@@ -44,12 +44,12 @@
     StoreOverrides(AdminCallId, Overrides),
     /// The stored overrides with this digest are in force in this process.
     OverridesApplied(u32),
-    /// The lifecycle has entered another state.
+    /// The lifecycle has entered a state of another name.
     LifecycleChanged {
-        /// The name of the old state.
-        from: &'static str,
-        /// The name of the new state.
-        to: &'static str,
+        /// The old state.
+        from: Lifecycle,
+        /// The new state.
+        to: Lifecycle,
         /// This process can serve, as `/-/ready` defines it.
         ready: bool,
     },
--- a/src/aggregator/event.rs
+++ b/src/aggregator/event.rs
@@ -58,8 +58,8 @@
     ConnectionEnded {
         /// The connection.
         connection: ConnectionId,
-        /// The reason for the log; empty if it is not worth a line.
-        reason: String,
+        /// The reason for the log; `None` for an ordinary close, which is not logged.
+        reason: Option<String>,
         /// The leaf server sent bytes that cannot be read: the answers due on this connection are lost, but the
         /// server has not failed.
         protocol_error: bool,
--- a/src/aggregator/lifecycle.rs
+++ b/src/aggregator/lifecycle.rs
@@ -104,13 +104,12 @@
 }
 
 impl Reduction<'_> {
-    fn enter_lifecycle(&mut self, lifecycle: Lifecycle) {
-        let from = self.state.lifecycle.name();
-        let to = lifecycle.name();
-        if from != to {
-            self.effects.push(Effect::LifecycleChanged { from, to, ready: lifecycle.can_serve() });
+    fn enter_lifecycle(&mut self, to: Lifecycle) {
+        let from = self.state.lifecycle;
+        if from.name() != to.name() {
+            self.effects.push(Effect::LifecycleChanged { from, to, ready: to.can_serve() });
         }
-        self.state.lifecycle = lifecycle;
+        self.state.lifecycle = to;
         self.drain_clients();
     }
 
--- a/src/net/effects.rs
+++ b/src/net/effects.rs
@@ -7,7 +7,7 @@
 use super::leaf_connection;
 use super::ledger_writer::{LedgerWriter, PendingReply};
 use super::messages::{ClientMessage, EventSender, LEAF_QUEUE_LENGTH, LeafMessage};
-use crate::aggregator::{AdminCallId, AdminOutcome, ClientId, ConnectionId, Effect, Siblings};
+use crate::aggregator::{AdminCallId, AdminOutcome, ClientId, ConnectionId, Effect, Lifecycle, Siblings};
 use crate::clock::Millis;
 use crate::hot_restart::Overrides;
 use crate::ledger::{Entry, LedgerEvent};
@@ -234,8 +234,8 @@
         }
     }
 
-    fn lifecycle_changed(&self, from: &str, to: &str, ready: bool) {
-        info!(from, to, "lifecycle changed");
+    fn lifecycle_changed(&self, from: Lifecycle, to: Lifecycle, ready: bool) {
+        info!(from = from.name(), to = to.name(), "lifecycle changed");
         if let Some(handle) = &self.hot_restart {
             handle.set_ready(ready);
         }
--- a/src/net/flight/leaf_client.rs
+++ b/src/net/flight/leaf_client.rs
@@ -62,7 +62,7 @@
 ) {
     let result = connect(connection, &location, messages, &events).await;
     let protocol_error = matches!(result, Err(LeafClientError::UnreadableAnswer));
-    let reason = result.err().map(|error| error.to_string()).unwrap_or_default();
+    let reason = result.err().map(|error| error.to_string());
     let _ = events.send(Event::ConnectionEnded { connection, reason, protocol_error }).await;
 }
 
--- a/src/net/leaf_connection/mod.rs
+++ b/src/net/leaf_connection/mod.rs
@@ -55,9 +55,9 @@
     events: EventSender,
 ) {
     let (reason, protocol_error) = match connect(connection, &address, messages, &events).await {
-        ConnectionEnd::Closed => (String::new(), false),
-        ConnectionEnd::Io(error) => (error.to_string(), false),
-        ConnectionEnd::Protocol(error) => (error.to_string(), true),
+        ConnectionEnd::Closed => (None, false),
+        ConnectionEnd::Io(error) => (Some(error.to_string()), false),
+        ConnectionEnd::Protocol(error) => (Some(error.to_string()), true),
     };
     let _ = events.send(Event::ConnectionEnded { connection, reason, protocol_error }).await;
 }
--- a/tests/aggregator.rs
+++ b/tests/aggregator.rs
@@ -236,7 +236,7 @@
         if written {
             reduce(&mut state, START + 2.0, Event::Written(connection, 1));
         }
-        let ended = Event::ConnectionEnded { connection, reason: String::new(), protocol_error: false };
+        let ended = Event::ConnectionEnded { connection, reason: None, protocol_error: false };
         let effects = reduce(&mut state, START + 3.0, ended);
         assert_eq!(has_failed(&effects), written, "{effects:?}");
         assert_eq!(connects(&effects).is_empty(), written, "{effects:?}");
--- a/tests/lifecycle.rs
+++ b/tests/lifecycle.rs
@@ -128,7 +128,7 @@
     fn carry_out(&mut self, name: &'static str, effect: Effect) {
         match effect {
             Effect::LifecycleChanged { from, to, ready } => {
-                self.note(name, format!("{from} -> {to}"));
+                self.note(name, format!("{} -> {}", from.name(), to.name()));
                 self.process(name).is_ready = ready;
             }
             Effect::StoreOverrides(_, overrides) => {
