--- a/src/balancer/simulator_protocol/instance.rs
+++ b/src/balancer/simulator_protocol/instance.rs
@@ -3,6 +3,7 @@
 use super::error::ProtocolError;
 use super::message::{
     CallResult, EndpointRow, InstanceId, InstanceMessage, ListScope, PartMessage, QueryMessage,
+    UncheckedResult, required,
 };
 use super::names::Names;
 use super::reply::{ActionWriter, write_panic};
@@ -91,7 +92,7 @@
             InstanceMessage::Part(part) => return self.add_part(now, part, output),
             InstanceMessage::EndpointList { scope, .. } => Some(self.endpoint_list(scope, rows)?),
             InstanceMessage::AttemptEnded { part, attempt, result } => {
-                self.attempt_ended(&part, attempt, result)
+                self.attempt_ended(&part, attempt, result)?
             }
             InstanceMessage::HealthCheckEnded { replica, result } => {
                 self.health_check_ended(&replica, result)?
@@ -212,16 +213,27 @@
         })
     }
 
-    fn attempt_ended(&self, part: &str, attempt: u32, result: CallResult) -> Option<Event> {
-        let part = PartId(self.requests.number(part)?);
-        let CallResult { outcome, elapsed, report } = result;
-        Some(Event::AttemptEnded { part, attempt, outcome, elapsed, report })
+    fn attempt_ended(
+        &self,
+        part: &str,
+        attempt: Option<u32>,
+        result: UncheckedResult,
+    ) -> Result<Option<Event>, ProtocolError> {
+        let Some(number) = self.requests.number(part) else { return Ok(None) };
+        let part = PartId(number);
+        let attempt = required(attempt, "sendNo")?;
+        let CallResult { outcome, elapsed, report } = result.check()?;
+        Ok(Some(Event::AttemptEnded { part, attempt, outcome, elapsed, report }))
     }
 
-    fn health_check_ended(&self, replica: &str, result: CallResult) -> Result<Option<Event>, ProtocolError> {
+    fn health_check_ended(
+        &self,
+        replica: &str,
+        result: UncheckedResult,
+    ) -> Result<Option<Event>, ProtocolError> {
         let Some(number) = self.replicas.number(replica) else { return Ok(None) };
         let replica = replica_id(number)?;
-        let CallResult { outcome, elapsed, report } = result;
+        let CallResult { outcome, elapsed, report } = result.check()?;
         Ok(Some(Event::HealthCheckEnded { replica, outcome, elapsed, report }))
     }
 }
--- a/src/balancer/simulator_protocol/message.rs
+++ b/src/balancer/simulator_protocol/message.rs
@@ -1,8 +1,9 @@
 //! The simulator's messages: JSON lines with the protocol's field names, converted to typed messages in the field's
 //! terms.
 //!
-//! Conversion has two steps. [`HostMessage`] needs the fields of the envelope alone; [`InstanceMessage`] is converted
-//! only once its instance is known to exist, since messages to an instance that has halted are ignored unread.
+//! Conversion has up to three steps, since messages about what is unknown are ignored without a check of their other
+//! fields. [`HostMessage`] needs the fields of the envelope alone; [`InstanceMessage`] is converted only once its
+//! instance is known to exist; [`UncheckedResult`] is checked only once the instance is found to have had the id.
 
 use super::error::ProtocolError;
 use miniserde::Deserialize;
@@ -169,17 +170,17 @@
     AttemptEnded {
         /// The part's name.
         part: String,
-        /// Which of its attempts, from 0.
-        attempt: u32,
+        /// Which of its attempts, from 0. Missing is an error only if the part is known.
+        attempt: Option<u32>,
         /// How it ended.
-        result: CallResult,
+        result: UncheckedResult,
     },
     /// A health check has ended.
     HealthCheckEnded {
         /// The replica's name.
         replica: String,
         /// How it ended.
-        result: CallResult,
+        result: UncheckedResult,
     },
     /// The client of a query has disconnected.
     ClientDisconnected {
@@ -222,6 +223,40 @@
     pub cost_hint: Option<Millis>,
 }
 
+/// The result of an attempt or a health check, as it came. Its outcome has been checked.
+#[derive(Clone, Copy)]
+pub struct UncheckedResult {
+    outcome: Outcome,
+    elapsed: Option<Millis>,
+    report: Option<LoadReport>,
+}
+
+impl UncheckedResult {
+    fn parse(
+        verdict: Option<String>,
+        took_ms: Option<f64>,
+        stats: Option<RawLoadReport>,
+    ) -> Result<Self, ProtocolError> {
+        Ok(UncheckedResult {
+            outcome: parse_outcome(&required(verdict, "verdict")?)?,
+            elapsed: took_ms,
+            report: stats.map(LoadReport::from),
+        })
+    }
+
+    /// Checks the fields that matter only for a known id.
+    ///
+    /// # Errors
+    /// The duration is missing.
+    pub fn check(self) -> Result<CallResult, ProtocolError> {
+        Ok(CallResult {
+            outcome: self.outcome,
+            elapsed: required(self.elapsed, "tookMs")?,
+            report: self.report,
+        })
+    }
+}
+
 /// The result of an attempt or a health check.
 #[derive(Clone, Copy)]
 pub struct CallResult {
@@ -245,13 +280,13 @@
             }),
             "workItem" => parse_work_item(raw),
             "attemptEnd" => Ok(InstanceMessage::AttemptEnded {
+                result: UncheckedResult::parse(raw.verdict, raw.took_ms, raw.stats)?,
                 part: required(raw.corr, "corr")?,
-                attempt: required(raw.send_no, "sendNo")?,
-                result: parse_call_result(raw.verdict, raw.took_ms, raw.stats)?,
+                attempt: raw.send_no,
             }),
             "pong" => Ok(InstanceMessage::HealthCheckEnded {
+                result: UncheckedResult::parse(raw.verdict, raw.took_ms, raw.stats)?,
                 replica: required(raw.searcher, "searcher")?,
-                result: parse_call_result(raw.verdict, raw.took_ms, raw.stats)?,
             }),
             "timedOutClient" => {
                 Ok(InstanceMessage::ClientDisconnected { query: required(raw.corr, "corr")? })
@@ -289,18 +324,6 @@
     }))
 }
 
-fn parse_call_result(
-    verdict: Option<String>,
-    took_ms: Option<f64>,
-    stats: Option<RawLoadReport>,
-) -> Result<CallResult, ProtocolError> {
-    Ok(CallResult {
-        outcome: parse_outcome(&required(verdict, "verdict")?)?,
-        elapsed: required(took_ms, "tookMs")?,
-        report: stats.map(LoadReport::from),
-    })
-}
-
 fn parse_outcome(word: &str) -> Result<Outcome, ProtocolError> {
     match word {
         "ok" => Ok(Outcome::Ok),
@@ -323,6 +346,7 @@
     }
 }
 
-fn required<T>(field: Option<T>, name: &'static str) -> Result<T, ProtocolError> {
+/// The field, which a message of its kind must have.
+pub(super) fn required<T>(field: Option<T>, name: &'static str) -> Result<T, ProtocolError> {
     field.ok_or(ProtocolError::MissingField(name))
 }
--- a/tests/simulator_protocol.rs
+++ b/tests/simulator_protocol.rs
@@ -130,6 +130,31 @@
     }
 }
 
+/// An instance that was restarted is still told of calls of its predecessor, of which it knows nothing.
+#[test]
+fn ends_of_calls_that_an_instance_never_sent_need_no_further_fields() {
+    let start =
+        [ROUND, &start_instance(1), &store_list(0, ["a", "b"]), &apply_list(1), &query(1, "q1")].concat();
+    let unknown = concat!(
+        r#"{"cmd":"attemptEnd","who":1,"corr":"other-p","verdict":"ok"}"#,
+        "\n",
+        r#"{"cmd":"pong","who":1,"searcher":"other","verdict":"ok"}"#,
+        "\n"
+    );
+    assert_eq!(replies(&format!("{start}{unknown}{COMMIT}")), replies(&format!("{start}{COMMIT}")));
+
+    for known in [
+        r#"{"cmd":"attemptEnd","who":1,"corr":"q1-p","verdict":"ok","tookMs":3}"#,
+        r#"{"cmd":"attemptEnd","who":1,"corr":"q1-p","verdict":"ok","sendNo":0}"#,
+        r#"{"cmd":"pong","who":1,"searcher":"a","verdict":"ok"}"#,
+        r#"{"cmd":"attemptEnd","who":1,"corr":"other-p","verdict":"neverHeardOf"}"#,
+        r#"{"cmd":"pong","who":1,"searcher":"other"}"#,
+    ] {
+        let output = run(&format!("{start}{known}\n"));
+        assert!(!output.status.success(), "{known}");
+    }
+}
+
 /// The balancer uses none: garbled, empty, and from an unknown sender.
 #[test]
 fn messages_between_aggregators_change_no_reply() {
