--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -11,31 +11,31 @@
 
 /// A query whose parts find queues is admitted from this chance on.
 const MIN_CHANCE: f64 = 0.4;
-/// A query whose mean part takes less than this share of the latency objective finds no queues: what may spoil it is
-/// cured by no rejection.
+/// A query whose mean part takes less than this share of the latency objective finds no queues: shedding load would
+/// not help it.
 const QUEUED_SHARE: f64 = 0.25;
 /// Below this chance a query is rejected in any case.
 const HOPELESS_CHANCE: f64 = 0.02;
-/// Below this calibration predictions of queues count for nothing, and every query needs the chance beside it.
+/// Below this calibration forecasts are not relied on, and every query needs the greater chance below.
 const MIN_CALIBRATION: f64 = 0.7;
 const UNCALIBRATED_MIN_CHANCE: f64 = 0.6;
-/// So many admitted queries are taken to have come true beside those that were observed.
+/// Prior of the calibration: this many admitted queries that were answered in time.
 const CALIBRATION_PRIOR: f64 = 3.0;
 /// The calibration halves within this many of the longest latency objectives.
 const CALIBRATION_OBJECTIVES: f64 = 2.0;
-/// All parts together count as this many parts of a shard.
+/// Prior of a shard's rate: this many parts at the rate of all shards.
 const SHARD_PRIOR: f64 = 4.0;
 /// All samples of latency ratios are dropped within this many of the longest latency objectives.
 const RATIO_LIFETIME_OBJECTIVES: f64 = 4.0;
 /// Samples of latency ratios.
 const RATIO_SAMPLES: usize = 2 * SAMPLES;
-/// Parts of a query share their fate to a degree: n of them count as n to the power of one less this.
-const SHARED_FATE: f64 = 0.25;
+/// Parts of a query succeed or fail together to a degree: n of them count as `n.powf(1.0 - CORRELATION)` independent ones.
+const CORRELATION: f64 = 0.25;
 /// A part that is given up is taken to need this many times what it has taken so far.
 const GIVEN_UP_RATIO: f64 = 2.0;
 /// Parts that take no more than this share of the latency objective find hardly a queue.
 const SPARE_CAPACITY_SHARE: f64 = 0.125;
-/// The share of the places for queries and parts that is open to queries of no priority.
+/// The share of the limit on what is in flight that is open to queries of priority 0.
 const OPEN_TO_ALL_SHARE: f64 = 0.8;
 
 /// What is expected of one part of a query.
@@ -48,6 +48,7 @@
 }
 
 /// What is expected of a query.
+#[derive(Clone, Copy)]
 pub(super) struct Forecast {
     /// The mean latency of the quickest parts that make a complete answer.
     pub mean_latency: Millis,
@@ -55,7 +56,30 @@
     pub chance: f64,
 }
 
-/// What is in flight, and how much of that there may be.
+/// A query that may be admitted.
+pub(super) struct AdmissionCandidate {
+    pub forecast: Forecast,
+    /// From 0 to 1.
+    pub priority: f64,
+    /// Its latency objective.
+    pub objective: Millis,
+}
+
+/// The moment of a decision or an observation, and the longest latency objective, by which observations decay.
+#[derive(Clone, Copy)]
+pub(super) struct AdmissionContext {
+    pub now: Millis,
+    pub longest_objective: Millis,
+}
+
+impl AdmissionContext {
+    /// How long the calibration takes to halve.
+    fn calibration_half_life(self) -> Millis {
+        CALIBRATION_OBJECTIVES * self.longest_objective
+    }
+}
+
+/// Queries and parts in flight, and the limit on them.
 #[derive(Clone, Copy)]
 pub(super) struct Occupancy {
     pub in_flight: usize,
@@ -63,19 +87,20 @@
 }
 
 impl Occupancy {
-    /// Whether no place is left for a query of a priority.
+    /// Whether the limit is reached for queries of this priority (0 to 1).
     fn is_full_for(self, priority: f64) -> bool {
         let open_share = OPEN_TO_ALL_SHARE + (1.0 - OPEN_TO_ALL_SHARE) * priority;
         self.in_flight as f64 > f64::from(self.max_in_flight) * open_share
     }
 }
 
-/// Whether a part that takes `mean_latency` would find hardly a queue.
+/// Whether `part_count` parts of a query would find hardly a queue: together they are expected to take
+/// `total_latency`, against the latency objective of the query.
 pub(super) fn has_spare_capacity(total_latency: Millis, objective: Millis, part_count: usize) -> bool {
     total_latency <= SPARE_CAPACITY_SHARE * objective * part_count as f64
 }
 
-/// What became of recent parts and queries.
+/// The admission control: how recent parts and queries ended, and whether queries are being shed.
 pub(super) struct Admission {
     /// Latencies of recent parts, all attempts included, over what was expected.
     latency_ratios: RecentSamples,
@@ -105,7 +130,7 @@
         self.is_shedding
     }
 
-    /// A query is shed; true if it is the first one.
+    /// Records that a query is shed; true if load shedding starts with it.
     pub fn record_shed(&mut self, now: Millis) -> bool {
         self.last_shed_at = now;
         !std::mem::replace(&mut self.is_shedding, true)
@@ -118,17 +143,15 @@
         ends
     }
 
-    /// Whether a query is to be shed. `objective` is its latency objective.
-    pub fn sheds(
+    /// Whether a query is to be shed.
+    pub fn should_shed(
         &self,
-        now: Millis,
-        forecast: &Forecast,
-        priority: f64,
-        objective: Millis,
+        context: AdmissionContext,
+        candidate: &AdmissionCandidate,
         occupancy: Occupancy,
-        longest_objective: Millis,
     ) -> bool {
-        let calibration = self.calibration(now, longest_objective);
+        let AdmissionCandidate { forecast, priority, objective } = *candidate;
+        let calibration = self.calibration(context);
         let min_chance = if calibration < MIN_CALIBRATION {
             UNCALIBRATED_MIN_CHANCE
         } else if forecast.mean_latency > QUEUED_SHARE * objective {
@@ -139,26 +162,25 @@
         occupancy.is_full_for(priority) || calibration * forecast.chance * priority.cbrt() < min_chance
     }
 
-    /// How far the chances of admitted queries have come true lately, at most 1. Queries tell of all replicas at once,
-    /// which an aggregator with little traffic hears seldom of one by one.
-    fn calibration(&self, now: Millis, longest_objective: Millis) -> f64 {
-        let half_life = CALIBRATION_OBJECTIVES * longest_objective;
-        self.calibration.ratio(now, half_life, 1.0, CALIBRATION_PRIOR).min(1.0)
+    /// How far the chances of admitted queries have come true lately, at most 1. A query is evidence about all replicas
+    /// at once; an aggregator with little traffic seldom has any about a single one.
+    fn calibration(&self, context: AdmissionContext) -> f64 {
+        let half_life = context.calibration_half_life();
+        self.calibration.ratio(context.now, half_life, 1.0, CALIBRATION_PRIOR).min(1.0)
     }
 
-    /// Takes the end of an admitted query: its chance, and the share of its value that came in time.
-    pub fn record_query(&mut self, now: Millis, chance: f64, value: f64, longest_objective: Millis) {
-        self.calibration.add(now, CALIBRATION_OBJECTIVES * longest_objective, chance, value);
+    /// Records the end of an admitted query: its chance, and the share of its value that came in time.
+    pub fn record_query(&mut self, context: AdmissionContext, chance: f64, value: f64) {
+        self.calibration.add(context.now, context.calibration_half_life(), chance, value);
     }
 
-    /// What is expected of a query of these parts within a time. The parts are put in the order of their latencies.
+    /// What is expected of a query of these parts within `time`. Sorts the parts by expected latency.
     pub fn forecast(
         &self,
-        now: Millis,
+        context: AdmissionContext,
         class: &Class,
         parts: &mut [PartForecast],
         time: Millis,
-        longest_objective: Millis,
     ) -> Forecast {
         parts.sort_by(|a, b| a.expected_latency.total_cmp(&b.expected_latency));
         let complete = class.complete_coverage;
@@ -175,14 +197,14 @@
             weighted_latency += part.weight * part.expected_latency;
             count += 1.0;
             let chance = if part.expected_latency.is_finite() {
-                self.part_chance(now, part.shard, time / part.expected_latency, longest_objective)
+                self.part_chance(context, part.shard, time / part.expected_latency)
             } else {
                 0.0
             };
             expected_share += part.weight * chance / complete;
             chance_of_all *= chance;
         }
-        let complete_chance = chance_of_all.powf(count.max(1.0).powf(-SHARED_FATE));
+        let complete_chance = chance_of_all.powf(count.max(1.0).powf(-CORRELATION));
         let allows_partial = class.minimum_coverage < complete;
         let partial_chance = if allows_partial && expected_share * complete >= class.minimum_coverage {
             class.partial_value_factor * expected_share
@@ -192,22 +214,22 @@
         Forecast { mean_latency: weighted_latency / complete, chance: complete_chance.max(partial_chance) }
     }
 
-    /// The chance of a part to be answered within `ratio` times what is expected.
-    fn part_chance(&self, now: Millis, shard: u32, ratio: f64, longest_objective: Millis) -> f64 {
-        (self.share_within(ratio) * self.shard_ratio(now, shard, longest_objective)).min(1.0)
+    /// The chance of a part to be answered within `ratio` times its expected latency.
+    fn part_chance(&self, context: AdmissionContext, shard: u32, ratio: f64) -> f64 {
+        (self.share_within(ratio) * self.shard_ratio(context, shard)).min(1.0)
     }
 
-    /// Whether a part that is about to be sent can still be answered within `ratio` times what is expected.
+    /// Whether hardly any part is answered within `ratio` times its expected latency.
     pub fn is_hopeless(&self, ratio: f64) -> bool {
         self.share_within(ratio) < HOPELESS_CHANCE
     }
 
-    /// Whether parts of a shard do so badly that a partial answer is better made without them.
-    pub fn is_shard_failing(&self, now: Millis, shard: u32, longest_objective: Millis) -> bool {
-        self.shard_ratio(now, shard, longest_objective) < MIN_CHANCE
+    /// Whether so few parts of a shard are answered in time that a partial answer is better made without them.
+    pub fn is_shard_failing(&self, context: AdmissionContext, shard: u32) -> bool {
+        self.shard_ratio(context, shard) < MIN_CHANCE
     }
 
-    /// The share of recent parts within `ratio` times what was expected; all while too few are known.
+    /// The share of recent parts within `ratio` times their expected latency; 1 while too few are known.
     fn share_within(&self, ratio: f64) -> f64 {
         if self.latency_ratios.len() < ENOUGH_SAMPLES {
             return 1.0;
@@ -215,34 +237,36 @@
         self.latency_ratios.share_below(ratio)
     }
 
-    /// How many times as often parts of a shard were in time as parts of all shards: one shard's trouble is not held
-    /// against queries for others.
-    fn shard_ratio(&self, now: Millis, shard: u32, longest_objective: Millis) -> f64 {
+    /// The rate at which parts of a shard are in time, over that of all shards, so that a failing shard does not lower
+    /// the chance of queries for others.
+    fn shard_ratio(&self, context: AdmissionContext, shard: u32) -> f64 {
+        let AdmissionContext { now, longest_objective } = context;
         let of_all = self.in_time.ratio(now, longest_objective, 1.0, SHARD_PRIOR);
         let Some(of_shard) = self.in_time_by_shard.get(&shard) else { return 1.0 };
         of_shard.ratio(now, longest_objective, of_all, SHARD_PRIOR) / of_all
     }
 
-    /// A part of a shard has been answered or given up.
-    pub fn record_part(&mut self, now: Millis, shard: u32, is_in_time: bool, longest_objective: Millis) {
+    /// Records that a part of a shard was answered or given up.
+    pub fn record_part(&mut self, context: AdmissionContext, shard: u32, is_in_time: bool) {
+        let AdmissionContext { now, longest_objective } = context;
         let success = f64::from(u8::from(is_in_time));
         let of_shard = self.in_time_by_shard.entry(shard).or_default();
         of_shard.add(now, longest_objective, 1.0, success);
         self.in_time.add(now, longest_objective, 1.0, success);
     }
 
-    /// Takes the latency of an answered part, since its first attempt.
+    /// Records the latency of an answered part, since its first attempt.
     pub fn record_latency(&mut self, latency: Millis, expected: Millis) {
         self.latency_ratios.push(latency / expected);
     }
 
-    /// Takes the time since the first attempt of a part that is given up.
+    /// Records the time since the first attempt of a part that is given up.
     pub fn record_given_up(&mut self, waited: Millis, expected: Millis) {
         self.latency_ratios.push(GIVEN_UP_RATIO * waited / expected);
     }
 
-    /// The chance that a sweep drops a sample of the latency ratios: an aggregator that sheds everything learns nothing
-    /// new, so old evidence has to go.
+    /// The chance that a sweep drops the oldest latency ratio: an aggregator that sheds everything gets no new samples,
+    /// so old ones have to expire.
     pub fn drop_chance(elapsed: Millis, longest_objective: Millis) -> f64 {
         elapsed * RATIO_SAMPLES as f64 / (RATIO_LIFETIME_OBJECTIVES * longest_objective)
     }
--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -166,7 +166,7 @@
         self.observe(&ended);
         if is_first_answer {
             let is_in_time = self.queries.get(&query).is_some_and(|query| self.now <= query.objective_at);
-            self.admission.record_part(self.now, shard, is_in_time, self.objectives.longest);
+            self.admission.record_part(self.admission_context(), shard, is_in_time);
         }
         self.record_report(ended.replica, report, own_calls, 0.0);
         if is_done {
--- a/src/balancer/query_arrival.rs
+++ b/src/balancer/query_arrival.rs
@@ -1,7 +1,7 @@
 //! The arrival of queries: their deadlines, their priority, and whether they are admitted.
 
 use super::action::{Action, LogEvent};
-use super::admission::{Forecast, Occupancy, PartForecast, has_spare_capacity};
+use super::admission::{AdmissionCandidate, Forecast, Occupancy, PartForecast, has_spare_capacity};
 use super::client_retries::TryTime;
 use super::event::PartSpec;
 use super::health_checks::sampled_share;
@@ -56,8 +56,8 @@
         let time = objective.min(times.answer_by - self.now) - self.second_step_time(&class, false);
         let forecast = self.forecast(id, &class, time);
         let occupancy = Occupancy { in_flight: self.in_flight, max_in_flight: self.settings.max_in_flight };
-        let longest = self.objectives.longest;
-        let is_shed = self.admission.sheds(self.now, &forecast, priority, objective, occupancy, longest);
+        let candidate = AdmissionCandidate { forecast, priority, objective };
+        let is_shed = self.admission.should_shed(self.admission_context(), &candidate, occupancy);
         if is_shed && self.admission.record_shed(self.now) {
             actions.push(Action::Log(LogEvent::LoadSheddingStarted { class: arrival.class }));
         }
@@ -170,6 +170,6 @@
             PartForecast { shard: part.shard, weight: part.weight, expected_latency: part.expected_latency }
         };
         let mut parts: Vec<PartForecast> = self.queries[&id].parts.iter().map(forecast_of).collect();
-        self.admission.forecast(self.now, class, &mut parts, time, self.objectives.longest)
+        self.admission.forecast(self.admission_context(), class, &mut parts, time)
     }
 }
--- a/src/balancer/query_end.rs
+++ b/src/balancer/query_end.rs
@@ -39,7 +39,7 @@
             let is_in_time = is_answerable && self.now <= query.objective_at;
             let value = if is_in_time { full_value } else { 0.0 };
             let chance = query.admission_chance;
-            self.admission.record_query(self.now, chance, value, self.objectives.longest);
+            self.admission.record_query(self.admission_context(), chance, value);
         }
         if is_answerable {
             actions.push(Action::Answer { query: id, complete: is_complete });
@@ -97,7 +97,7 @@
                 self.parts.remove(id);
             }
             if missed_since.is_some() {
-                self.admission.record_part(self.now, shard, false, self.objectives.longest);
+                self.admission.record_part(self.admission_context(), shard, false);
             }
         }
     }
--- a/src/balancer/query_sending.rs
+++ b/src/balancer/query_sending.rs
@@ -178,7 +178,7 @@
         let Part { query: query_id, shard, .. } = self.parts[&part];
         let query = &self.queries[&query_id];
         if query.class.minimum_coverage < query.class.complete_coverage - WEIGHT_ROUNDING {
-            if self.admission.is_shard_failing(self.now, shard, self.objectives.longest) {
+            if self.admission.is_shard_failing(self.admission_context(), shard) {
                 return SendResult::NotSent;
             }
         } else {
--- a/src/balancer/state.rs
+++ b/src/balancer/state.rs
@@ -1,7 +1,7 @@
 //! The balancer: it holds the state of every concern, and passes each event to the concerns that it is about.
 
 use super::action::Action;
-use super::admission::Admission;
+use super::admission::{Admission, AdmissionContext};
 use super::client_retries::TryTimes;
 use super::endpoint_set::EndpointSet;
 use super::endpoint_watch::EndpointWatch;
@@ -229,6 +229,11 @@
         }
     }
 
+    /// What admission control decides and observes by now.
+    pub(super) fn admission_context(&self) -> AdmissionContext {
+        AdmissionContext { now: self.now, longest_objective: self.objectives.longest }
+    }
+
     /// What the evidence of replicas is judged against now.
     pub(super) fn outlier_criteria(&self) -> OutlierCriteria {
         OutlierCriteria {
