--- a/src/balancer/action.rs
+++ b/src/balancer/action.rs
@@ -5,13 +5,13 @@
 /// An action that the caller carries out, in the order given.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt of a part. Its end is told by [`Event::AttemptEnded`](super::Event::AttemptEnded).
+    /// Send an attempt of a part. [`Event::AttemptEnded`](super::Event::AttemptEnded) reports its end.
     Send {
         /// The part.
         part: PartId,
         /// The replica that gets it.
         replica: ReplicaId,
-        /// How long its answer is waited for.
+        /// How long to wait for its answer.
         timeout: Millis,
         /// The time by which it has to have been sent; after that it ends as
         /// [`Outcome::NotSent`](super::Outcome::NotSent). None without a bound.
@@ -31,11 +31,11 @@
         /// The answer is complete, not partial.
         complete: bool,
     },
-    /// Reject a query; asking again is harmless. Final.
+    /// Reject a query; a retry is harmless. Final.
     Reject {
         /// The query.
         query: QueryId,
-        /// How long the client should wait before it asks again, if clients are told.
+        /// The Retry-After for the client, if clients are sent one.
         retry_after: Option<Millis>,
     },
     /// Fail a query, without any promise about its effects. Final.
@@ -43,7 +43,8 @@
         /// The query.
         query: QueryId,
     },
-    /// Check a replica's health. The end is told by [`Event::HealthCheckEnded`](super::Event::HealthCheckEnded).
+    /// Check a replica's health. [`Event::HealthCheckEnded`](super::Event::HealthCheckEnded) reports its
+    /// end.
     HealthCheck {
         /// The replica.
         replica: ReplicaId,
--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -1,7 +1,7 @@
-//! Attempts: the first one of a part, retries and hedged requests; when each may be sent, and what its end tells.
+//! Attempts: the first one of a part, retries and hedged requests; when each may be sent, and what its end changes.
 
 use super::action::Action;
-use super::event::{LoadReport, Outcome};
+use super::event::{CallResult, Outcome};
 use super::outlier_detection::MAX_EVIDENCE;
 use super::part::{Attempt, Part};
 use super::query_progress::Query;
@@ -13,8 +13,8 @@
 
 /// A hedged request is due when the time left is this many tail latencies: enough for one more attempt, with a margin.
 pub(super) const HEDGE_TAILS: f64 = 2.0;
-/// Where no hedged request may be sent, a silent attempt is given up after so many tail latencies at the soonest: work
-/// that is called off half done has to be done anew.
+/// Where no hedged request may be sent, an attempt times out after this many tail latencies at the soonest: work that is
+/// cancelled half done is wasted.
 const PATIENCE_TAILS: f64 = 6.0;
 
 /// An attempt that has ended.
@@ -22,9 +22,10 @@
     replica: ReplicaId,
     outcome: Outcome,
     elapsed: Millis,
+    call: CallNumber,
     busyness: f64,
     reported_queue: f64,
-    /// It was sent after the last stall of this aggregator.
+    /// It was sent after the last stall of this aggregator, so its duration is the replica's.
     is_reliable: bool,
 }
 
@@ -54,8 +55,8 @@
         actions.push(Action::Send { part, replica, timeout, send_by });
     }
 
-    /// How long a part's next attempt is waited for. With hedging until the deadline; without it only a time-out leaves
-    /// a silent replica, so the time is divided among the attempts that are left.
+    /// The timeout of a part's next attempt. With hedging it is the deadline of the query; without it a retry has to wait
+    /// for the timeout, so the time is divided among the attempts that are left.
     fn attempt_timeout(&self, part: PartId) -> Millis {
         let Some(record) = self.parts.get(&part) else { return 0.0 };
         let Some(query) = self.queries.get(&record.query) else { return 0.0 };
@@ -65,7 +66,7 @@
         if query.hedging_allowed || !may_retry {
             return time_left;
         }
-        // Without established latencies there is nothing to be patient by.
+        // Before latencies are established there is no tail latency to wait for.
         let patience = if self.latency.is_established() { self.latency.tail() * PATIENCE_TAILS } else { 0.0 };
         time_left.min((time_left / f64::from(attempts_left + 1)).max(patience))
     }
@@ -88,8 +89,8 @@
         send_by.is_none_or(|send_by| self.now < send_by)
     }
 
-    /// Whether the budgets allow another attempt of a part. One that has cost no work so far is no more than a first
-    /// one: only the stated budget binds it.
+    /// Whether the budgets allow another attempt of a part. If its attempts have cost no work so far, another one adds no
+    /// more load than a first one would: only the configured budget applies.
     pub(super) fn within_budget(&self, has_cost_work: bool, usage: BudgetUse) -> bool {
         let granularity = self.settings.timer_granularity;
         let pressure = LatencyPressure {
@@ -97,13 +98,13 @@
             shortest_objective: self.objectives.shortest,
             longest_objective: self.objectives.longest,
         };
-        let stated = self.settings.retry_budget;
-        (!has_cost_work || self.retry_budgets.own_allows(self.now, granularity, pressure))
-            && self.retry_budgets.stated_allows(self.now, granularity, stated, usage)
+        let configured = self.settings.retry_budget;
+        (!has_cost_work || self.retry_budgets.adaptive_allows(self.now, granularity, pressure))
+            && self.retry_budgets.configured_allows(self.now, granularity, configured, usage)
     }
 
     /// Whether a hedged request for a part in flight is due: its last attempt has taken the tail latency, and the time
-    /// left gets short for another one. A query with spare parts does not wait for that.
+    /// left is about to become too short for another one. A query with spare parts does not wait for the latter.
     pub(super) fn is_hedge_due(&self, part: &Part, query: &Query, has_spare_parts: bool) -> bool {
         let Some(last) = part.in_flight().last() else { return false };
         let age = self.now - last.sent_at.max(self.resumed_at);
@@ -112,80 +113,88 @@
         age >= self.latency.tail() && (has_spare_parts || is_short)
     }
 
-    /// Whether a holder is left for a part that was not tried and is sound. Where all holders of a shard are full, as
-    /// under a hot key, hedged requests would only keep their queues long.
-    pub(super) fn has_sound_alternative(&self, part: &Part) -> bool {
+    /// Whether a holder of a part's shard is left that was not tried and is healthy. Where all holders are overloaded, as
+    /// with a hot key, hedged requests would only lengthen their queues.
+    pub(super) fn has_healthy_alternative(&self, part: &Part) -> bool {
         let scoring = self.scoring();
         self.endpoints
             .holders(part.shard)
             .filter(|id| !part.has_tried(*id))
-            .any(|id| self.endpoints.get(id).is_some_and(|replica| scoring.is_sound(replica)))
+            .any(|id| self.endpoints.get(id).is_some_and(|replica| scoring.is_healthy(replica)))
     }
 
-    /// An attempt has ended.
+    /// Handles the end of an attempt: updates its part, what is known of its replica, and its query.
     pub(super) fn end_attempt(
         &mut self,
         id: PartId,
         number: usize,
-        outcome: Outcome,
-        elapsed: Millis,
-        report: Option<LoadReport>,
+        result: CallResult,
         actions: &mut Vec<Action>,
     ) {
-        let immediate = self.latency.immediate();
-        let Some(part) = self.parts.get_mut(&id) else { return };
-        let (query, shard) = (part.query, part.shard);
-        let Some(attempt) = part.attempts.get_mut(number).filter(|attempt| attempt.outcome.is_none()) else {
-            return;
-        };
-        let elapsed = finite_or(elapsed, self.now - attempt.sent_at).max(0.0);
+        let Some(ended) = self.close_attempt(id, number, result) else { return };
+        let own_calls = self.remove_from_call(ended.replica, ended.call);
+        self.observe(&ended);
+        if ended.outcome == Outcome::Ok {
+            self.record_answer(id);
+        }
+        self.record_report(ended.replica, result.report, own_calls, 0.0);
+        let Some(part) = self.parts.get(&id) else { return };
+        let query = part.query;
+        let is_answered = part.is_answered;
+        if part.is_over && !part.is_in_flight() {
+            self.parts.remove(&id);
+        }
+        if is_answered {
+            self.cancel_attempts(id, actions);
+        }
+        self.advance(query, actions);
+    }
+
+    /// Sets the outcome of an attempt. None if there is no such attempt in flight.
+    fn close_attempt(&mut self, id: PartId, number: usize, result: CallResult) -> Option<EndedAttempt> {
+        let part = self.parts.get_mut(&id)?;
+        let attempt = part.attempts.get_mut(number).filter(|attempt| attempt.outcome.is_none())?;
+        let outcome = result.outcome;
+        let elapsed = finite_or(result.elapsed, self.now - attempt.sent_at).max(0.0);
+        let is_immediate_error = outcome == Outcome::Error && elapsed < self.latency.immediate();
         attempt.outcome = Some(outcome);
-        let is_immediate_error = outcome == Outcome::Error && elapsed < immediate;
         attempt.may_have_cost_work = !outcome.is_never_executed() && !is_immediate_error;
-        let ended = EndedAttempt {
+        Some(EndedAttempt {
             replica: attempt.replica,
             outcome,
             elapsed,
+            call: attempt.call,
             busyness: attempt.busyness,
             reported_queue: attempt.reported_queue,
             is_reliable: attempt.sent_at >= self.resumed_at,
-        };
-        let call = attempt.call;
-        let is_first_answer = outcome == Outcome::Ok && !part.is_over && !part.is_answered;
-        if is_first_answer {
-            part.is_answered = true;
-            let first_sent_at = part.attempts[0].sent_at;
-            if first_sent_at >= self.resumed_at {
-                self.admission.record_latency(self.now - first_sent_at, part.expected_latency);
-            }
-        }
-        let is_answered = part.is_answered;
-        let is_done = part.is_over && !part.is_in_flight();
+        })
+    }
 
-        let own_calls = self.remove_from_call(ended.replica, call);
-        self.observe(&ended);
-        if is_first_answer {
-            let is_in_time = self.queries.get(&query).is_some_and(|query| self.now <= query.objective_at);
-            self.admission.record_part(self.admission_context(), shard, is_in_time);
+    /// Marks a part as answered, unless it is already or its query needs it no more.
+    fn record_answer(&mut self, id: PartId) {
+        let Some(part) = self.parts.get_mut(&id) else { return };
+        if part.is_over || part.is_answered {
+            return;
         }
-        self.record_report(ended.replica, report, own_calls, 0.0);
-        if is_done {
-            self.parts.remove(&id);
+        part.is_answered = true;
+        let query = part.query;
+        let shard = part.shard;
+        let first_sent_at = part.attempts[0].sent_at;
+        if first_sent_at >= self.resumed_at {
+            self.admission.record_latency(self.now - first_sent_at, part.expected_latency);
         }
-        if is_answered {
-            self.cancel_attempts(id, actions);
-        }
-        self.advance(query, actions);
+        let is_in_time = self.queries.get(&query).is_some_and(|query| self.now <= query.objective_at);
+        self.admission.record_part(self.admission_context(), shard, is_in_time);
     }
 
-    /// Takes a part off its call; how many calls to the replica are left in flight.
+    /// Removes a part from its call; returns how many calls to the replica are left in flight.
     fn remove_from_call(&mut self, replica: ReplicaId, call: CallNumber) -> f64 {
         let Some(replica) = self.endpoints.get_mut(replica) else { return 0.0 };
         replica.calls.remove_part(call);
         replica.calls.len() as f64
     }
 
-    /// Passes on what the end of an attempt tells of its replica, of latencies and of load reports.
+    /// Updates the estimates about replicas, latencies and load reports from the end of an attempt.
     fn observe(&mut self, ended: &EndedAttempt) {
         self.observe_replica(ended);
         let is_reliable_answer = ended.is_reliable && ended.outcome == Outcome::Ok;
@@ -222,7 +231,8 @@
             Outcome::Error if ended.elapsed < immediate => replica.evidence.record_immediate_error(),
             Outcome::Error | Outcome::Rejected => replica.evidence.record_failure(ended.outcome),
             Outcome::ConnectFailed | Outcome::Reset => {
-                // Twice over, the process is gone and comes back cold, seconds before any list tells.
+                // Two failures in a row mean that the process is gone; it will come back cold, and the endpoint list will
+                // show that only seconds later.
                 if replica.evidence.has_failed_before() {
                     replica.warm_up.observed_loss = Some(self.now);
                 }
--- a/src/balancer/client_retries.rs
+++ b/src/balancer/client_retries.rs
@@ -1,18 +1,19 @@
-//! How long a client has waited in earlier tries of a query.
+//! Recognizes retries by clients, so that the time they have waited in earlier tries can be deducted.
 //!
-//! Work for an answer that nobody values any more is the core of a retry storm. Clients give their first tries a time
-//! that many of them share; a retry with a shorter, uncommon time has used up the rest of the deadline.
+//! Work on answers that come too late for their clients is what keeps a retry storm going. The first tries of a class
+//! share a common timeout; a retry has a shorter, uncommon one, since its earlier tries have used up part of the
+//! deadline.
 
 use super::Millis;
 use super::latency::{ENOUGH_SAMPLES, SAMPLES};
 use super::statistics::RecentSamples;
 
-/// Times of first tries differ by less than this share, by the network's delay.
+/// Timeouts of first tries differ by less than this share, because of the network's delay.
 const SAME_TIME_TOLERANCE: f64 = 0.02;
-/// The share of recent tries that makes a time one of first tries.
+/// A timeout is one of first tries if at least this share of the recent tries had it.
 const COMMON_SHARE: f64 = 0.2;
 
-/// What tells a client's first try from a later one.
+/// What distinguishes a client's first try from a retry.
 pub(super) struct TryTime {
     /// The time until the client gives up this try.
     pub time_left: Millis,
@@ -20,7 +21,7 @@
     pub is_marked_retry: bool,
 }
 
-/// The times of recent tries, by class; marked retries are left out.
+/// The timeouts of recent tries, by class; marked retries are left out.
 pub(super) struct TryTimes(Vec<RecentSamples>);
 
 impl TryTimes {
@@ -28,7 +29,7 @@
         TryTimes(vec![RecentSamples::new(SAMPLES); class_count])
     }
 
-    /// Takes new classes; `previous_class` tells which class each new one was before.
+    /// Applies new classes; `previous_class` maps a class to its index among the old ones, if any.
     pub fn reconfigure(&mut self, class_count: usize, previous_class: impl Fn(usize) -> Option<usize>) {
         let old_times = |class| self.0.get(previous_class(class)?).cloned();
         self.0 = (0..class_count)
@@ -36,8 +37,8 @@
             .collect();
     }
 
-    /// Takes in a try; whether it is a first one. Where clients do not mark retries, an uncommon time counts as a
-    /// first try while `has_spare_capacity`.
+    /// Records a try; returns whether it is taken for a first one. If clients do not mark retries, a try with an uncommon
+    /// timeout counts as a first one while `has_spare_capacity`.
     pub fn record_try(
         &mut self,
         class: usize,
--- a/src/balancer/endpoint_set.rs
+++ b/src/balancer/endpoint_set.rs
@@ -1,4 +1,4 @@
-//! The replicas there are, by cell, and who holds a shard.
+//! The known replicas, by cell, and which of them hold a shard.
 
 use super::replica::Replica;
 use super::slow_start::SlowStart;
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::collections::btree_map;
 
-/// All replicas that are up, draining, or were so a short while ago.
+/// All replicas that are up or draining, and for a while those that are gone.
 pub(super) struct EndpointSet {
     replicas: BTreeMap<ReplicaId, Replica>,
     /// Replicas that are up, by cell.
@@ -106,7 +106,7 @@
         self.mean_weight
     }
 
-    /// Forgets replicas that have been down for longer than any takes to warm up.
+    /// Forgets replicas that have been down for at least `after` and have no call in flight.
     pub fn forget_gone(&mut self, now: Millis, after: Millis) {
         self.replicas.retain(|_, replica| {
             replica.down_since = if replica.is_up { None } else { replica.down_since.or(Some(now)) };
@@ -115,7 +115,7 @@
     }
 }
 
-/// Applies one line of the list. `is_later_change`: the line is a change to a list that is known already.
+/// Applies one entry of the list. `is_later_change`: the line is a change to a list that is known already.
 fn apply_entry(replica: &mut Replica, entry: &ReplicaEntry, now: Millis, is_later_change: bool) {
     let was_up = replica.is_up;
     replica.is_up = entry.state == ReplicaState::Up;
@@ -125,8 +125,7 @@
     replica.weight = if is_valid_weight { entry.weight } else { 1.0 };
 
     let listed_start = entry.started_at.filter(|at| at.is_finite() && *at > 0.0).map(|at| at.min(now));
-    // A replica that a change names for the first time, without a start, is taken as started now: the list may not
-    // know when it was.
+    // A replica that comes up by a change to the list, without a start time, is taken to have started now.
     let is_unknown_start = is_later_change
         && !was_up
         && replica.is_up
--- a/src/balancer/endpoint_watch.rs
+++ b/src/balancer/endpoint_watch.rs
@@ -2,7 +2,7 @@
 
 use super::Millis;
 
-/// A failed watch is opened again after this share of the longest poll interval, or up to twice that.
+/// Backoff before a failed watch is opened again, as a share of the longest poll interval; jitter adds up to as much.
 const RETRY_SHARE: f64 = 1.0 / 8.0;
 /// A request for a watch is repeated after this share of the longest poll interval.
 const REPEAT_SHARE: f64 = 1.0 / 4.0;
@@ -20,7 +20,7 @@
         EndpointWatch { is_open: !is_polled, is_requested: false, next_request_at: 0.0 }
     }
 
-    /// A list has come. The one known at the start opens no watch.
+    /// A list has arrived. The one known at the start does not show that a watch is open.
     pub fn on_list(&mut self) {
         self.is_open |= self.is_requested;
     }
--- a/src/balancer/event.rs
+++ b/src/balancer/event.rs
@@ -1,4 +1,4 @@
-//! What the balancer is told: endpoint lists, queries, the ends of attempts and health checks, timers.
+//! The inputs of the balancer: endpoint lists, queries, the ends of attempts and health checks, timers.
 
 use super::{Millis, PartId, QueryId, ReplicaId};
 
@@ -71,6 +71,15 @@
     }
 }
 
+/// The result of an attempt or a health check.
+#[derive(Clone, Copy)]
+pub(super) struct CallResult {
+    pub outcome: Outcome,
+    /// The time since it was sent.
+    pub elapsed: Millis,
+    pub report: Option<LoadReport>,
+}
+
 /// A replica's report of its load. Values that are negative or not finite are ignored.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
@@ -82,7 +91,7 @@
     pub utilization: Option<f64>,
 }
 
-/// What the balancer is told. Events about unknown ids are ignored.
+/// An input of [`Balancer::handle`](super::Balancer::handle). Events about unknown ids are ignored.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// The endpoint list, or changes to it.
--- a/src/balancer/health_checks.rs
+++ b/src/balancer/health_checks.rs
@@ -5,22 +5,22 @@
 use super::outlier_detection::{FailingShare, MAX_EVIDENCE};
 use super::statistics::{RecentSamples, finite_or};
 
-/// A check is waited for this many times as long as three in four take.
+/// The selection of a replica waits for a check up to this many times the given quantile of recent durations.
 const PATIENCE_RATIO: f64 = 2.0;
 const PATIENCE_QUANTILE: f64 = 0.75;
-/// But no longer than this share of the median latency: the delay must be small next to what a better choice saves.
+/// Upper bound of that wait, as a share of the median latency: it has to cost less than a better choice saves.
 const MAX_PATIENCE_SHARE: f64 = 0.25;
-/// The least patience, in units of the timer's granularity.
+/// Lower bound of that wait, in units of the timer's granularity.
 const MIN_PATIENCE_TICKS: f64 = 2.0;
 /// A report is fresh for this many median latencies.
 const FRESH_MEDIANS: f64 = 2.0;
-/// Every query uses checks where the tail latency is this share of the shortest latency objective, or where this
-/// share of the attempts fails; at half of that none needs to.
+/// All queries use checks if the tail latency is this share of the shortest latency objective, or if this share of the
+/// attempts fails; at half of either, only the sampled minimum does.
 const FULL_USE_TAIL_SHARE: f64 = 0.6;
 const FULL_USE_FAILING_SHARE: f64 = 0.12;
-/// At least this share of the queries uses checks, so that their durations stay known.
+/// At least this share of the queries uses checks, to keep the estimate of their duration current.
 const MIN_SAMPLED_SHARE: f64 = 0.1;
-/// A check that costs more of the whole result than this never pays.
+/// Checks are not used if one costs more than this share of the whole result.
 const MAX_WORTHWHILE_COST: f64 = 0.02;
 
 /// The health checks of one replica.
@@ -52,22 +52,22 @@
         self.durations.push(finite_or(duration, 0.0));
     }
 
-    /// Computes the usual duration anew.
+    /// Recomputes the usual duration.
     pub fn refresh(&mut self) {
         if self.durations.len() >= ENOUGH_SAMPLES {
             self.usual_duration = self.durations.quantile(PATIENCE_QUANTILE);
         }
     }
 
-    /// How long the answer to a check is waited for before a replica is chosen without it.
+    /// How long to wait for the answer to a check before a replica is chosen without it.
     pub fn patience(&self, median_latency: Millis, granularity: Millis) -> Millis {
         let least = MIN_PATIENCE_TICKS * granularity;
         let most = (MAX_PATIENCE_SHARE * median_latency).max(least);
         (PATIENCE_RATIO * self.usual_duration).clamp(least, most)
     }
 
-    /// The queue that the duration of a check implies, in parts: a check waits as a part does. It bounds the reports
-    /// of replicas that say less than they have.
+    /// The queue that the duration of a check implies, in parts, since a check waits in the queue as a part does. It is
+    /// the lower bound for replicas that report less than they have.
     pub fn implied_queue(&self, duration: Millis, queued_part_time: Millis) -> f64 {
         ((duration - self.usual_duration / PATIENCE_RATIO) / queued_part_time).clamp(0.0, MAX_EVIDENCE)
     }
--- a/src/balancer/latency.rs
+++ b/src/balancer/latency.rs
@@ -41,13 +41,13 @@
         }
     }
 
-    /// Takes the latency of an answer, and how many parts were at the replica before it.
+    /// Records the latency of an answer, and how many parts were at the replica when it was sent.
     pub fn record(&mut self, latency: Millis, parts_before: f64) {
         self.per_queued_part.push(latency / (parts_before + 1.0));
         self.latencies.push(latency);
     }
 
-    /// Computes the estimates anew. `granularity` is the shortest time that the caller can tell from none.
+    /// Recomputes the estimates. `granularity` is the shortest time that the caller can measure.
     pub fn refresh(&mut self, granularity: Millis) {
         if !self.is_established() {
             return;
@@ -73,7 +73,7 @@
         self.tail
     }
 
-    /// What ends sooner has cost the replica no work; 0 until the median is established.
+    /// An error that comes sooner has cost the replica no work; 0 until the median is established.
     pub fn immediate(&self) -> Millis {
         self.immediate
     }
--- a/src/balancer/load_reports.rs
+++ b/src/balancer/load_reports.rs
@@ -1,18 +1,18 @@
-//! Load reports: the queue that each replica says it has, and how far such reports have foretold latencies.
+//! Load reports: the queue that each replica says it has, and how well such reports have predicted latencies.
 
 use super::replica::Replica;
 use super::statistics::{DecayingRegression, RunningMean};
 use super::{LoadReport, Millis};
 
-/// A report fades to the mean of the other replicas over this many median latencies: the queue has turned over.
+/// A report fades to the mean of the other replicas over this many median latencies, within which a queue turns over.
 const FADE_MEDIANS: f64 = 4.0;
-/// Beyond this utilization a queue cannot be told from it.
+/// Utilization is capped here: beyond it, it says nothing about the queue.
 const MAX_UTILIZATION: f64 = 0.9;
-/// Reports are judged over about this many answers.
+/// The regression covers about this many answers.
 const REGRESSION_MEMORY: f64 = 1024.0;
-/// Reports are believed until they have varied by this much, squared.
+/// Prior of the regression: until reports have varied by this much (squared parts), they are largely trusted.
 const REGRESSION_PRIOR: f64 = 8.0;
-/// A single answer counts for no more parts than this in the regression.
+/// Bound on the excess latency of one answer in the regression, in parts.
 const MAX_EXCESS: f64 = 12.0;
 
 /// The last report of a replica.
@@ -24,13 +24,13 @@
 }
 
 impl ReportedQueue {
-    /// What a report says about the queue, if anything. `own_calls` of the requests in flight there are of this
-    /// aggregator; `lower_bound` is what is known otherwise.
+    /// The queue that a report implies, if any. `own_calls` of the requests in flight at the replica are this
+    /// aggregator's; `lower_bound` is a lower bound on the queue in parts, known by other means.
     pub fn from_report(report: &LoadReport, own_calls: f64, lower_bound: f64, now: Millis) -> Option<Self> {
         let is_valid = |value: &f64| value.is_finite() && *value >= 0.0;
         let queue = report.queue.filter(is_valid);
         let of_others = report.inflight.filter(is_valid).map(|in_flight| in_flight - own_calls);
-        // What waits at random arrivals and this utilization.
+        // The mean number of requests at an M/M/1 server of this utilization.
         let by_utilization =
             report.utilization.filter(is_valid).map(|share| share / (1.0 - share.min(MAX_UTILIZATION)));
         let queue = queue.or(of_others).or(by_utilization)?;
@@ -43,12 +43,12 @@
 pub(super) struct LoadReports {
     /// Over the replicas that are up.
     mean: RunningMean,
-    /// How much longer answers took than was expected without reports, in parts, by what reports said.
+    /// Excess latency of answers over what was expected without reports, in parts, against the reported queue.
     regression: DecayingRegression,
 }
 
 impl LoadReports {
-    /// Computes the mean anew from the replicas that are up.
+    /// Recomputes the mean over the replicas that are up.
     pub fn reindex<'a>(&mut self, up: impl Iterator<Item = &'a Replica>) {
         self.mean = RunningMean::default();
         for report in up.filter_map(|replica| replica.reported_queue) {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Takes a replica's new report.
+    /// Replaces the report of a replica.
     pub fn record(&mut self, replica: &mut Replica, report: ReportedQueue) {
         if replica.is_up {
             self.mean.replace(replica.reported_queue.map(|old| old.queue), report.queue);
@@ -64,8 +64,8 @@
         replica.reported_queue = Some(report);
     }
 
-    /// The queue at a replica by its report, fading with its age to the mean of the others, so that a frozen or
-    /// false report cannot rule for long.
+    /// The queue at a replica by its report, in parts. It fades with its age to the mean of the others, so that a stuck
+    /// report loses its effect.
     pub fn queue_at(&self, replica: &Replica, now: Millis, median_latency: Millis) -> f64 {
         let own = replica.reported_queue.filter(|_| replica.is_up).map(|report| report.queue);
         let mean = self.mean.excluding(own);
@@ -75,14 +75,14 @@
         })
     }
 
-    /// How far reports are believed, from 0 to 1: as far as answers took longer where more was reported. Reports
-    /// that are older than the work they count foretell nothing, however lately they came.
+    /// How far reports are trusted, from 0 to 1: as far as answers took longer where more was reported. Reports that
+    /// lag behind the actual queue predict nothing, even if they arrived recently.
     pub fn trust(&self) -> f64 {
         self.regression.slope(REGRESSION_PRIOR).clamp(0.0, 1.0)
     }
 
-    /// Compares an answer's latency with what its replica had reported: `latency_in_parts` is the latency over the
-    /// time a queued part takes, `busyness` what was expected to be there, reports included.
+    /// Compares an answer's latency with what its replica had reported: `latency_in_parts` is the latency divided by the
+    /// time that a queued part takes, `busyness` the parts expected at the replica, reports included.
     pub fn record_answer(&mut self, reported: f64, latency_in_parts: f64, busyness: f64) {
         let excess = latency_in_parts - busyness - 1.0 + self.trust() * reported;
         self.regression.add(reported, excess.clamp(-MAX_EXCESS, MAX_EXCESS), REGRESSION_MEMORY);
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -6,16 +6,16 @@
 //! | question | module |
 //! | --- | --- |
 //! | which replica gets a part (power of two choices) | `selection` |
-//! | who holds a shard | `endpoint_set` |
-//! | when a part is retried or hedged, and what an attempt's end tells | `attempts`, `retry_budget` |
+//! | which replicas hold a shard | `endpoint_set` |
+//! | when a part is retried or hedged, and what the end of an attempt changes | `attempts`, `retry_budget` |
 //! | when a replica is ejected as an outlier | `outlier_detection` |
-//! | how a warming replica is spared | `slow_start` |
-//! | what a load report is worth, when a health check is sent | `load_reports`, `health_checks` |
+//! | how much a replica gets while it warms up | `slow_start` |
+//! | how far load reports are trusted, when a health check is sent | `load_reports`, `health_checks` |
 //! | which queries are shed | `query_arrival`, `admission`, `priority`, `client_retries` |
-//! | what of a query is sent next, when it is answered | `query_sending`, `query_progress`, `query_end` |
+//! | which parts of a query are sent next, when it is answered | `query_sending`, `query_progress`, `query_end` |
 //!
-//! [`Balancer`] holds a value of each concern; only there do they meet. The random draws have a fixed order, so that
-//! the same events and seed give the same actions.
+//! [`Balancer`] owns the state of each concern and is the only code that connects them. Random numbers are drawn in a
+//! fixed order, so that the same events and seed give the same actions.
 
 mod action;
 mod admission;
--- a/src/balancer/outlier_detection.rs
+++ b/src/balancer/outlier_detection.rs
@@ -1,7 +1,7 @@
 //! Outlier detection: which replicas fail, are slow, or are silent, by the evidence of recent attempts.
 //!
-//! Evidence decays with time, so that an ejected replica gets a trial part again without any timer of its own. An
-//! outlier is not removed: it is drawn only where too few others are left, and loses by its cost.
+//! Evidence decays with time, so that an ejected replica gets a trial part again without a timer of its own. Ejection
+//! is soft: an outlier is drawn only if too few other holders are left, and its cost is high.
 
 use super::replica::Replica;
 use super::{Millis, Outcome};
@@ -14,17 +14,17 @@
 const OUTLIER_SLOWDOWN: f64 = 4.0;
 /// Recent failures beyond which a replica is an outlier.
 pub(super) const OUTLIER_FAILURES: f64 = 2.0;
-/// What a failed attempt counts for, other than one that was rejected.
+/// The weight of a failed attempt; a rejected one has weight 1.
 const FAILURE_WEIGHT: f64 = 3.0;
-/// Fewer recent failures than this count as none: otherwise their remainder would decide every tie.
+/// Fewer recent failures than this count as none: otherwise a decayed remainder would decide every tie.
 const MIN_FAILURES: f64 = 0.25;
-/// Evidence halves within this many of the longest latency objectives, or of the gaps between two answers of a
-/// replica where this aggregator seldom hears of it.
+/// The half-life of evidence: this many of the longest latency objectives, or this many mean gaps between two answers of
+/// a replica if that is longer.
 const HALF_LIFE_OBJECTIVES: f64 = 1.5;
 const HALF_LIFE_GAPS: f64 = 2.0;
 /// The longest half-life, as a multiple of the shortest.
 const MAX_HALF_LIFE_RATIO: f64 = 4.0;
-/// About this many attempts count in the share of failing attempts.
+/// The share of failing attempts is a moving average over about this many attempts.
 const FAILING_SHARE_MEMORY: f64 = 64.0;
 
 /// How long evidence takes to halve.
@@ -34,11 +34,11 @@
     gap.clamp(shortest, MAX_HALF_LIFE_RATIO * HALF_LIFE_OBJECTIVES * longest_objective)
 }
 
-/// Against what a replica's evidence is judged at one moment.
+/// The criteria by which the evidence against replicas is judged at one moment.
 #[derive(Clone, Copy)]
 pub(super) struct OutlierCriteria {
     pub now: Millis,
-    /// When this aggregator last resumed after a stall: silence before that is no evidence.
+    /// When this aggregator last resumed after a stall; silence before that is no evidence.
     pub resumed_at: Millis,
     pub median_latency: Millis,
     pub half_life: Millis,
@@ -74,7 +74,7 @@
 
 /// Evidence with its decay up to now.
 pub(super) struct DecayedEvidence {
-    /// Recent failures, which count as parts that are still out.
+    /// Recent failures; each adds to the replica's load as one part in flight would.
     pub failures: f64,
     /// How many times slower than the median its answers were.
     pub slowdown: f64,
@@ -116,7 +116,7 @@
         self.on_probation = false;
     }
 
-    /// Takes a new judgement; true if it has changed.
+    /// Sets whether the replica is ejected; returns whether that has changed.
     pub fn set_ejected(&mut self, is_outlier: bool) -> bool {
         let changed = self.is_ejected != is_outlier;
         self.is_ejected = is_outlier;
@@ -148,12 +148,12 @@
         self.slowdown = self.slowdown.max(ratio.min(silent_for / criteria.median_latency));
     }
 
-    /// An attempt failed that has cost no work, or a health check failed: never enough by itself for an ejection.
+    /// A health check failed: never enough for an ejection, not even with earlier failures.
     pub fn record_minor_failure(&mut self) {
         self.failures = (self.failures + 1.0).min(OUTLIER_FAILURES);
     }
 
-    /// An error came at once: as a minor failure, but what is known already stands.
+    /// An error came at once. Such errors alone never eject a replica, and do not lower the count of earlier failures.
     pub fn record_immediate_error(&mut self) {
         self.failures = self.failures.max((self.failures + 1.0).min(OUTLIER_FAILURES));
     }
@@ -165,7 +165,7 @@
         self.failures = (self.failures + weight * self.streak).min(MAX_EVIDENCE);
     }
 
-    /// Whether the attempt before failed as well.
+    /// Whether attempts have failed lately; each answer halves their number.
     pub fn has_failed_before(&self) -> bool {
         self.streak >= 1.0
     }
--- a/src/balancer/part.rs
+++ b/src/balancer/part.rs
@@ -1,4 +1,4 @@
-//! What is remembered of parts and their attempts.
+//! The records of parts and their attempts.
 
 use super::replica::CallNumber;
 use super::{Idempotency, Millis, Outcome, QueryId, ReplicaId};
@@ -14,9 +14,9 @@
     pub replica: ReplicaId,
     pub sent_at: Millis,
     pub call: CallNumber,
-    /// How busy its replica was by all that was known.
+    /// The load of its replica when it was sent, in parts (see `Scoring::busyness`).
     pub busyness: f64,
-    /// The queue that its replica had reported.
+    /// The reported queue of its replica when it was sent, in parts.
     pub reported_queue: f64,
     /// None while it is in flight.
     pub outcome: Option<Outcome>,
@@ -34,7 +34,7 @@
     pub is_over: bool,
     /// Drawn for the next attempt, while health checks are waited for.
     pub candidates: Option<Candidates>,
-    /// What was expected when its query came; infinite without a holder.
+    /// Expected when its query arrived; infinite without a holder of the shard.
     pub expected_latency: Millis,
 }
 
@@ -65,7 +65,7 @@
         self.attempts.iter().any(|attempt| attempt.replica == replica)
     }
 
-    /// Whether it may have cost a replica work.
+    /// Whether an attempt of it may have cost a replica work.
     pub fn may_have_cost_work(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.may_have_cost_work)
     }
@@ -76,8 +76,8 @@
         self.attempts.iter().find(maybe_executed).map(|attempt| attempt.sent_at)
     }
 
-    /// The time by which a retry has to have been sent, because replicas drop repeats only for a while. None without a
-    /// bound. The timer's granularity, by which times are rounded, is taken off.
+    /// The time by which a retry has to be sent, since replicas deduplicate by idempotency key only for a while. None
+    /// without a bound. The timer's granularity, by which times are rounded, is subtracted.
     pub fn send_retries_by(&self, idempotency: Idempotency, granularity: Millis) -> Option<Millis> {
         let Idempotency::Keyed { window } = idempotency else { return None };
         self.maybe_executed_at().map(|sent_at| sent_at + window - granularity)
--- a/src/balancer/priority.rs
+++ b/src/balancer/priority.rs
@@ -1,15 +1,15 @@
-//! The priority of a query: its class's weight for each part of work, and its tenant's quota.
+//! The priority of a query: the weight of its class per part, and the quota of its tenant.
 
 use super::outlier_detection::MOVING_AVERAGE_WEIGHT;
 use super::statistics::finite_or;
 use super::{Settings, Tenant};
 
-/// Queries that a tenant's unused quota saves up for, at most.
-const MAX_SAVED_QUERIES: f64 = 8.0;
+/// Capacity of a tenant's token bucket; a query takes one token.
+const BUCKET_CAPACITY: f64 = 8.0;
 
 /// The priorities of classes and the quotas of tenants.
 pub(super) struct Priorities {
-    /// Weight of each class for a part of its queries, a moving average; 0 before the first query.
+    /// Weight per part of each class, a moving average over its queries; 0 before the first one.
     weight_per_part: Vec<f64>,
     quotas: Quotas,
 }
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Takes new settings; `previous_class` tells which class each new one was before.
+    /// Applies new settings; `previous_class` maps a class to its index in the old ones, if any.
     pub fn reconfigure(&mut self, settings: &Settings, previous_class: impl Fn(usize) -> Option<usize>) {
         let old_weight = |class| {
             let previous = previous_class(class)?;
@@ -33,7 +33,7 @@
         self.quotas = Quotas::new(&settings.tenants);
     }
 
-    /// Takes in a query and gives its priority, from 0 to 1, against the class with the greatest weight for a part.
+    /// Records a query; returns its priority, from 0 to 1, relative to the class with the greatest weight per part.
     pub fn record_query(
         &mut self,
         settings: &Settings,
@@ -58,11 +58,14 @@
     }
 }
 
-/// Quotas as proportions of the traffic, since an aggregator does not know how much of a tenant's traffic it gets:
-/// each query brings every tenant its share of one query, saved up to a bound.
+/// Token buckets of the tenants. An aggregator does not know which part of a tenant's traffic it gets, so quotas are
+/// taken as proportions: each query refills the buckets by one token altogether, divided by quota.
 struct Quotas {
-    shares: Vec<f64>,
-    saved: Vec<f64>,
+    /// Tokens that each query adds, by tenant.
+    refills: Vec<f64>,
+    /// Tokens available, by tenant.
+    tokens: Vec<f64>,
+    /// The last query of a known tenant was within the quota.
     last_within: bool,
 }
 
@@ -72,20 +75,20 @@
             tenants.iter().map(|tenant| finite_or(tenant.quota_per_s, 0.0).max(0.0)).collect();
         let total = rates.iter().sum::<f64>().max(f64::MIN_POSITIVE);
         Quotas {
-            saved: vec![MAX_SAVED_QUERIES; rates.len()],
-            shares: rates.iter().map(|rate| rate / total).collect(),
+            tokens: vec![BUCKET_CAPACITY; rates.len()],
+            refills: rates.iter().map(|rate| rate / total).collect(),
             last_within: true,
         }
     }
 
-    /// Counts a tenant's query; whether it was within the quota. An unknown tenant has no quota to exceed.
+    /// Takes a token for a tenant's query; returns whether there was one. An unknown tenant has no quota to exceed.
     fn take(&mut self, tenant: usize) -> bool {
-        for (saved, share) in self.saved.iter_mut().zip(&self.shares) {
-            *saved = (*saved + share).min(MAX_SAVED_QUERIES);
+        for (tokens, refill) in self.tokens.iter_mut().zip(&self.refills) {
+            *tokens = (*tokens + refill).min(BUCKET_CAPACITY);
         }
-        let Some(saved) = self.saved.get_mut(tenant) else { return true };
-        self.last_within = *saved >= 1.0;
-        *saved = (*saved - 1.0).max(0.0);
+        let Some(tokens) = self.tokens.get_mut(tenant) else { return true };
+        self.last_within = *tokens >= 1.0;
+        *tokens = (*tokens - 1.0).max(0.0);
         self.last_within
     }
 }
--- a/src/balancer/query_arrival.rs
+++ b/src/balancer/query_arrival.rs
@@ -6,16 +6,25 @@
 use super::event::PartSpec;
 use super::health_checks::sampled_share;
 use super::part::Part;
-use super::query_progress::{Query, QueryArrival};
+use super::query_progress::Query;
 use super::selection::Scoring;
 use super::state::Balancer;
 use super::statistics::finite_or;
 use super::sweep::SWEEP_TICKS;
 use super::{Class, Millis, PartId, QueryId};
 
-/// A late answer is worked for where it keeps this share of its value.
+/// Work on a query goes on after its latency objective if a late answer keeps at least this share of the value.
 const MIN_LATE_VALUE: f64 = 0.2;
 
+/// A query as it arrives.
+pub(super) struct QueryArrival {
+    pub query: QueryId,
+    pub class: usize,
+    pub tenant: Option<usize>,
+    pub time_left: Millis,
+    pub is_retry: bool,
+}
+
 /// The times of a query, on the caller's clock.
 struct QueryTimes {
     /// The time to the latency objective, less what the client has waited in earlier tries.
@@ -72,7 +81,7 @@
         self.advance(id, actions);
     }
 
-    /// The parts of a query's second step have come.
+    /// Adds the parts of a query's second step and sends them.
     pub(super) fn receive_second_step(&mut self, id: QueryId, parts: &[PartSpec], actions: &mut Vec<Action>) {
         if self.queries.get(&id).is_some_and(Query::awaits_second_step) {
             self.add_parts(id, parts);
@@ -84,7 +93,7 @@
         let hinted_cost: f64 =
             parts.iter().filter_map(|part| part.cost_hint).filter(|hint| hint.is_finite()).sum();
         let time_left = finite_or(arrival.time_left, class.deadline).clamp(0.0, class.deadline);
-        // An answer has to leave before the client gives up, and sweeps give it only now and then.
+        // The answer has to be sent before the client gives up, and may have to wait for the next sweep.
         let margin = (SWEEP_TICKS + 1.0) * self.settings.timer_granularity.max(1.0);
         let answer_by = self.now + time_left - margin;
         let full_objective = class.latency_objective + class.objective_stretch * hinted_cost.max(0.0);
--- a/src/balancer/query_end.rs
+++ b/src/balancer/query_end.rs
@@ -1,19 +1,66 @@
-//! The end of queries: the one final answer, what it tells the admission control, and what is forgotten.
+//! The end of queries: the one final answer, its feedback to admission control, and the removal of parts.
 
 use super::action::Action;
 use super::part::Part;
 use super::query_progress::{Query, WEIGHT_ROUNDING};
 use super::state::Balancer;
-use super::{Millis, PartId, QueryId};
+use super::{Class, Millis, PartId, QueryId};
 
-/// Coverage below this is none at all.
+/// Less coverage than this counts as none.
 const MIN_ANSWERED_COVERAGE: f64 = 4.0 * WEIGHT_ROUNDING;
 
+/// What the attempts of a query's parts have come to.
+struct QueryResult {
+    /// The weight of the answered parts.
+    answered: f64,
+    is_complete: bool,
+    /// An answer may be given, complete or partial.
+    is_answerable: bool,
+    /// A replica may have worked on it.
+    has_cost_work: bool,
+    /// A replica may have executed a part of it.
+    maybe_executed: bool,
+}
+
+impl QueryResult {
+    /// The share of its value that the answer has if it is in time.
+    fn value(&self, class: &Class) -> f64 {
+        if self.is_complete {
+            return 1.0;
+        }
+        class.partial_value_factor * self.answered / class.complete_coverage
+    }
+}
+
 impl Balancer {
-    /// Ends a query: with an answer if one may be given, else rejected where asking again is harmless, else failed.
+    /// Ends a query: with an answer if one may be given, else rejected where a retry is harmless, else failed.
     pub(super) fn finish(&mut self, id: QueryId, actions: &mut Vec<Action>) {
         let Some(query) = self.queries.get(&id) else { return };
         let class = query.class;
+        let result = self.query_result(query);
+        // A query that was rejected everywhere has cost nothing, and is no evidence about its chance.
+        if query.admission_chance > 0.0 && result.has_cost_work {
+            let is_in_time = result.is_answerable && self.now <= query.objective_at;
+            let value = if is_in_time { result.value(&class) } else { 0.0 };
+            let chance = query.admission_chance;
+            self.admission.record_query(self.admission_context(), chance, value);
+        }
+        if result.is_answerable {
+            actions.push(Action::Answer { query: id, complete: result.is_complete });
+            if !query.in_second_step && class.second_step_parts > 0 {
+                return self.begin_second_step(id, result.is_complete, actions);
+            }
+        } else if query.is_idempotent() || !result.maybe_executed {
+            let retry_after = self.retry_after(query);
+            actions.push(Action::Reject { query: id, retry_after });
+        } else {
+            actions.push(Action::Fail { query: id });
+        }
+        self.close(id, actions);
+    }
+
+    fn query_result(&self, query: &Query) -> QueryResult {
+        let class = &query.class;
         let parts = || query.parts.iter().filter_map(|part| self.parts.get(part));
         let answered: f64 = parts().filter(|part| part.is_answered).map(|part| part.weight).sum();
         let is_complete = if query.in_second_step {
@@ -26,36 +73,16 @@
         let is_answerable = !query.parts.is_empty()
             && answered >= minimum.max(MIN_ANSWERED_COVERAGE) - WEIGHT_ROUNDING
             && parts().any(|part| part.is_answered);
-        let has_cost_work = parts().any(Part::may_have_cost_work);
-        let maybe_executed = query.in_second_step || parts().any(|part| part.maybe_executed_at().is_some());
-
-        // A query that was rejected everywhere has cost nothing and says nothing of its chance.
-        if query.admission_chance > 0.0 && has_cost_work {
-            let full_value = if is_complete {
-                1.0
-            } else {
-                class.partial_value_factor * answered / class.complete_coverage
-            };
-            let is_in_time = is_answerable && self.now <= query.objective_at;
-            let value = if is_in_time { full_value } else { 0.0 };
-            let chance = query.admission_chance;
-            self.admission.record_query(self.admission_context(), chance, value);
+        QueryResult {
+            answered,
+            is_complete,
+            is_answerable,
+            has_cost_work: parts().any(Part::may_have_cost_work),
+            maybe_executed: query.in_second_step || parts().any(|part| part.maybe_executed_at().is_some()),
         }
-        if is_answerable {
-            actions.push(Action::Answer { query: id, complete: is_complete });
-            if !query.in_second_step && class.second_step_parts > 0 {
-                return self.begin_second_step(id, is_complete, actions);
-            }
-        } else if query.is_idempotent() || !maybe_executed {
-            let retry_after = self.retry_after(query);
-            actions.push(Action::Reject { query: id, retry_after });
-        } else {
-            actions.push(Action::Fail { query: id });
-        }
-        self.close(id, actions);
     }
 
-    /// When a rejected client may come back: soon after bad luck, late after a rejection for load.
+    /// The Retry-After of a rejected query: long if it was rejected for load, else one median latency.
     fn retry_after(&self, query: &Query) -> Option<Millis> {
         let median = self.latency.median();
         let is_for_load = self.admission.is_shedding() || self.now + median > query.objective_at;
@@ -79,7 +106,7 @@
         self.release(&query.parts, actions);
     }
 
-    /// Gives up parts. What is in flight is cancelled where that is allowed, and remembered until its end is told.
+    /// Gives up parts. Attempts in flight are cancelled where that is allowed; their parts are kept until they end.
     fn release(&mut self, parts: &[PartId], actions: &mut Vec<Action>) {
         for id in parts {
             self.in_flight = self.in_flight.saturating_sub(1);
--- a/src/balancer/query_progress.rs
+++ b/src/balancer/query_progress.rs
@@ -1,18 +1,18 @@
-//! How far a query has come, and what its parts need, as a function of its parts.
+//! The state of a query, and its progress as a sum over its parts.
 
-use super::{Class, Idempotency, Millis, PartId, QueryId};
+use super::{Class, Idempotency, Millis, PartId};
 
 /// Sums of weights may fall short by this through rounding.
 pub(super) const WEIGHT_ROUNDING: f64 = 5e-5;
 
 pub(super) struct Query {
-    /// Its replicas are chosen by health checks.
+    /// Its candidates are health-checked before a replica is chosen.
     pub uses_health_checks: bool,
-    /// The rules as they were when it came: its class, and what its parts may do.
+    /// Its class; this and the next two are as they were when it arrived.
     pub class: Class,
     pub max_attempts: u32,
     pub hedging_allowed: bool,
-    /// The chance by which it was admitted; 0 where it does not count for the calibration.
+    /// The chance by which it was admitted; 0 if it does not count for the calibration of chances.
     pub admission_chance: f64,
     pub objective_at: Millis,
     pub deadline_at: Millis,
@@ -59,7 +59,7 @@
     }
 }
 
-/// Where a part stands.
+/// The status of one part.
 pub(super) enum PartStatus {
     Answered,
     InFlight {
@@ -69,7 +69,7 @@
     Unsent,
     /// All attempts have failed, another one may be sent.
     Retryable,
-    /// Nothing can come of it any more.
+    /// It cannot be answered any more.
     Lost,
 }
 
@@ -116,7 +116,7 @@
         is_complete || is_best_partial
     }
 
-    /// Whether no answer can come of the query any more.
+    /// Whether the query cannot be answered any more, not even partially.
     pub fn is_lost(&self, coverage: &Coverage) -> bool {
         self.reachable < coverage.minimum
     }
@@ -128,12 +128,3 @@
             && class.partial_value_factor * self.answered / coverage.complete >= class.late_value_factor
     }
 }
-
-/// A query as it arrives.
-pub(super) struct QueryArrival {
-    pub query: QueryId,
-    pub class: usize,
-    pub tenant: Option<usize>,
-    pub time_left: Millis,
-    pub is_retry: bool,
-}
--- a/src/balancer/query_sending.rs
+++ b/src/balancer/query_sending.rs
@@ -1,4 +1,4 @@
-//! What a query needs next: whether it is decided, and which of its parts are sent, retried or hedged.
+//! The next step of a query: whether it ends now, and which of its parts are sent, retried or hedged.
 
 use super::action::Action;
 use super::attempts::HEDGE_TAILS;
@@ -11,15 +11,16 @@
 
 /// The second step is left at most this share of the latency objective.
 const MAX_SECOND_STEP_SHARE: f64 = 0.5;
-/// A query of at least so many parts for each replica sends a canary, for at most this share of its latency objective.
+/// A query of at least this many parts for each replica sends one part first, as a canary, and waits for its answer for at
+/// most a share of the latency objective.
 const CANARY_PARTS_PER_REPLICA: f64 = 0.5;
 const MAX_CANARY_SHARE: f64 = 0.3;
-/// Parts with a reset attempt beyond which a query that sends a canary is given up.
+/// A query that sends a canary is given up when more parts than this had an attempt reset.
 const MAX_RESET_PARTS: usize = 1;
-/// A partial answer is given so many units of the timer's granularity before it is due.
+/// A partial answer is sent this many units of the timer's granularity before the latency objective.
 const PARTIAL_MARGIN_TICKS: f64 = 2.0;
 
-/// What came of sending a part.
+/// The result of [`Balancer::send_part`].
 enum SendResult {
     /// The part is on its way, or waits for health checks.
     Committed,
@@ -30,7 +31,7 @@
 }
 
 impl Balancer {
-    /// Looks after one query: answers it, ends it, or sends what it needs.
+    /// Takes one query a step further: answers or ends it, or sends the attempts that it needs now.
     pub(super) fn advance(&mut self, id: QueryId, actions: &mut Vec<Action>) {
         let Some(query) = self.queries.get(&id) else { return };
         if query.awaits_second_step() {
@@ -46,6 +47,7 @@
         }
         let needs_canary = self.needs_canary(query, &progress);
         let crashes_replicas = needs_canary && self.crashes_replicas(query, &progress);
+        // Drawn before the query may end, since random numbers are drawn in a fixed order.
         let unsent = self.in_sending_order(&progress.unsent);
         if crashes_replicas {
             return self.finish(id, actions);
@@ -92,7 +94,7 @@
             }
             let is_indispensable = is_retry && progress.reachable - weight < coverage.minimum;
             if is_indispensable && !self.within_budget(false, BudgetUse::Required) {
-                // The client, told now, may still be in time elsewhere.
+                // Rejected now, the client may still get an answer in time from another aggregator.
                 return self.finish(id, actions);
             }
         }
@@ -116,7 +118,7 @@
         if in_flight > 0 {
             let hedge_is_due = in_flight < 2
                 && self.is_hedge_due(part, query, coverage.has_spare_parts())
-                && self.has_sound_alternative(part);
+                && self.has_healthy_alternative(part);
             return PartStatus::InFlight { hedge_is_due };
         }
         if part.attempts.is_empty() {
@@ -140,8 +142,8 @@
             || self.now >= query.deadline_at
     }
 
-    /// Whether a query sends one part first and the others once that is answered: one that asks most replicas, so that
-    /// a query that crashes whoever executes it does not take down all of them at once.
+    /// Whether a query sends one part first, as a canary, and the others once that is answered. A query to most replicas
+    /// does, so that one that crashes its replicas does not take all of them down at once.
     fn needs_canary(&self, query: &Query, progress: &Progress) -> bool {
         let is_wide = query.parts.len() as f64 >= CANARY_PARTS_PER_REPLICA * self.endpoints.len() as f64;
         let time_left = query.objective_at - self.now;
@@ -149,7 +151,7 @@
         is_wide && !query.in_second_step && progress.answered == 0.0 && has_time
     }
 
-    /// Whether so many parts of a query were reset that executing it seems to crash replicas.
+    /// Whether attempts of so many parts were reset that the query seems to crash its replicas.
     fn crashes_replicas(&self, query: &Query, progress: &Progress) -> bool {
         let was_reset = |part: &&PartId| {
             self.parts[*part].attempts.iter().any(|attempt| attempt.outcome == Some(Outcome::Reset))
@@ -157,7 +159,7 @@
         progress.retryable.len() > 1 && query.parts.iter().filter(was_reset).count() > MAX_RESET_PARTS
     }
 
-    /// Unsent parts, those at the least loaded shards first, with about one part's time of randomness.
+    /// Unsent parts, those of the least loaded shards first. Up to one queued part of jitter is added to the load of each.
     fn in_sending_order(&mut self, unsent: &[PartId]) -> Vec<PartId> {
         let queued_part_time = self.latency.queued_part_time();
         let mut keyed: Vec<(f64, PartId)> = Vec::with_capacity(unsent.len());
@@ -182,7 +184,7 @@
                 return SendResult::NotSent;
             }
         } else {
-            // With a part that no holder can serve in time the rest is work for nothing.
+            // Without this part there is no answer, so work on the others would be wasted.
             let time_left = query.deadline_at - self.now;
             if self.admission.is_hopeless(time_left / self.expected_latency(shard)) {
                 self.finish(query_id, actions);
@@ -193,7 +195,7 @@
         SendResult::Committed
     }
 
-    /// The time to leave for the second step of a class: after a first answer that is too late it brings nothing.
+    /// The time to reserve for the second step of a class: a first answer that leaves it too little is of no value.
     pub(super) fn second_step_time(&self, class: &Class, has_begun: bool) -> Millis {
         let has_second_step = class.second_step_parts > 0 && !has_begun;
         let needed = if has_second_step { HEDGE_TAILS * self.latency.tail() } else { 0.0 };
--- a/src/balancer/replica.rs
+++ b/src/balancer/replica.rs
@@ -1,4 +1,4 @@
-//! What is remembered of one replica. Each concern has a type of its own, which its module changes.
+//! The record of one replica. Each concern has its own type there, which only its module changes.
 
 use super::Millis;
 use super::health_checks::HealthCheckState;
--- a/src/balancer/retry_budget.rs
+++ b/src/balancer/retry_budget.rs
@@ -1,19 +1,20 @@
-//! The budget of attempts beyond each part's first: retries and hedged requests.
+//! Retry budgets: limits on retries and hedged requests, as a share of the traffic. There is one that the settings
+//! may configure, and an adaptive one that shrinks as latencies grow.
 
 use super::statistics::SlidingCount;
 use super::{Millis, RetryBudget};
 
-/// The balancer's own budget, as a share of the first attempts, while latencies are low.
-const OWN_SHARE: f64 = 0.2;
-/// That share falls as the median latency nears this share of the shortest latency objective: all replicas are slow
-/// then, and further attempts would make them slower.
-const OWN_SHARE_ENDS_AT: f64 = 0.4;
-/// But no lower than this fraction of it.
-const MIN_OWN_FRACTION: f64 = 0.1;
-/// Own attempts allowed in a window whatever the traffic.
-const OWN_FREE_ATTEMPTS: f64 = 2.0;
+/// The adaptive budget while latencies are low, as a share of the first attempts.
+const ADAPTIVE_SHARE: f64 = 0.2;
+/// That share falls to its minimum as the median latency approaches this share of the shortest latency objective: all
+/// replicas are slow then, and further attempts would make them slower.
+const MAX_MEDIAN_SHARE: f64 = 0.4;
+/// The minimum of the adaptive budget, as a fraction of its maximum.
+const MIN_ADAPTIVE_FRACTION: f64 = 0.1;
+/// Further attempts that the adaptive budget allows in a window whatever the traffic.
+const ADAPTIVE_FREE_ATTEMPTS: f64 = 2.0;
 
-/// Which part of the stated budget an attempt may use.
+/// How much of the configured budget an attempt may use.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum BudgetUse {
     /// A query cannot be answered without the attempt.
@@ -31,7 +32,7 @@
     }
 }
 
-/// How latencies stand against the objectives, by which the own budget is set.
+/// Latencies and objectives, which determine the adaptive budget.
 #[derive(Clone, Copy)]
 pub(super) struct LatencyPressure {
     pub median_latency: Millis,
@@ -42,8 +43,9 @@
 /// Counts of attempts in sliding windows, and the budget by them.
 #[derive(Default)]
 pub(super) struct RetryBudgets {
-    /// Queries and parts taken in: the base of the stated budget.
+    /// Queries and parts received: the base of the configured budget.
     received: SlidingCount,
+    /// The base of the adaptive budget.
     first_attempts: SlidingCount,
     further_attempts: SlidingCount,
 }
@@ -58,29 +60,29 @@
         window.add(now, 1);
     }
 
-    /// Whether the stated budget allows one more attempt. The window is widened by the timer's granularity on both
-    /// sides against rounding.
-    pub fn stated_allows(
+    /// Whether the configured budget, if any, allows one more attempt. Against rounding of times, the window of the
+    /// attempts is widened by the timer's granularity, and that of the base narrowed by it.
+    pub fn configured_allows(
         &self,
         now: Millis,
         granularity: Millis,
-        stated: Option<RetryBudget>,
+        configured: Option<RetryBudget>,
         usage: BudgetUse,
     ) -> bool {
-        stated
+        configured
             .is_none_or(|budget| self.allows(now, granularity, budget, &self.received, usage.usable_share()))
     }
 
-    /// Whether the balancer's own budget allows one more attempt. It stops storms: when all replicas are slow every
-    /// part is late, and hedged requests would add to that.
-    pub fn own_allows(&self, now: Millis, granularity: Millis, pressure: LatencyPressure) -> bool {
-        let headroom = 1.0 - pressure.median_latency / (OWN_SHARE_ENDS_AT * pressure.shortest_objective);
-        let own = RetryBudget {
-            free_attempts: OWN_FREE_ATTEMPTS,
-            share: OWN_SHARE * headroom.max(MIN_OWN_FRACTION),
+    /// Whether the adaptive budget allows one more attempt. It prevents retry storms: when all replicas are slow, every
+    /// part is late, and hedged requests would add to the load.
+    pub fn adaptive_allows(&self, now: Millis, granularity: Millis, pressure: LatencyPressure) -> bool {
+        let headroom = 1.0 - pressure.median_latency / (MAX_MEDIAN_SHARE * pressure.shortest_objective);
+        let adaptive = RetryBudget {
+            free_attempts: ADAPTIVE_FREE_ATTEMPTS,
+            share: ADAPTIVE_SHARE * headroom.max(MIN_ADAPTIVE_FRACTION),
             window: pressure.longest_objective,
         };
-        self.allows(now, granularity, own, &self.first_attempts, 1.0)
+        self.allows(now, granularity, adaptive, &self.first_attempts, 1.0)
     }
 
     fn allows(
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -1,6 +1,6 @@
 //! Selection of a replica: power of two choices, the less loaded of two random holders of the shard.
 //!
-//! All that is known of a replica acts through its cost, or on whether it may be drawn at all.
+//! What is known of a replica affects either its cost, or whether it may be drawn at all.
 
 use super::action::{Action, LogEvent};
 use super::endpoint_set::EndpointSet;
@@ -12,7 +12,7 @@
 use super::state::Balancer;
 use super::{LoadReportMode, Millis, PartId, ReplicaId};
 
-/// A replica less than this many times slower than the median costs no more: that is noise of the parts.
+/// Slowness up to this many times the median is taken for noise and does not raise a replica's cost.
 const TOLERATED_SLOWNESS: f64 = 1.5;
 /// Costs that differ by less than this many parts count as a tie where crossing zones has a cost.
 const ZONE_TIE: f64 = 1.2;
@@ -25,8 +25,8 @@
 }
 
 impl Scoring<'_> {
-    /// The parts at a replica: own calls in flight, recent failures, and the queue by its reports as far as those are
-    /// believed.
+    /// The load of a replica in parts: own calls in flight, recent failures, and the reported queue as far as reports are
+    /// trusted.
     pub fn busyness(&self, replica: &Replica) -> f64 {
         let reported = self.reported_queue(replica);
         replica.calls.len() as f64
@@ -55,13 +55,13 @@
     }
 
     /// Whether a replica is neither an outlier nor slow.
-    pub fn is_sound(&self, replica: &Replica) -> bool {
+    pub fn is_healthy(&self, replica: &Replica) -> bool {
         !self.is_outlier(replica) && self.criteria.slowness(replica) <= TOLERATED_SLOWNESS
     }
 }
 
 impl Balancer {
-    /// What the costs of replicas are judged by now.
+    /// The scoring of replicas by what is known now.
     pub(super) fn scoring(&self) -> Scoring<'_> {
         Scoring {
             endpoints: &self.endpoints,
@@ -75,8 +75,8 @@
         self.latency.queued_part_time() * self.scoring().least_cost(shard)
     }
 
-    /// Chooses the replica for a part's next attempt. None if there is none, or if the answers to health checks of the
-    /// candidates are waited for; the candidates are kept then.
+    /// Chooses the replica for a part's next attempt. None if there is none, or while health checks of the candidates
+    /// are awaited; the candidates are kept then.
     pub(super) fn select(&mut self, part: PartId, actions: &mut Vec<Action>) -> Option<ReplicaId> {
         let candidates = self.candidates(part, actions)?;
         if self.awaits_health_check(candidates.first) || self.awaits_health_check(candidates.second) {
@@ -90,7 +90,7 @@
         Some(self.less_loaded(candidates))
     }
 
-    /// The candidates that were drawn before, while both are up, or two new ones, with health checks on their way.
+    /// The candidates drawn earlier if both are still up; otherwise two new ones, whose health checks are started.
     fn candidates(&mut self, part: PartId, actions: &mut Vec<Action>) -> Option<Candidates> {
         let record = self.parts.get(&part)?;
         let query = record.query;
@@ -108,23 +108,23 @@
         Some(drawn)
     }
 
-    /// Draws two distinct replicas that may get a part. An outlier is drawn only where fewer than two others are left;
-    /// one that is not, if there is any, is always among the two.
+    /// Draws two distinct replicas that may get a part; the same twice if there is only one. Outliers are drawn only if
+    /// fewer than two other replicas are eligible, and a single other one is always among the two.
     fn draw_two(&mut self, part: PartId, actions: &mut Vec<Action>) -> Option<Candidates> {
         let mut pool = self.eligible(part)?;
         let scoring = self.scoring();
-        let is_sound =
+        let is_no_outlier =
             |id: &ReplicaId| scoring.endpoints.get(*id).is_some_and(|replica| !scoring.is_outlier(replica));
-        let sound: Vec<ReplicaId> = pool.iter().copied().filter(is_sound).collect();
-        if sound.is_empty() && pool.len() > 1 {
+        let no_outliers: Vec<ReplicaId> = pool.iter().copied().filter(is_no_outlier).collect();
+        if no_outliers.is_empty() && pool.len() > 1 {
             let shard = self.parts.get(&part)?.shard;
             actions.push(Action::Log(LogEvent::AllHoldersOutliers { shard }));
         }
-        let only_sound = if let [only] = sound.as_slice() { Some(*only) } else { None };
-        if sound.len() >= 2 {
-            pool = sound;
+        let only_candidate = if let [only] = no_outliers.as_slice() { Some(*only) } else { None };
+        if no_outliers.len() >= 2 {
+            pool = no_outliers;
         }
-        let first = match only_sound {
+        let first = match only_candidate {
             Some(only) => pool.iter().position(|id| *id == only)?,
             None if pool.is_empty() => return None,
             None => self.random.below(pool.len()),
@@ -133,7 +133,8 @@
         Some(Candidates { first: pool[first], second: pool[second] })
     }
 
-    /// The holders that may get a part now: those never tried for it, or all once the last attempt is a while ago.
+    /// The holders that may get a part now: those never tried for it, or all once the last attempt is a median latency
+    /// ago. None if there are only tried ones and the last attempt is more recent.
     fn eligible(&mut self, part: PartId) -> Option<Vec<ReplicaId>> {
         let record = self.parts.get(&part)?;
         let has_attempt_at = |id: ReplicaId| record.in_flight().any(|attempt| attempt.replica == id);
@@ -153,7 +154,7 @@
         if !untried.is_empty() {
             return Some(untried);
         }
-        // At once, a full holder beside warming ones would use up all attempts.
+        // Without this wait a part would spend all its attempts at an overloaded holder while the others warm up.
         let is_recent =
             record.attempts.last().is_some_and(|last| self.now < last.sent_at + self.latency.median());
         if is_recent { None } else { Some(open) }
@@ -178,8 +179,8 @@
         self.random.unit_interval() < chance
     }
 
-    /// Whether a replica is warming up by observation alone, not by the list, and has nothing in flight: a supposed
-    /// restart must not be the reason that nobody is left.
+    /// Whether a replica is warm by the endpoint list and has no call in flight. One that is warming up only because its
+    /// connections were lost is not excluded if no other replica is left.
     fn is_idle_despite_loss(&self, id: ReplicaId) -> bool {
         self.endpoints.get(id).is_some_and(|replica| {
             let is_listed_warm =
@@ -188,8 +189,8 @@
         })
     }
 
-    /// The less loaded of two candidates. An outlier loses by its cost alone: a lone sound holder that won every draw
-    /// would get the parts of its whole set and be slow next.
+    /// The less loaded of two candidates. Being an outlier does not decide by itself: a single healthy holder that won
+    /// every draw would get all parts of its shards and become overloaded.
     fn less_loaded(&mut self, candidates: Candidates) -> ReplicaId {
         let Candidates { first, second } = candidates;
         let scoring = self.scoring();
@@ -201,7 +202,7 @@
                 return if is_first_local { first } else { second };
             }
         }
-        // A health check that is overdue decides ties alone: one lost answer must not move a set's whole load.
+        // An overdue health check decides only ties: one lost answer must not move all load away from a replica.
         let first_overdue = self.has_overdue_health_check(first);
         let second_overdue = self.has_overdue_health_check(second);
         let coin = self.random.below(2) == 0;
--- a/src/balancer/settings.rs
+++ b/src/balancer/settings.rs
@@ -121,7 +121,7 @@
     pub slow_start_window: Millis,
     /// A replica that gets more than this many times its present capacity, from all aggregators together, fails.
     pub overload_factor: f64,
-    /// The stated budget of further attempts, if any.
+    /// The retry budget, if one is configured.
     pub retry_budget: Option<RetryBudget>,
     /// The cost of an attempt that crosses zones.
     pub cross_zone_cost: f64,
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -1,12 +1,12 @@
-//! Slow start: a replica that has just started gets a growing share of what a warm one serves.
+//! Slow start: a replica that has just started gets a growing share of the parts that a warm one serves.
 
 use super::{Millis, Settings};
 
-/// A warming replica gets its capacity's share of this many times what a warm peer serves, so that all aggregators
-/// together stay near its capacity even where the peers are full.
-const SHARE_OF_PEER_RATE: f64 = 3.0;
-/// The same as a multiple of the overload factor, where that is less.
-const SHARE_OF_OVERLOAD_FACTOR: f64 = 1.2;
+/// A warming replica gets parts at its capacity share of this many times the rate of a warm peer, so that all
+/// aggregators together stay near its capacity even where the peers are at theirs.
+const PEER_RATE_MULTIPLE: f64 = 3.0;
+/// Upper bound of that multiple, as a multiple of the overload factor.
+const OVERLOAD_FACTOR_MULTIPLE: f64 = 1.2;
 /// The smallest capacity share of a warming replica.
 const MIN_CAPACITY_SHARE: f64 = 0.01;
 /// The recent rate of warm peers is averaged over this many of the longest latency objectives.
@@ -43,10 +43,11 @@
     initial_share: f64,
     window: Millis,
     overload_factor: f64,
-    /// Answers a millisecond of a warm replica to this aggregator, over a short time.
+    /// Answers per millisecond from a warm replica to this aggregator, a short-term average.
     recent_rate: f64,
-    /// The same at its lately seen best.
+    /// The highest recent value of that, decaying over the slow start window.
     peer_rate: f64,
+    /// Answers of warm replicas since the last sweep.
     answers_of_warm: f64,
 }
 
@@ -68,7 +69,7 @@
         self.overload_factor = settings.overload_factor;
     }
 
-    /// Answers a millisecond that a warm replica gives this aggregator.
+    /// Answers per millisecond that this aggregator gets from a warm replica.
     pub fn peer_rate(&self) -> f64 {
         self.peer_rate
     }
@@ -93,8 +94,8 @@
         self.answers_of_warm += 1.0;
     }
 
-    /// Updates the rate of warm peers after a time. The best rate is remembered for as long as replicas warm up:
-    /// where all warm holders hang or reject, the recent one would keep the warming ones out as well.
+    /// Updates the rate of warm peers after a sweep interval. The peak is kept for about the slow start window: if all
+    /// warm holders hang or reject, the recent rate would fall and keep the warming ones from getting parts as well.
     pub fn update_peer_rate(&mut self, elapsed: Millis, warm_replicas: usize, longest_objective: Millis) {
         let warm = warm_replicas as f64;
         let keep = (-elapsed / (RATE_MEMORY_OBJECTIVES * longest_objective)).exp();
@@ -106,8 +107,8 @@
         self.answers_of_warm = 0.0;
     }
 
-    /// The chance with which a warming replica may be drawn now: its share of what a warm peer serves, over the time
-    /// since it was last considered. Nothing is saved up beyond `longest_objective`.
+    /// The probability with which a warming replica may be drawn now: the parts it may get at its share of a warm peer's
+    /// rate in the time since it was last considered, which counts up to `longest_objective`.
     pub fn admission_chance(
         &self,
         now: Millis,
@@ -117,7 +118,7 @@
     ) -> f64 {
         let started_at = warm_up.started_at();
         let capacity = self.capacity_share(now, started_at);
-        let multiple = SHARE_OF_PEER_RATE.min(SHARE_OF_OVERLOAD_FACTOR * self.overload_factor);
+        let multiple = PEER_RATE_MULTIPLE.min(OVERLOAD_FACTOR_MULTIPLE * self.overload_factor);
         let rate = multiple * capacity * self.peer_rate * relative_weight.min(1.0);
         let since = started_at.map_or(warm_up.last_considered_at, |at| at.max(warm_up.last_considered_at));
         rate * (now - since).min(longest_objective)
--- a/src/balancer/state.rs
+++ b/src/balancer/state.rs
@@ -1,18 +1,19 @@
-//! The balancer: it holds the state of every concern, and passes each event to the concerns that it is about.
+//! The balancer: owns the state of every concern, and dispatches each event to the concerns that it affects.
 
 use super::action::Action;
 use super::admission::{Admission, AdmissionContext};
 use super::client_retries::TryTimes;
 use super::endpoint_set::EndpointSet;
 use super::endpoint_watch::EndpointWatch;
-use super::event::{Event, LoadReport, Outcome, ReplicaEntry};
+use super::event::{CallResult, Event, LoadReport, Outcome, ReplicaEntry};
 use super::health_checks::HealthChecks;
 use super::latency::LatencyEstimates;
 use super::load_reports::{LoadReports, ReportedQueue};
 use super::outlier_detection::{FailingShare, OutlierCriteria, half_life};
 use super::part::Part;
 use super::priority::Priorities;
-use super::query_progress::{Query, QueryArrival};
+use super::query_arrival::QueryArrival;
+use super::query_progress::Query;
 use super::random::RandomSource;
 use super::retry_budget::RetryBudgets;
 use super::settings::{Settings, SettingsError};
@@ -104,8 +105,8 @@
         })
     }
 
-    /// Replaces the settings. `previous_class` tells for each new class its index in the old settings, if any.
-    /// Queries in flight go on by the rules that they began under.
+    /// Replaces the settings. `previous_class` has for each new class its index in the old settings, if any. Queries in
+    /// flight keep the rules that they started under.
     ///
     /// # Errors
     /// The first setting that makes no sense; the old settings stand.
@@ -126,8 +127,8 @@
         Ok(())
     }
 
-    /// Takes one event; what is to be done about it is appended to `actions`, in order. Events about unknown ids are
-    /// ignored. `now` must not run backwards; if it does, the latest time seen stands.
+    /// Handles one event and appends the resulting actions to `actions`, in order. Events about unknown ids are ignored.
+    /// `now` must not run backwards; if it does, the latest time seen is used.
     pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
         self.now = finite_or(now, self.now.max(0.0)).max(self.now);
         self.detect_stall();
@@ -140,11 +141,12 @@
             }
             Event::SecondStep { query, parts } => self.receive_second_step(query, &parts, actions),
             Event::AttemptEnded { part, attempt, outcome, elapsed, report } => {
-                self.end_attempt(part, attempt as usize, outcome, elapsed, report, actions);
+                let result = CallResult { outcome, elapsed, report };
+                self.end_attempt(part, attempt as usize, result, actions);
             }
             Event::ClientDisconnected { query } => self.close(query, actions),
             Event::HealthCheckEnded { replica, outcome, elapsed, report } => {
-                self.end_health_check(replica, outcome, elapsed, report);
+                self.end_health_check(replica, CallResult { outcome, elapsed, report });
                 for query in std::mem::take(&mut self.queries_awaiting_checks) {
                     self.advance(query, actions);
                 }
@@ -171,8 +173,8 @@
             .is_some_and(|replica| !self.slow_start.is_warm(self.now, &replica.warm_up))
     }
 
-    /// A sweep that is far overdue shows that this aggregator stood still: what came meanwhile looks late or silent, and
-    /// tells nothing of the replicas.
+    /// A sweep that is far overdue means that this aggregator has stalled (a paused process, a busy core). Answers then
+    /// look late although their replicas were not, so observations that span the stall are not held against replicas.
     fn detect_stall(&mut self) {
         let stall = STALL_SWEEPS * sweep_interval(&self.settings);
         if self.next_sweep_at.is_some_and(|at| self.now - at > stall) {
@@ -192,13 +194,8 @@
         self.endpoint_watch.on_failure(self.now, discovery_is_polled, max_poll_interval, jitter);
     }
 
-    fn end_health_check(
-        &mut self,
-        id: ReplicaId,
-        outcome: Outcome,
-        elapsed: Millis,
-        report: Option<LoadReport>,
-    ) {
+    fn end_health_check(&mut self, id: ReplicaId, result: CallResult) {
+        let CallResult { outcome, elapsed, report } = result;
         let criteria = self.outlier_criteria();
         let Some(replica) = self.endpoints.get_mut(id) else { return };
         replica.health_check.in_flight = false;
@@ -213,7 +210,8 @@
         self.record_report(id, report, own_calls, implied_queue);
     }
 
-    /// Takes a replica's load report, if one has come and says anything of the queue.
+    /// Records a replica's load report, if there is one from which its queue can be derived. `own_calls` and
+    /// `lower_bound` are as in [`ReportedQueue::from_report`].
     pub(super) fn record_report(
         &mut self,
         id: ReplicaId,
@@ -229,12 +227,12 @@
         }
     }
 
-    /// What admission control decides and observes by now.
+    /// The context of admission control's decisions and observations now.
     pub(super) fn admission_context(&self) -> AdmissionContext {
         AdmissionContext { now: self.now, longest_objective: self.objectives.longest }
     }
 
-    /// What the evidence of replicas is judged against now.
+    /// The criteria by which the evidence against replicas is judged now.
     pub(super) fn outlier_criteria(&self) -> OutlierCriteria {
         OutlierCriteria {
             now: self.now,
--- a/src/balancer/sweep.rs
+++ b/src/balancer/sweep.rs
@@ -1,15 +1,15 @@
-//! The periodic sweep: estimates are computed anew, old observations forgotten, and every query is looked after.
+//! The periodic sweep: estimates are recomputed, old observations dropped, and every query is advanced.
 
 use super::action::{Action, LogEvent};
 use super::admission::Admission;
 use super::state::Balancer;
 use super::{Millis, QueryId, Settings};
 
-/// Units of the timer's granularity from one sweep to the next: far finer than any latency that matters.
+/// The sweep interval, in units of the timer's granularity: far shorter than any latency that matters.
 pub(super) const SWEEP_TICKS: f64 = 4.0;
-/// A sweep that is overdue by so many intervals shows a stall.
+/// A sweep that is overdue by this many intervals means that the aggregator has stalled.
 pub(super) const STALL_SWEEPS: f64 = 3.0;
-/// Observations are kept for so many units of the timer's granularity beyond their window.
+/// Observations are kept this long beyond their window, in units of the timer's granularity.
 const WINDOW_MARGIN_TICKS: f64 = 4.0;
 
 /// The time from one sweep to the next.
@@ -55,7 +55,8 @@
         self.retry_budgets.forget_before(horizon);
     }
 
-    /// Judges every replica anew. Ejected ones are on probation until they answer.
+    /// Ejects replicas that have become outliers, and restores those that no longer are. An ejected replica stays on
+    /// probation until it answers in time.
     fn eject_outliers(&mut self, actions: &mut Vec<Action>) {
         let criteria = self.outlier_criteria();
         for (id, replica) in self.endpoints.iter_mut() {
