--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -11,10 +11,10 @@
 
 #[derive(clap::Args)]
 pub(super) struct Check {
-    /// The platform's file; `RELAY_CONFIG` where it is left out
+    /// The platform's file; default: `RELAY_CONFIG`
     #[arg(long, value_name = "PATH")]
     config: Option<PathBuf>,
-    /// The operators' file; `SAILMUX_OPERATOR` where it is left out
+    /// The operators' file; default: `SAILMUX_OPERATOR`
     #[arg(long, value_name = "PATH")]
     operator: Option<PathBuf>,
 }
--- a/src/cli/demo/mod.rs
+++ b/src/cli/demo/mod.rs
@@ -22,10 +22,10 @@
 
 #[derive(clap::Args)]
 pub(super) struct Demo {
-    /// Where the mixer serves; a free port of loopback where it is left out
+    /// The aggregator's listen address; by default a free port on loopback
     #[arg(long, value_name = "ADDRESS", default_value = "127.0.0.1:0")]
     listen: SocketAddr,
-    /// End after the first answer
+    /// Exit after the first answer
     #[arg(long)]
     once: bool,
 }
@@ -53,7 +53,7 @@
         let address = listener.local_addr()?;
         let aggregator = spawn_local(crate::net::serve_on(listener, config));
         let inventory_path = inventory_path.display();
-        print(&format!("the mixer serves on http://{address}, its inventory is {inventory_path}\n\n"))?;
+        print(&format!("the aggregator listens on http://{address}, its inventory is {inventory_path}\n\n"))?;
         show_query(address).await?;
         if self.once {
             return Ok(());
@@ -94,23 +94,23 @@
          Content-Length: {length}\r\n\r\n{QUERY}"
     );
     let answer = response_body(address, &request).await?;
-    print(&format!("  {answer}\n\nits counters, as far as they moved:\n"))?;
+    print(&format!("  {answer}\n\nits counters that are not 0:\n"))?;
     let request = "GET /metrics HTTP/1.1\r\nHost: demo\r\nConnection: close\r\n\r\n";
     let counters = response_body(address, request).await?;
     for counter in counters.lines().filter(|line| !line.starts_with('#') && !line.ends_with(" 0")) {
         print(&format!("  {counter}\n"))?;
     }
     if !answer.contains(r#""total":true"#) {
-        return Err(Failure::message("the answer is not whole"));
+        return Err(Failure::message("the answer is not complete"));
     }
     Ok(())
 }
 
 fn instructions(address: SocketAddr) -> String {
     format!(
-        "\nask it yourself, or set `state: draining` for a node in the inventory and watch:\n  \
+        "\nsend a query yourself, or set `state: draining` for a leaf server in the inventory and watch:\n  \
          curl -sS http://{address}/api/demo -H 'Req-Id: mine-1' -H 'Req-Kind: search' -H 'Req-Owner: acme' \\\n    \
-         -H 'Req-Deadline: 2000m' -d '{QUERY}'\n\nCtrl-C ends it.\n"
+         -H 'Req-Deadline: 2000m' -d '{QUERY}'\n\nCtrl-C stops it.\n"
     )
 }
 
--- a/src/cli/inventory/check.rs
+++ b/src/cli/inventory/check.rs
@@ -17,6 +17,9 @@
         let path = self.source.path.display();
         let truncated =
             if list.truncated_mid_line { "; it ends within a line, and would be held back" } else { "" };
-        print(&format!("{path}: good, {} nodes, {} draining{truncated}\n", counts.endpoints, counts.draining))
+        print(&format!(
+            "{path}: good, {} leaf servers, {} draining{truncated}\n",
+            counts.endpoints, counts.draining
+        ))
     }
 }
--- a/src/cli/inventory/diff.rs
+++ b/src/cli/inventory/diff.rs
@@ -12,7 +12,7 @@
 
 #[derive(clap::Args)]
 pub(in crate::cli) struct Diff {
-    /// The older one
+    /// The older inventory
     old: PathBuf,
     #[command(flatten)]
     source: Source,
--- a/src/cli/inventory/explain.rs
+++ b/src/cli/inventory/explain.rs
@@ -37,7 +37,7 @@
     let Some(((value, layer, location), overridden)) = explained.values.split_first() else {
         return String::new();
     };
-    let suffix = if overridden.is_empty() { ", set nowhere else" } else { " stands over" };
+    let suffix = if overridden.is_empty() { ", set nowhere else" } else { ", overrides:" };
     let mut text = format!("{} = {value}\n", explained.variable);
     text.push_str(&format!("    {} ({layer}){suffix}\n", location_text(bundle, *location)));
     for (value, layer, location) in overridden {
--- a/src/cli/inventory/mod.rs
+++ b/src/cli/inventory/mod.rs
@@ -18,15 +18,15 @@
 pub(super) enum Command {
     /// Read an inventory and print every problem; exit code 1 if there is one
     Check(check::Check),
-    /// Print the nodes of an inventory
+    /// Print the leaf servers of an inventory
     Show(show::Show),
-    /// Print each variable of a host, where it stands, and why it won
+    /// Print each variable of a host, where it is set, and why that value has precedence
     Explain(explain::Explain),
     /// Print what changed between two inventories
     Diff(diff::Diff),
-    /// Print what taking an inventory would do, and whether it would be held back
+    /// Print what applying an inventory would change, and whether it would be held back
     Plan(plan::Plan),
-    /// Let a running mixer take the list that it holds back
+    /// Let a running aggregator apply the endpoint list that it holds back
     Confirm(confirm::Confirm),
 }
 
--- a/src/cli/inventory/plan.rs
+++ b/src/cli/inventory/plan.rs
@@ -13,13 +13,13 @@
 pub(in crate::cli) struct Plan {
     #[command(flatten)]
     source: Source,
-    /// The inventory in force; the operators' file names it where this is left out
+    /// The inventory in force; default: those that the operators' file names
     #[arg(long, value_name = "PATH")]
     current: Option<PathBuf>,
     /// Cells that hold a shard
     #[arg(long, default_value_t = 1, value_name = "N")]
     width: u32,
-    /// Percent of the nodes that may be lost at once; the operators' file tells it where this is left out
+    /// Percentage of the leaf servers that may be lost at once; default: as in the operators' file
     #[arg(long, value_name = "PERCENT", value_parser = clap::value_parser!(u8).range(0..=100))]
     most_lost: Option<u8>,
 }
@@ -45,16 +45,16 @@
 
         let plan = registry.plan(replaced, &candidate);
         let mut text = changes_text(&plan.changes);
-        text.push_str(&format!("nodes: {} -> {}\n", plan.loss.before, plan.loss.after));
+        text.push_str(&format!("leaf servers: {} -> {}\n", plan.loss.before, plan.loss.after));
         for (shard, holders) in plan.ready_holders_by_shard.iter().enumerate() {
             let cells = layout.cells;
-            text.push_str(&format!("shard {shard} (of each {cells}): {holders} nodes take work\n"));
+            text.push_str(&format!("shard {shard} (of each {cells}): {holders} leaf servers are ready\n"));
         }
         let Some(reason) = plan.hold_reason else {
-            text.push_str("taken at once\n");
+            text.push_str("applied at once\n");
             return print(&text);
         };
-        text.push_str(&format!("held back: {reason}; drains would be taken at once\n"));
+        text.push_str(&format!("held back: {reason}; drains would be applied at once\n"));
         print(&text)?;
         Err(Failure::Reported)
     }
--- a/src/cli/inventory/show.rs
+++ b/src/cli/inventory/show.rs
@@ -10,7 +10,7 @@
 pub(in crate::cli) struct Show {
     #[command(flatten)]
     source: Source,
-    /// How
+    /// The output format
     #[arg(long, value_enum, default_value_t = OutputFormat::Table)]
     format: OutputFormat,
 }
--- a/src/cli/inventory/source.rs
+++ b/src/cli/inventory/source.rs
@@ -15,10 +15,10 @@
 pub(super) struct Source {
     /// File or directory
     pub path: PathBuf,
-    /// Cells that there are: a node's cell must be below that; the platform's file tells it if `RELAY_CONFIG` names one
+    /// Number of cells: a leaf server's cell must be below it; default: as in the platform's file, if `RELAY_CONFIG` is set
     #[arg(long, value_name = "N")]
     cells: Option<u32>,
-    /// The operators' file, for how an inventory of that path is read; `SAILMUX_OPERATOR` where it is left out
+    /// The operators' file, for how an inventory of that path is read; default: `SAILMUX_OPERATOR`
     #[arg(long, value_name = "PATH")]
     operator: Option<PathBuf>,
     /// The inventory is read as csv or yaml, whatever its name
--- a/src/cli/ledger/correct.rs
+++ b/src/cli/ledger/correct.rs
@@ -27,13 +27,13 @@
     /// Thousandths of a unit of work to add
     #[arg(long, default_value_t = 0, allow_negative_numbers = true)]
     work: i64,
-    /// It was beyond the tenant's share
+    /// The queries were over the tenant's quota
     #[arg(long)]
     beyond: bool,
-    /// By whom
+    /// Who makes the correction
     #[arg(long)]
     by: String,
-    /// Why
+    /// The reason
     #[arg(long)]
     why: String,
 }
--- a/src/cli/ledger/export.rs
+++ b/src/cli/ledger/export.rs
@@ -9,9 +9,9 @@
 pub(in crate::cli) struct Export {
     #[command(flatten)]
     location: LedgerLocation,
-    /// As 2026-11
+    /// The period, such as 2026-11
     period: Period,
-    /// In which form
+    /// The format of the export
     #[arg(long, value_enum, default_value_t = ExportFormat::Csv)]
     format: ExportFormat,
 }
--- a/src/cli/ledger/mod.rs
+++ b/src/cli/ledger/mod.rs
@@ -19,7 +19,7 @@
 pub(super) enum Command {
     /// Print what each tenant used
     Show(show::Show),
-    /// Read every record and tell what is damaged, torn or missing
+    /// Read every record and report what is damaged, torn or missing
     Verify(verify::Verify),
     /// Print the last records
     Tail(tail::Tail),
@@ -29,12 +29,12 @@
     Close {
         #[command(flatten)]
         location: LedgerLocation,
-        /// As 2026-11
+        /// The period, such as 2026-11
         period: Period,
     },
-    /// Export what is new in a period, once and under a name of its own
+    /// Export what is new in a period, once and under a unique name
     Export(export::Export),
-    /// Hold the ledgers of several mixers against each other
+    /// Reconcile the ledgers of several aggregators
     Reconcile(reconcile::Reconcile),
 }
 
--- a/src/cli/ledger/reconcile.rs
+++ b/src/cli/ledger/reconcile.rs
@@ -10,7 +10,7 @@
 
 #[derive(clap::Args)]
 pub(in crate::cli) struct Reconcile {
-    /// Their directories
+    /// The directories of the ledgers
     #[arg(required = true)]
     dirs: Vec<PathBuf>,
     /// The time zone of the periods
@@ -79,10 +79,10 @@
     }
     if reconciled.duplicate_count > 0 {
         let count = reconciled.duplicate_count;
-        text.push_str(&format!("{count} queries were met at two mixers; by rule both count\n"));
+        text.push_str(&format!("{count} queries were received by two aggregators; both are billed\n"));
     }
     text.push_str(if reconciled.is_complete() {
-        "complete: every sequence is whole, no gap is recorded, no ledger stands twice\n"
+        "complete: every sequence is whole, no gap is recorded, no ledger is given twice\n"
     } else {
         "not complete: see above\n"
     });
--- a/src/cli/ledger/show.rs
+++ b/src/cli/ledger/show.rs
@@ -15,10 +15,10 @@
     /// Only this tenant
     #[arg(long)]
     tenant: Option<String>,
-    /// Only this period, as 2026-11
+    /// Only this period, such as 2026-11
     #[arg(long)]
     period: Option<Period>,
-    /// As it stood then, as 2026-12-01T00:00:00+08:00: later entries and corrections are left out
+    /// The totals at that time, such as 2026-12-01T00:00:00+08:00: later entries and corrections are left out
     #[arg(long, value_name = "TIME")]
     as_of: Option<Timestamp>,
     /// JSON instead of a table
--- a/src/cli/ledger/tail.rs
+++ b/src/cli/ledger/tail.rs
@@ -9,7 +9,7 @@
 pub(in crate::cli) struct Tail {
     #[command(flatten)]
     location: LedgerLocation,
-    /// How many
+    /// Number of records
     #[arg(short = 'n', long, default_value_t = 20)]
     lines: usize,
 }
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -17,9 +17,9 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// A query mixer: it sends the parts of each query to index nodes and gives the client one answer.
+/// A query aggregator: it sends the parts of each query to leaf servers and gives the client one answer.
 #[derive(Parser)]
-#[command(name = "sailmux", version, about, arg_required_else_help = false)]
+#[command(name = "sailmux", version, arg_required_else_help = false)]
 struct Cli {
     #[command(subcommand)]
     command: Option<Command>,
@@ -27,22 +27,24 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run the mixer; the same as no command at all
-    #[command(after_help = "Environment: RELAY_CONFIG (needed), RELAY_NAME, RELAY_LISTEN, RELAY_DISCOVERY, \
-                            SAILMUX_OPERATOR. See the README.")]
+    /// Run the aggregator; the same as no command at all
+    #[command(
+        after_help = "Environment: RELAY_CONFIG (required), RELAY_NAME, RELAY_LISTEN, RELAY_DISCOVERY, \
+                            RELAY_MANAGEMENT, SAILMUX_OPERATOR. See the README."
+    )]
     Run,
-    /// Check all files the mixer would read, and print every problem
+    /// Check all files that the aggregator would read, and print every problem
     Check(check::Check),
-    /// Look at inventory files, compare them, and confirm a list that is held back
+    /// Inspect and compare inventory files, and confirm an endpoint list that is held back
     #[command(subcommand)]
     Inventory(inventory::Command),
-    /// Use by tenant: totals, corrections, periods, exports
+    /// Usage by tenant: totals, corrections, periods, exports
     #[command(subcommand)]
     Ledger(ledger::Command),
     /// The operators' file
     #[command(subcommand)]
     Config(config::Command),
-    /// Start a mixer with a few stand-in nodes on loopback, ask it a query and show the answer
+    /// Start an aggregator with simulated leaf servers on loopback, send it a query and show the answer
     Demo(demo::Demo),
     /// Print a shell's completions
     Completions {
--- a/src/config/operator/inventory.rs
+++ b/src/config/operator/inventory.rs
@@ -159,7 +159,7 @@
             return None;
         }
         if !self.discovery && files.iter().all(|file| file.options.partial) {
-            context.report(section.line, "names partial files alone: nothing names the nodes");
+            context.report(section.line, "names partial files only: nothing names the leaf servers");
         }
         Some(Inventory {
             files,
--- a/src/endpoints/guard.rs
+++ b/src/endpoints/guard.rs
@@ -40,11 +40,11 @@
 impl fmt::Display for HoldReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Empty => write!(f, "no node would be left"),
+            Self::Empty => write!(f, "no leaf server would be left"),
             Self::TooManyRemoved { removed, total } => {
                 write!(f, "{removed} of {total} nodes would be lost at once")
             }
-            Self::ShardWithoutHolder(shard) => write!(f, "shard {shard} would be left without a node"),
+            Self::ShardWithoutHolder(shard) => write!(f, "shard {shard} would be left without a leaf server"),
             Self::TruncatedMidLine => write!(f, "it ends within a line"),
         }
     }
--- a/src/hot_restart/overrides.rs
+++ b/src/hot_restart/overrides.rs
@@ -30,7 +30,7 @@
 
 impl fmt::Display for TooManyOverrides {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{MAX_OVERRIDES} orders stand already")
+        write!(f, "there are {MAX_OVERRIDES} overrides already")
     }
 }
 
--- a/src/hot_restart/snapshot.rs
+++ b/src/hot_restart/snapshot.rs
@@ -39,7 +39,7 @@
 impl fmt::Display for SnapshotError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NotASnapshot => write!(f, "is no file of orders"),
+            Self::NotASnapshot => write!(f, "is not a file of stored overrides"),
             Self::UnsupportedVersion(version) => {
                 write!(f, "has format {version}, this program knows {FORMAT_VERSION}")
             }
@@ -48,7 +48,7 @@
             }
             Self::ChecksumMismatch => write!(f, "does not match its checksum"),
             Self::InvalidJson(message) => write!(f, "cannot be read: {message}"),
-            Self::InvalidTime => write!(f, "cannot be read: a time that makes no sense"),
+            Self::InvalidTime => write!(f, "cannot be read: a time is negative or not finite"),
         }
     }
 }
--- a/src/inventory/list.rs
+++ b/src/inventory/list.rs
@@ -37,7 +37,7 @@
     if records.is_empty() && !options.partial && problems.is_empty() {
         let file = bundle.files.iter().find(|file| file.role == Role::Inventory);
         let name = file.map_or("", |file| &*file.name);
-        problems.push(Diagnostic::for_file(name, "names no node"));
+        problems.push(Diagnostic::for_file(name, "names no leaf server"));
     }
     if !problems.is_empty() {
         return Err(Diagnostics(problems));
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -58,7 +58,7 @@
             readied = difference.stopped_draining,
             changed = difference.changed,
             confirmed,
-            "list taken"
+            "list applied"
         ),
         // Debug, since discovery sends lists all the time.
         AuditEvent::DiscoveryApplied { generation, complete, nodes, difference } => debug!(
@@ -70,7 +70,7 @@
             drained = difference.started_draining,
             readied = difference.stopped_draining,
             changed = difference.changed,
-            "discovery's list taken"
+            "discovery's list applied"
         ),
         AuditEvent::ListHeldBack { source, digest, reason, difference } => warn!(
             file = file(source),
@@ -81,15 +81,18 @@
             drained = difference.started_draining,
             readied = difference.stopped_draining,
             changed = difference.changed,
-            "list held back, its drains are taken; confirm it by: sailmux inventory confirm {}",
+            "list held back, its drains are applied; confirm it by: sailmux inventory confirm {}",
             file(source)
         ),
-        AuditEvent::HeldListWithdrawn { source } => info!(file = file(source), "held list withdrawn"),
+        AuditEvent::HeldListWithdrawn { source } => info!(file = file(source), "held-back list withdrawn"),
         AuditEvent::ListRejected { source, problem } => {
-            error!(file = file(source), problem, "list refused: {problem}; the old list stands");
+            error!(
+                file = file(source),
+                problem, "list rejected: {problem}; the previous list stays in force"
+            );
         }
         AuditEvent::ConfirmationUnmatched { source, digest } => {
-            warn!(file = file(source), digest = &**digest, "confirmation of a list that is not held");
+            warn!(file = file(source), digest = &**digest, "confirmation of a list that is not held back");
         }
         AuditEvent::OverrideChanged { name, active: true } => {
             info!(leaf_server = &**name, "leaf server disabled");
@@ -98,7 +101,7 @@
             info!(leaf_server = &**name, "leaf server enabled");
         }
         AuditEvent::SharedAddress { address, name } => {
-            warn!(address = &**address, node = &**name, "two names for one address");
+            warn!(address = &**address, leaf_server = &**name, "two names for one address");
         }
     }
 }
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -181,7 +181,7 @@
         let config = match Config::reload(&self.config_keys) {
             Ok(config) => config,
             Err(error) => {
-                error!("sailmux {name}: {error}; the old settings stand");
+                error!("sailmux {name}: {error}; the previous settings stay in force");
                 return Event::ReloadRejected;
             }
         };
--- a/src/net/hot_restart.rs
+++ b/src/net/hot_restart.rs
@@ -122,7 +122,7 @@
             overrides
         }
         StoredOverrides::MovedAside(path, reason) => {
-            error!(path = %path.display(), "stored overrides: the file {reason}; moved aside, what it held is not in force");
+            error!(path = %path.display(), "stored overrides: the file {reason}; moved aside, its overrides are not in force");
             Overrides::default()
         }
     }
@@ -207,7 +207,7 @@
         let (merged, found) = match self.directory.merge_overrides(overrides, now - CANCELLED_RETENTION) {
             Ok(merged) => merged,
             Err(error) => {
-                error!("overrides cannot be stored: {error}; overrides hold in this process alone");
+                error!("overrides cannot be stored: {error}; they are in force in this process only");
                 let _ = reply.send(AdminOutcome::Accepted);
                 return;
             }
@@ -253,7 +253,7 @@
         let stored = match self.directory.read_overrides() {
             Ok(stored) => stored,
             Err(error) => {
-                warn!("the file of overrides: {error}");
+                warn!("stored overrides cannot be read: {error}");
                 return Ok(());
             }
         };
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -50,14 +50,14 @@
 fn inventory_check_show_and_diff_print_problems_endpoints_and_changes() {
     let six = scratch_file("n.csv", SIX);
     let (code, stdout, _) = run(&["inventory", "check", path_text(&six)]);
-    assert!(code == 0 && stdout.contains("good, 6 nodes, 0 draining"), "{stdout}");
+    assert!(code == 0 && stdout.contains("good, 6 leaf servers, 0 draining"), "{stdout}");
     let (code, _, stderr) = run(&["inventory", "check", path_text(&six), "--cells", "2"]);
     assert!(
         code == 1 && stderr.contains("n.csv:6: a2.cell: 2 is not below 2") && stderr.contains("b2.cell"),
         "{stderr}"
     );
     for (text, wanted) in [
-        ("name,host,port,cell\n", "names no node"),
+        ("name,host,port,cell\n", "names no leaf server"),
         ("name,host,port,cell\na,h,1,0\nb,h,1,0\n", "n.csv:3: b.address: h:1 is the address of a too"),
         ("name,host,port,cell\na,h,70000,0\n", "n.csv:2: a.port"),
         ("name,host,port,cell\na,h,1,-3\n", "n.csv:2: a.cell"),
@@ -101,16 +101,21 @@
     };
     let (code, stdout, _) = plan(&next_file(&SIX.replace("a0,h,1,0,", "a0,h,1,0,draining")), &[]);
     assert!(
-        code == 0 && stdout.contains("taken at once") && stdout.contains("shard 0 (of each 3): 1 nodes"),
+        code == 0
+            && stdout.contains("applied at once")
+            && stdout.contains("shard 0 (of each 3): 1 leaf servers"),
         "{stdout}"
     );
     let (code, stdout, _) = plan(&next_file(&SIX.replace("a2,h,5,2,\nb2,h,6,2,\n", "a2,h,5,2,\n")), &[]);
-    assert!(code == 0 && stdout.contains("nodes: 6 -> 5"), "{stdout}");
+    assert!(code == 0 && stdout.contains("leaf servers: 6 -> 5"), "{stdout}");
     let short = next_file(&SIX.replace("a2,h,5,2,\nb2,h,6,2,\n", ""));
     let (code, stdout, _) = plan(&short, &[]);
     assert!(code == 1 && stdout.contains("held back: 2 of 6 nodes would be lost at once"), "{stdout}");
     let (code, stdout, _) = plan(&short, &["--most-lost", "50"]);
-    assert!(code == 1 && stdout.contains("held back: shard 2 would be left without a node"), "{stdout}");
+    assert!(
+        code == 1 && stdout.contains("held back: shard 2 would be left without a leaf server"),
+        "{stdout}"
+    );
 }
 
 #[test]
@@ -121,7 +126,7 @@
     );
     let (code, stdout, _) = run(&["inventory", "explain", path_text(&path), "s0"]);
     assert_eq!(code, 0);
-    assert!(stdout.contains("zone = near\n") && stdout.contains("n.yaml:4 (host) stands over\n"), "{stdout}");
+    assert!(stdout.contains("zone = near\n") && stdout.contains("n.yaml:4 (host), overrides:\n"), "{stdout}");
     assert!(stdout.contains("n.yaml:2 (group all): far\n"), "{stdout}");
     assert_eq!(run(&["inventory", "explain", path_text(&path), "s1"]).0, 1);
 }
@@ -237,7 +242,7 @@
     let mut child = common::process::spawn(&setup.config(), setup.operator.as_deref());
     use std::io::{BufRead, BufReader};
     let lines = BufReader::new(child.stderr.take().expect("piped")).lines().map_while(Result::ok);
-    let taken = lines.take(8).find(|l| l.contains("list taken")).expect("an event");
+    let taken = lines.take(8).find(|l| l.contains("list applied")).expect("an event");
     let event: serde_json::Value = serde_json::from_str(&taken).expect("JSON");
     assert_eq!((&event["nodes"], &event["level"]), (&6.into(), &"INFO".into()));
     child.kill().expect("it ran");
--- a/tests/common/fleet/inventory_run.rs
+++ b/tests/common/fleet/inventory_run.rs
@@ -59,7 +59,7 @@
         let text = self.text();
         self.writer.write(&text);
         // Where the half-written drain was held back and the rest never read, the list has not changed.
-        self.aggregator.wait_for_either_log("readied=1", "held list withdrawn");
+        self.aggregator.wait_for_either_log("readied=1", "held-back list withdrawn");
     }
 
     /// Ends the load and checks that no rule was broken; the numbers of queries and of parts.
--- a/tests/formats/ansible.rs
+++ b/tests/formats/ansible.rs
@@ -125,8 +125,8 @@
             "all:\n  hosts:\n    s[3:1]: {port: 1, cell: 0}\n",
             "n.yaml:3: all.hosts.s[3:1]: [3:1] runs backwards",
         ),
-        ("all: {hosts: {}}\n", "n.yaml: names no node"),
-        ("", "n.yaml: names no node"),
+        ("all: {hosts: {}}\n", "n.yaml: names no leaf server"),
+        ("", "n.yaml: names no leaf server"),
         ("all:\n  hosts:\n    s0: {port: 1, cell: 0}\n---\nall:\n", "n.yaml:4: a second document"),
         (
             "all:\n  hosts:\n    s0: {port: 1, cell: 0, address: 'a:2'}\n",
--- a/tests/inventory.rs
+++ b/tests/inventory.rs
@@ -43,7 +43,7 @@
         drop(query_through("q2", &second));
         let bad = inventory_text(file, &first).replace("cell: 0", "cell: no").replace(",0,z", ",no,z");
         fs::write(&path, bad).expect("written");
-        assert!(aggregator.wait_for_log("s0.cell").contains("the old list stands"), "{file}");
+        assert!(aggregator.wait_for_log("s0.cell").contains("the previous list stays in force"), "{file}");
         query_through("q3", &second);
         assert_eq!(aggregator.counters()["lists_taken"], 2);
     }
--- a/tests/inventory_load.rs
+++ b/tests/inventory_load.rs
@@ -93,7 +93,8 @@
     aggregator.wait_for_new_log("nodes=62");
     // One server is removed and added as the file is rewritten; no list may remove more.
     let removes_few = |line: &&String| line.contains("gone=0 ") || line.contains("gone=1 ");
-    let lost = aggregator.log().iter().filter(|l| l.contains("list taken")).filter(|line| !removes_few(line));
+    let lost =
+        aggregator.log().iter().filter(|l| l.contains("list applied")).filter(|line| !removes_few(line));
     assert_eq!(lost.count(), 0, "{:#?}", aggregator.log());
 }
 
@@ -106,12 +107,12 @@
     let rights = |mode| fs::set_permissions(&path, fs::Permissions::from_mode(mode)).expect("set");
     fs::remove_file(&path).expect("removed");
     symlink(&path, &path).expect("linked");
-    assert!(run.aggregator.wait_for_new_log("the old list stands").contains("n.csv"));
+    assert!(run.aggregator.wait_for_new_log("the previous list stays in force").contains("n.csv"));
     fs::remove_file(&path).expect("removed");
     fs::write(&path, run.text()).expect("written");
     rights(0);
     if fs::read(&path).is_err() {
-        assert!(run.aggregator.wait_for_new_log("the old list stands").contains("n.csv"));
+        assert!(run.aggregator.wait_for_new_log("the previous list stays in force").contains("n.csv"));
     }
     rights(0o644);
     let drain_time = run.drain("s03");
@@ -260,6 +261,6 @@
     assert!(fleet.broken_rules().is_empty(), "{:?}", fleet.broken_rules());
     // Of cell 2 only s02 is left, of cell 1 only s01: both serve by discovery alone.
     fs::remove_file(dir.join("n.yaml")).expect("removed");
-    assert!(aggregator.wait_for_new_log("the old list stands").contains("n.yaml"));
+    assert!(aggregator.wait_for_new_log("the previous list stays in force").contains("n.yaml"));
     assert_eq!(Client::connect(aggregator.address).request(query("last", "5000m", &[0, 1, 2])).status, 200);
 }
--- a/tests/operational_faults.rs
+++ b/tests/operational_faults.rs
@@ -180,7 +180,7 @@
             std::fs::write(&aggregator.config, text).expect("written");
             aggregator.signal("-HUP");
             *last += 1;
-            aggregator.wait_for_new_log("the old settings stand");
+            aggregator.wait_for_new_log("the previous settings stay in force");
         }
     };
     assert_eq!(old.send_admin_command("POST /-/leaf-servers/a/disable"), 200);
