--- a/src/cli/ledger/verify.rs
+++ b/src/cli/ledger/verify.rs
@@ -3,7 +3,7 @@
 use super::super::failure::Failure;
 use super::super::print;
 use super::LedgerLocation;
-use crate::inventory::hex;
+use crate::hex;
 use crate::ledger::{Book, ExportRecord, Record};
 use sha2::{Digest, Sha256};
 use std::fs;
@@ -51,7 +51,7 @@
     let hash = export.hash.as_ref()?;
     let path = directory.join(export.file_name());
     match fs::read(&path) {
-        Ok(bytes) if hex(&Sha256::digest(&bytes)) == *hash => None,
+        Ok(bytes) if hex::encode(&Sha256::digest(&bytes)) == *hash => None,
         Ok(_) => Some(format!("{}: is not the export that the journal knows", path.display())),
         Err(error) if error.kind() == ErrorKind::NotFound => None,
         Err(error) => Some(format!("{}: {error}", path.display())),
--- a/src/inventory/completeness.rs
+++ b/src/inventory/completeness.rs
@@ -1,9 +1,9 @@
 //! Whether a file was read completely, by the marks that the operator's file asks for.
 
 use super::files::{Bundle, BundleFile, Role};
-use super::hex;
 use super::options::Options;
 use crate::diagnostic::Diagnostic;
+use crate::hex;
 use sha2::{Digest, Sha256};
 
 const BYTE_ORDER_MARK: &[u8] = b"\xef\xbb\xbf";
@@ -45,7 +45,7 @@
     // The checksum file may name the file behind the checksum, as `sha256sum` does.
     let expected = file.checksum.as_deref().unwrap_or_default();
     let expected = expected.split_whitespace().next().unwrap_or_default();
-    let found = hex(&Sha256::digest(&file.text));
+    let found = hex::encode(&Sha256::digest(&file.text));
     if expected.eq_ignore_ascii_case(&found) {
         return Ok(());
     }
--- a/src/inventory/list.rs
+++ b/src/inventory/list.rs
@@ -2,11 +2,11 @@
 
 use super::ansible::Hosts;
 use super::files::{Bundle, Role};
-use super::hex;
 use super::mapping::Field;
 use super::options::Options;
 use crate::diagnostic::{Diagnostic, Diagnostics};
 use crate::endpoints::{Endpoint, EndpointRecord, EndpointState, FileList, clashes};
+use crate::hex;
 use sha2::{Digest, Sha256};
 use std::sync::Arc;
 
@@ -21,7 +21,7 @@
         hash.update((file.text.len() as u64).to_be_bytes());
         hash.update(&file.text);
     }
-    hex(&hash.finalize()[..DIGEST_BYTES]).into()
+    hex::encode(&hash.finalize()[..DIGEST_BYTES]).into()
 }
 
 /// The endpoint records of all hosts, in the order of their names.
--- a/src/inventory/mod.rs
+++ b/src/inventory/mod.rs
@@ -30,15 +30,3 @@
 pub use options::{Bounds, Format, Options};
 pub use print::{Format as PrintFormat, print};
 pub use read::{hosts, read};
-
-use std::fmt::Write;
-
-/// Bytes as lower-case hex digits.
-pub(crate) fn hex(bytes: &[u8]) -> String {
-    let mut text = String::with_capacity(bytes.len() * 2);
-    for byte in bytes {
-        // Writing into a string cannot fail.
-        let _ = write!(text, "{byte:02x}");
-    }
-    text
-}
--- a/src/ledger/store/exports.rs
+++ b/src/ledger/store/exports.rs
@@ -12,7 +12,7 @@
 use super::super::record::Record;
 use super::Store;
 use super::recovery::{self, Start};
-use crate::inventory::hex;
+use crate::hex;
 use sha2::{Digest, Sha256};
 
 impl<D: Disk> Store<D> {
@@ -65,7 +65,7 @@
             return Err(LedgerError::UnknownFormat(begun.format.clone()));
         };
         let bytes = render(&content, format)?;
-        let hash = hex(&Sha256::digest(&bytes));
+        let hash = hex::encode(&Sha256::digest(&bytes));
         let manifest = content.manifest(&hash).to_json();
         self.place_file(&begun.file_name(), &bytes)?;
         self.place_file(&format!("{}.manifest.json", begun.name), manifest.as_bytes())?;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -52,6 +52,7 @@
 pub mod diagnostic;
 pub mod endpoints;
 pub mod gossip;
+pub mod hex;
 pub mod hot_restart;
 pub mod inventory;
 pub mod json;
