--- a/examples/ledger_cost.rs
+++ b/examples/ledger_cost.rs
@@ -8,7 +8,7 @@
 use common::fleet::LeafFleet;
 use common::process::{Client, Setup, query, scratch_dir};
 use sailmux::ledger::{
-    Calendar, Entry, Options, Outcome, RealDisk, Record, Share, Store, UnixMs, queue, read_all,
+    Calendar, Entry, Options, Outcome, QuotaShare, RealDisk, Record, Store, UnixMs, queue, read_all,
 };
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -29,7 +29,7 @@
         attempts: 4,
         work: 4000,
         outcome: Outcome::Complete,
-        share: Share::WithinQuota,
+        share: QuotaShare::WithinQuota,
     }
 }
 
--- a/src/aggregator/queries.rs
+++ b/src/aggregator/queries.rs
@@ -6,7 +6,7 @@
 use super::timer::Timer;
 use super::{AttemptId, ClientId, NewPart, NewQuery, QueryError, Reply};
 use crate::balancer::{self, Outcome, PartId, PartSpec, QueryId};
-use crate::ledger::{self, Share};
+use crate::ledger::{self, QuotaShare};
 use bytes::Bytes;
 use std::collections::BTreeMap;
 
@@ -51,7 +51,7 @@
             class: new.class.into(),
             tenant: new.tenant,
             tenant_is_known: indices.tenant.is_some(),
-            share: Share::WithinQuota,
+            share: QuotaShare::WithinQuota,
             name: new.name,
             payload: new.payload,
             idempotency_key: new.idempotency_key,
@@ -93,7 +93,7 @@
         if let Some(query) = self.state.queries.get_mut(&query)
             && !within_quota
         {
-            query.share = Share::OverQuota;
+            query.share = QuotaShare::OverQuota;
         }
     }
 
--- a/src/aggregator/records.rs
+++ b/src/aggregator/records.rs
@@ -3,7 +3,7 @@
 use super::{AttemptId, ClientId, ConnectionId};
 use crate::balancer::{PartId, QueryId, ReplicaId};
 use crate::clock::Millis;
-use crate::ledger::Share;
+use crate::ledger::QuotaShare;
 use bytes::Bytes;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -30,7 +30,7 @@
     /// The settings list that tenant.
     pub tenant_is_known: bool,
     /// Whether it was within its tenant's quota.
-    pub share: Share,
+    pub share: QuotaShare,
     /// The client's identifier for it.
     pub name: Arc<str>,
     pub payload: Arc<str>,
--- a/src/cli/inventory/explain.rs
+++ b/src/cli/inventory/explain.rs
@@ -34,14 +34,19 @@
 
 /// The value that has precedence, and below it the ones that it overrides.
 fn explanation(explained: &Explained, bundle: &Bundle) -> String {
-    let Some(((value, layer, location), overridden)) = explained.values.split_first() else {
+    let Some((effective, overridden)) = explained.values.split_first() else {
         return String::new();
     };
     let suffix = if overridden.is_empty() { ", set nowhere else" } else { ", overrides:" };
-    let mut text = format!("{} = {value}\n", explained.variable);
-    text.push_str(&format!("    {} ({layer}){suffix}\n", location_text(bundle, *location)));
-    for (value, layer, location) in overridden {
-        text.push_str(&format!("    {} ({layer}): {value}\n", location_text(bundle, *location)));
+    let mut text = format!("{} = {}\n", explained.variable, effective.text);
+    text.push_str(&format!(
+        "    {} ({}){suffix}\n",
+        location_text(bundle, effective.location),
+        effective.layer
+    ));
+    for value in overridden {
+        let location = location_text(bundle, value.location);
+        text.push_str(&format!("    {location} ({}): {}\n", value.layer, value.text));
     }
     text
 }
--- a/src/cli/inventory/plan.rs
+++ b/src/cli/inventory/plan.rs
@@ -45,7 +45,7 @@
 
         let plan = registry.plan(replaced, &candidate);
         let mut text = changes_text(&plan.changes);
-        text.push_str(&format!("leaf servers: {} -> {}\n", plan.loss.before, plan.loss.after));
+        text.push_str(&format!("leaf servers: {} -> {}\n", plan.counts.before, plan.counts.after));
         for (shard, holders) in plan.ready_holders_by_shard.iter().enumerate() {
             let cells = layout.cells;
             text.push_str(&format!("shard {shard} (of each {cells}): {holders} leaf servers are ready\n"));
--- a/src/cli/ledger/correct.rs
+++ b/src/cli/ledger/correct.rs
@@ -3,7 +3,7 @@
 use super::super::failure::Failure;
 use super::submit::unique_id;
 use super::{LedgerLocation, now};
-use crate::ledger::{Correction, Period, Request, Share};
+use crate::ledger::{Correction, Period, QuotaShare, Request};
 
 #[derive(clap::Args)]
 pub(in crate::cli) struct Correct {
@@ -46,7 +46,7 @@
             tenant: self.tenant,
             class: self.class,
             corrects: self.corrects.to_string(),
-            share: if self.beyond { Share::OverQuota } else { Share::WithinQuota },
+            share: if self.beyond { QuotaShare::OverQuota } else { QuotaShare::WithinQuota },
             queries: self.queries,
             parts: self.parts,
             work: self.work,
--- a/src/cli/ledger/submit.rs
+++ b/src/cli/ledger/submit.rs
@@ -28,7 +28,7 @@
 
     fn perform(&self, disk: RealDisk, aggregator: &str, request: Request) -> Result<(), Failure> {
         // Every record is synced before the command ends, so a kill loses nothing that was acknowledged.
-        let options = Options { window: 0, ..Options::default() };
+        let options = Options { loss_window_ms: 0, ..Options::default() };
         let (mut store, _) = Store::open(disk, self.calendar()?, options, aggregator, now())?;
         let outcome = store.perform(request, now());
         store.end(now())?;
--- a/src/config/operator/ledger.rs
+++ b/src/config/operator/ledger.rs
@@ -1,7 +1,7 @@
 //! Section `ledger`: use by tenant, kept on disk.
 
 use super::setting::{Count, FieldContext, choices, records};
-use crate::ledger::{self, Calendar, PriceList};
+use crate::ledger::{self, Calendar, ClassPrices, PriceList};
 use crate::yaml::Node;
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -108,9 +108,9 @@
     fn store_options(&self) -> ledger::Options {
         ledger::Options {
             segment_bytes: (self.segment_mb.0 << 20) as usize,
-            grace: (self.grace_hours.0 * MILLIS_PER_HOUR) as i64,
-            window: if self.is_strict() { 0 } else { self.commit_ms.0 as i64 },
-            export: match self.export {
+            grace_ms: (self.grace_hours.0 * MILLIS_PER_HOUR) as i64,
+            loss_window_ms: if self.is_strict() { 0 } else { self.commit_ms.0 as i64 },
+            export_format: match self.export {
                 LedgerExport::Off => None,
                 LedgerExport::Csv => Some(ledger::Format::Csv),
                 LedgerExport::JsonLines => Some(ledger::Format::JsonLines),
@@ -122,7 +122,8 @@
     fn price_list(&self) -> PriceList {
         let mut classes = BTreeMap::new();
         for (class, price) in &self.prices {
-            classes.insert(class.clone(), (price.query.0, price.part.0));
+            let prices = ClassPrices { query: price.query.0, part: price.part.0 };
+            classes.insert(class.clone(), prices);
         }
         PriceList { classes }
     }
--- a/src/endpoints/guard.rs
+++ b/src/endpoints/guard.rs
@@ -52,7 +52,7 @@
 
 /// Numbers of endpoints before and after a list would take effect.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Loss {
+pub struct EndpointCounts {
     /// Endpoints before.
     pub before: usize,
     /// Endpoints after.
@@ -63,7 +63,7 @@
 
 /// What a list would change, as far as the guard needs to know.
 pub(super) struct ProposedChange<'a> {
-    pub loss: Loss,
+    pub counts: EndpointCounts,
     /// The list names at least one endpoint, or is partial and need not name any.
     pub names_endpoints: bool,
     /// Ready endpoints once the draining states of the list are in effect, which are never held back.
@@ -82,13 +82,13 @@
 impl ListGuard {
     /// Why a change must be held back; `None` if it may take effect.
     pub fn check(&self, change: &ProposedChange<'_>) -> Option<HoldReason> {
-        let Loss { before, after, removed: lost } = change.loss;
-        let list_is_empty = !change.names_endpoints && lost > 0;
+        let EndpointCounts { before, after, removed } = change.counts;
+        let list_is_empty = !change.names_endpoints && removed > 0;
         if before > 0 && (after == 0 || list_is_empty) {
             return Some(HoldReason::Empty);
         }
-        if lost > 1 && lost as f64 > self.settings.max_removed_fraction * before as f64 {
-            return Some(HoldReason::TooManyRemoved { removed: lost, total: before });
+        if removed > 1 && removed as f64 > self.settings.max_removed_fraction * before as f64 {
+            return Some(HoldReason::TooManyRemoved { removed, total: before });
         }
         // One round over the cells is enough: shards that start at the same cell have the same holders.
         (0..self.layout.cells)
--- a/src/endpoints/mod.rs
+++ b/src/endpoints/mod.rs
@@ -36,7 +36,7 @@
 pub use discovery_timing::DiscoveryTiming;
 pub use endpoint::{Endpoint, EndpointList, EndpointState};
 pub use file_polling::{FileCheck, FilePoller, PollDecision};
-pub use guard::{GuardSettings, HoldReason, Loss};
+pub use guard::{EndpointCounts, GuardSettings, HoldReason};
 pub use history::{Change, Difference, History, Version};
 pub use input::Input;
 pub use layout::Layout;
@@ -45,7 +45,9 @@
 pub use overrides::Override;
 pub use plan::Plan;
 pub use provenance::{FieldName, Origin, Provenance};
-pub use record::{EndpointRecord, FileList, SourceLocation, Sourced, Summary, clashes};
+pub use record::{
+    EndpointRecord, FileList, SharedAddress, SourceLocation, Sourced, Summary, shared_addresses,
+};
 pub use registry::EndpointRegistry;
 
 pub use crate::clock::Millis;
--- a/src/endpoints/plan.rs
+++ b/src/endpoints/plan.rs
@@ -2,7 +2,7 @@
 
 use super::effective::EffectiveEndpoints;
 use super::file_source::FileLists;
-use super::guard::{HoldReason, ListGuard, Loss, ProposedChange};
+use super::guard::{EndpointCounts, HoldReason, ListGuard, ProposedChange};
 use super::history::{Change, Difference};
 use super::layout::Holders;
 use super::merge::MergedEndpoint;
@@ -24,7 +24,7 @@
     /// Why the list would be held back; `None` if it would be applied.
     pub hold_reason: Option<HoldReason>,
     /// Numbers of endpoints before and after.
-    pub loss: Loss,
+    pub counts: EndpointCounts,
     /// Ready endpoints of each shard after it, for the first shards, one for each cell; others repeat these.
     pub ready_holders_by_shard: Vec<u32>,
 }
@@ -56,7 +56,7 @@
         changed_names,
         difference: Difference::of(projection.changes.values()),
         hold_reason: hold,
-        loss: projection.loss,
+        counts: projection.counts,
         ready_holders_by_shard: shards
             .map(|shard| projection.holders_if_applied.of_shard(guard.layout, shard))
             .collect(),
@@ -73,7 +73,7 @@
 
 /// The endpoints as they would be, counted while the changed names are added.
 struct Projection {
-    loss: Loss,
+    counts: EndpointCounts,
     holders_if_held_back: Holders,
     holders_if_applied: Holders,
     changes: BTreeMap<Arc<str>, Change>,
@@ -83,7 +83,7 @@
     fn new(effective: &EffectiveEndpoints) -> Self {
         let endpoints = effective.len();
         Projection {
-            loss: Loss { before: endpoints, after: endpoints, removed: 0 },
+            counts: EndpointCounts { before: endpoints, after: endpoints, removed: 0 },
             holders_if_held_back: effective.holders().clone(),
             holders_if_applied: effective.holders().clone(),
             changes: BTreeMap::new(),
@@ -110,10 +110,10 @@
         }
         match (before, &after) {
             (Some(_), None) => {
-                self.loss.removed += 1;
-                self.loss.after -= 1;
+                self.counts.removed += 1;
+                self.counts.after -= 1;
             }
-            (None, Some(_)) => self.loss.after += 1,
+            (None, Some(_)) => self.counts.after += 1,
             _ => {}
         }
         let before = before.map(|merged| &merged.endpoint);
@@ -125,7 +125,7 @@
 
     fn proposed_change(&self, list: &FileList) -> ProposedChange<'_> {
         ProposedChange {
-            loss: self.loss,
+            counts: self.counts,
             names_endpoints: list.partial || !list.records.is_empty(),
             holders_before: &self.holders_if_held_back,
             holders_after: &self.holders_if_applied,
--- a/src/endpoints/record.rs
+++ b/src/endpoints/record.rs
@@ -151,19 +151,27 @@
     pub draining: usize,
 }
 
-/// Pairs of records that give one address under two names, where the load of one leaf server would count as that of
-/// two. Each pair has the first record of the address, then the later one.
-pub fn clashes(records: &[EndpointRecord]) -> Vec<(&EndpointRecord, &EndpointRecord)> {
+/// Two records that give one address under two names, so that the load of one leaf server would count as that of two.
+#[derive(Clone, Copy, Debug)]
+pub struct SharedAddress<'a> {
+    /// The first record with the address.
+    pub first: &'a EndpointRecord,
+    /// A later record with it.
+    pub second: &'a EndpointRecord,
+}
+
+/// The addresses that occur under more than one name, in the order of the later records.
+pub fn shared_addresses(records: &[EndpointRecord]) -> Vec<SharedAddress<'_>> {
     let mut first_by_address: HashMap<&str, &EndpointRecord> = HashMap::with_capacity(records.len());
-    let mut pairs = Vec::new();
+    let mut shared = Vec::new();
     for record in records {
         let Some(address) = &record.address else { continue };
         match first_by_address.entry(&address.value) {
-            Entry::Occupied(first) => pairs.push((*first.get(), record)),
+            Entry::Occupied(first) => shared.push(SharedAddress { first: first.get(), second: record }),
             Entry::Vacant(vacant) => {
                 vacant.insert(record);
             }
         }
     }
-    pairs
+    shared
 }
--- a/src/hot_restart/mod.rs
+++ b/src/hot_restart/mod.rs
@@ -16,4 +16,4 @@
 pub use crate::endpoints::Override;
 pub use overrides::{MAX_OVERRIDES, OverrideSubject, Overrides, TooManyOverrides};
 pub use process_slots::{ProcessSlot, ProcessStatus, Sibling};
-pub use shared_directory::{SharedDirectory, StoredOverrides};
+pub use shared_directory::{ChangeMarker, MergedOverrides, SharedDirectory, StoredOverrides};
--- a/src/hot_restart/shared_directory.rs
+++ b/src/hot_restart/shared_directory.rs
@@ -27,8 +27,29 @@
     Missing,
     /// The overrides in the file.
     Present(Overrides),
-    /// The file could not be used and was moved to this path, for this reason.
-    MovedAside(PathBuf, snapshot::SnapshotError),
+    /// The file could not be used and was moved.
+    MovedAside {
+        /// Where it is now.
+        path: PathBuf,
+        /// Why it could not be used.
+        reason: snapshot::SnapshotError,
+    },
+}
+
+/// The modification time of the shared directory, by which changes are detected.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ChangeMarker {
+    seconds: i64,
+    nanoseconds: i64,
+}
+
+/// The result of [`SharedDirectory::merge_overrides`].
+#[derive(Clone, Debug, PartialEq)]
+pub struct MergedOverrides {
+    /// The overrides that are stored now.
+    pub merged: Overrides,
+    /// What was stored before.
+    pub found: StoredOverrides,
 }
 
 /// The shared directory.
@@ -50,11 +71,11 @@
         Ok(SharedDirectory { path })
     }
 
-    /// Changes whenever overrides are stored or a process acquires a slot, but not when a process ends: the
-    /// modification time of the directory, as seconds and nanoseconds. `None` if it cannot be read.
-    pub fn change_marker(&self) -> Option<(i64, i64)> {
+    /// A marker that changes whenever overrides are stored or a process acquires a slot, but not when a process ends.
+    /// `None` if it cannot be read.
+    pub fn change_marker(&self) -> Option<ChangeMarker> {
         let metadata = fs::metadata(&self.path).ok()?;
-        Some((metadata.mtime(), metadata.mtime_nsec()))
+        Some(ChangeMarker { seconds: metadata.mtime(), nanoseconds: metadata.mtime_nsec() })
     }
 
     /// Reads the stored overrides. A file that cannot be used is moved aside.
@@ -69,21 +90,16 @@
             Err(reason) => {
                 let moved_to = self.path.join(UNUSABLE_FILE);
                 fs::rename(&path, &moved_to)?;
-                Ok(StoredOverrides::MovedAside(moved_to, reason))
+                Ok(StoredOverrides::MovedAside { path: moved_to, reason })
             }
         }
     }
 
     /// Merges overrides into the stored ones, under the lock, and removes inactive ones given before `forget_before`.
-    /// Returns the overrides now stored, and what was found before.
     ///
     /// # Errors
     /// Those of reading, writing or locking the files; the stored overrides are then unchanged.
-    pub fn merge_overrides(
-        &self,
-        own: &Overrides,
-        forget_before: Millis,
-    ) -> io::Result<(Overrides, StoredOverrides)> {
+    pub fn merge_overrides(&self, own: &Overrides, forget_before: Millis) -> io::Result<MergedOverrides> {
         // Held until the end of the function.
         let lock =
             OpenOptions::new().create(true).truncate(false).write(true).open(self.path.join(LOCK_FILE))?;
@@ -91,14 +107,14 @@
         let found = self.read_overrides()?;
         let (mut merged, found_usable) = match &found {
             StoredOverrides::Present(overrides) => (overrides.clone(), true),
-            StoredOverrides::Missing | StoredOverrides::MovedAside(..) => (Overrides::default(), false),
+            StoredOverrides::Missing | StoredOverrides::MovedAside { .. } => (Overrides::default(), false),
         };
         let changed = merged.merge(own);
         if changed || !found_usable {
             merged.forget_before(forget_before);
             self.write_overrides(&merged)?;
         }
-        Ok((merged, found))
+        Ok(MergedOverrides { merged, found })
     }
 
     /// Replaces the stored overrides atomically.
--- a/src/inventory/ansible/explain.rs
+++ b/src/inventory/ansible/explain.rs
@@ -13,24 +13,37 @@
 /// Depth of nested values that are printed.
 const MAX_DEPTH: usize = 2;
 
+/// A value of a variable and where it is set.
+#[derive(Clone, Debug)]
+pub struct ExplainedValue {
+    /// The value as text in one line, shortened.
+    pub text: String,
+    /// The layer that sets it.
+    pub layer: Layer,
+    /// Where it is set.
+    pub location: SourceLocation,
+}
+
 /// One variable of a host.
 #[derive(Clone, Debug)]
 pub struct Explained {
     /// Its name.
     pub variable: String,
-    /// Its values as text, each with its layer and place. The first one has precedence; each overrides the next.
-    pub values: Vec<(String, Layer, SourceLocation)>,
+    /// Its values. The first one has precedence; each overrides the next.
+    pub values: Vec<ExplainedValue>,
 }
 
 impl Hosts {
     /// Every variable of a host with all its values, in the order of the names.
     pub fn explain(&self, host: &str) -> Vec<Explained> {
-        let mut values_by_name: BTreeMap<&str, Vec<(String, Layer, SourceLocation)>> = BTreeMap::new();
+        let mut values_by_name: BTreeMap<&str, Vec<ExplainedValue>> = BTreeMap::new();
         for layer in self.layers(host) {
             for (name, variable) in layer.variables.iter() {
-                let value = summary(&variable.value, 0);
-                let values = values_by_name.entry(name).or_default();
-                values.push((value, layer.layer.clone(), variable.location));
+                values_by_name.entry(name).or_default().push(ExplainedValue {
+                    text: summary(&variable.value, 0),
+                    layer: layer.layer.clone(),
+                    location: variable.location,
+                });
             }
         }
         let explained = |(name, values): (&str, _)| Explained { variable: name.to_owned(), values };
@@ -41,8 +54,8 @@
 /// A value in one line, shortened.
 fn summary(node: &Node, depth: usize) -> String {
     let text = match &node.kind {
-        Kind::Scalar(text, _) if node.tag == "vault" => format!("(encrypted, {} bytes)", text.len()),
-        Kind::Scalar(text, _) => text.replace(['\n', '\r'], " "),
+        Kind::Scalar { text, .. } if node.tag == "vault" => format!("(encrypted, {} bytes)", text.len()),
+        Kind::Scalar { text, .. } => text.replace(['\n', '\r'], " "),
         _ if depth > MAX_DEPTH => "…".to_owned(),
         Kind::List(elements) => {
             let elements = elements.iter().take(MAX_ELEMENTS);
--- a/src/inventory/ansible/hosts.rs
+++ b/src/inventory/ansible/hosts.rs
@@ -222,7 +222,7 @@
 
 fn with_port(variables: Option<Rc<VariableMap>>, port: &str, location: SourceLocation) -> VariableMap {
     let mut variables = variables.map(|variables| (*variables).clone()).unwrap_or_default();
-    let kind = Kind::Scalar(port.to_owned(), true);
+    let kind = Kind::Scalar { text: port.to_owned(), is_plain: true };
     let value = Rc::new(Node { line: location.line, tag: String::new(), size: 1, kind });
     variables.insert_default("ansible_port", value, location);
     variables
--- a/src/inventory/files/mod.rs
+++ b/src/inventory/files/mod.rs
@@ -7,7 +7,7 @@
 
 pub use bundle::{Bundle, BundleFile, Role};
 pub use gather::{Gathered, gather};
-pub use signature::{FileStamp, Seen, signature};
+pub use signature::{FileStamp, SeenFile, signature};
 
 use std::ffi::OsString;
 use std::path::{Path, PathBuf};
--- a/src/inventory/list.rs
+++ b/src/inventory/list.rs
@@ -6,7 +6,7 @@
 use super::mapping::Field;
 use super::options::Options;
 use crate::diagnostic::{Diagnostic, Diagnostics};
-use crate::endpoints::{Endpoint, EndpointRecord, EndpointState, FileList, clashes};
+use crate::endpoints::{Endpoint, EndpointRecord, EndpointState, FileList, SharedAddress, shared_addresses};
 use sha2::{Digest, Sha256};
 use std::sync::Arc;
 
@@ -75,7 +75,7 @@
 }
 
 fn report_shared_addresses(records: &[EndpointRecord], bundle: &Bundle, problems: &mut Vec<Diagnostic>) {
-    for (first, second) in clashes(records) {
+    for SharedAddress { first, second } in shared_addresses(records) {
         let address = second.address.as_ref().map_or("", |address| &*address.value);
         let message = format!("{address} is the address of {} too", first.name);
         let file = bundle.file_name(second.location);
--- a/src/inventory/mod.rs
+++ b/src/inventory/mod.rs
@@ -20,11 +20,11 @@
 mod read;
 mod table;
 
-pub use ansible::{Explained, Hosts, Layer};
+pub use ansible::{Explained, ExplainedValue, Hosts, Layer};
 pub use columns::columns;
 pub use error::HostError;
 pub use expand::{RangeError, expand};
-pub use files::{Bundle, BundleFile, FileStamp, Gathered, Role, Seen, gather, signature};
+pub use files::{Bundle, BundleFile, FileStamp, Gathered, Role, SeenFile, gather, signature};
 pub use list::{digest, nodes};
 pub use mapping::{Field, Mapping};
 pub use options::{Bounds, Format, Options};
--- a/src/inventory/table.rs
+++ b/src/inventory/table.rs
@@ -154,7 +154,7 @@
             continue;
         }
         // A cell is text, also where YAML would read `null`.
-        let kind = Kind::Scalar(cell.to_owned(), false);
+        let kind = Kind::Scalar { text: cell.to_owned(), is_plain: false };
         let value = Rc::new(Node { line: location.line, tag: String::new(), size: 1, kind });
         variables.insert(column.clone(), value, location);
     }
--- a/src/ledger/accounts.rs
+++ b/src/ledger/accounts.rs
@@ -1,7 +1,7 @@
 //! Billing lines: whose use is counted, under which key, and the sums of it.
 
 use super::period::Period;
-use super::record::{Entry, Outcome, Share};
+use super::record::{Entry, Outcome, QuotaShare};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Unknown tenant names that get an account of their own; all others share one.
@@ -63,7 +63,7 @@
     /// The query class.
     pub class: String,
     /// Within the tenant's quota or beyond it.
-    pub share: Share,
+    pub share: QuotaShare,
 }
 
 /// What a billing line counts.
--- a/src/ledger/journal/field.rs
+++ b/src/ledger/journal/field.rs
@@ -1,6 +1,6 @@
 //! Fields of records and snapshots: variable-length numbers and texts with their length in front.
 
-use super::super::record::Share;
+use super::super::record::QuotaShare;
 
 /// Appends a number, seven bits a byte, the low ones first.
 pub(in super::super) fn put_number(into: &mut Vec<u8>, mut number: u64) {
@@ -86,10 +86,10 @@
         String::from_utf8(self.bytes()?.to_vec()).ok()
     }
 
-    pub fn share(&mut self) -> Option<Share> {
+    pub fn share(&mut self) -> Option<QuotaShare> {
         match self.byte()? {
-            0 => Some(Share::WithinQuota),
-            1 => Some(Share::OverQuota),
+            0 => Some(QuotaShare::WithinQuota),
+            1 => Some(QuotaShare::OverQuota),
             _ => None,
         }
     }
--- a/src/ledger/mod.rs
+++ b/src/ledger/mod.rs
@@ -37,12 +37,12 @@
 pub use metrics::TenantMetrics;
 pub use options::{Options, Recovery};
 pub use period::{Calendar, ParsePeriodError, Period, UnknownTimeZone};
-pub use price::PriceList;
+pub use price::{ClassPrices, PriceList};
 pub use reconcile::{Ledger, Reconciled, reconcile};
-pub use record::{Correction, Entry, Gap, Outcome, Record, Share};
+pub use record::{Correction, Entry, Gap, Outcome, QuotaShare, Record};
 pub use request::{Reply, Request, RequestError, RequestOutcome, reply_name, request_name};
 pub use store::{Store, read_all};
-pub use writer::{Handle, Intake, LedgerEvent, NumberedRecord, Writer, queue};
+pub use writer::{Intake, LedgerEvent, LedgerHandle, NumberedRecord, Writer, queue};
 
 /// Unix time in milliseconds.
 pub type UnixMs = i64;
--- a/src/ledger/options.rs
+++ b/src/ledger/options.rs
@@ -8,18 +8,18 @@
 pub struct Options {
     /// A segment of at least this many bytes is sealed before the next append.
     pub segment_bytes: usize,
-    /// A period closes this long after its end, in milliseconds.
-    pub grace: UnixMs,
+    /// A period closes this many milliseconds after its end.
+    pub grace_ms: UnixMs,
     /// A run that was killed may have lost the entries of this many milliseconds before its end; 0 where every entry is
     /// synced before its answer is sent.
-    pub window: UnixMs,
+    pub loss_window_ms: UnixMs,
     /// The format in which a period is exported when it closes; `None` exports on command only.
-    pub export: Option<Format>,
+    pub export_format: Option<Format>,
 }
 
 impl Default for Options {
     fn default() -> Self {
-        Options { segment_bytes: 8 << 20, grace: 86_400_000, window: 50, export: None }
+        Options { segment_bytes: 8 << 20, grace_ms: 86_400_000, loss_window_ms: 50, export_format: None }
     }
 }
 
--- a/src/ledger/price.rs
+++ b/src/ledger/price.rs
@@ -3,20 +3,29 @@
 use std::collections::BTreeMap;
 
 /// Prices of a class that is not listed: nothing for the query, one unit for each part.
-const DEFAULT_PRICES: (u64, u64) = (0, 1000);
+const DEFAULT_PRICES: ClassPrices = ClassPrices { query: 0, part: 1000 };
 
-/// Prices by class, in thousandths of a unit of work.
+/// The prices of a class, in thousandths of a unit of work.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ClassPrices {
+    /// Price of an answered query.
+    pub query: u64,
+    /// Price of each part that was served.
+    pub part: u64,
+}
+
+/// Prices by class.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PriceList {
-    /// The price of an answered query and of each part served; a class that is not listed costs one unit a part.
-    pub classes: BTreeMap<String, (u64, u64)>,
+    /// The prices of each class; one that is not listed costs one unit a part.
+    pub classes: BTreeMap<String, ClassPrices>,
 }
 
 impl PriceList {
     /// The work billed for an answered query, in thousandths of a unit.
     pub fn work(&self, class: &str, served: u32) -> u64 {
-        let (query_price, part_price) = self.classes.get(class).copied().unwrap_or(DEFAULT_PRICES);
-        let parts_price = part_price.saturating_mul(u64::from(served));
-        query_price.saturating_add(parts_price)
+        let prices = self.classes.get(class).copied().unwrap_or(DEFAULT_PRICES);
+        let parts_price = prices.part.saturating_mul(u64::from(served));
+        prices.query.saturating_add(parts_price)
     }
 }
--- a/src/ledger/record.rs
+++ b/src/ledger/record.rs
@@ -51,19 +51,19 @@
 
 /// Whether a query was within its tenant's quota when it was admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Share {
+pub enum QuotaShare {
     /// Within the quota.
     WithinQuota,
     /// Beyond the quota; counted on a line of its own.
     OverQuota,
 }
 
-impl Share {
+impl QuotaShare {
     /// The name in exports, metric labels and command output.
     pub fn word(self) -> &'static str {
         match self {
-            Share::WithinQuota => "within",
-            Share::OverQuota => "beyond",
+            QuotaShare::WithinQuota => "within",
+            QuotaShare::OverQuota => "beyond",
         }
     }
 }
@@ -92,7 +92,7 @@
     /// How it ended.
     pub outcome: Outcome,
     /// Within the tenant's quota or beyond it.
-    pub share: Share,
+    pub share: QuotaShare,
 }
 
 /// Entries that could not be stored.
@@ -136,7 +136,7 @@
     /// The period that was billed wrongly, as `2026-11`; it may be closed, and does not change.
     pub corrects: String,
     /// Within the tenant's quota or beyond it.
-    pub share: Share,
+    pub share: QuotaShare,
     /// Added to the queries billed.
     pub queries: i64,
     /// Added to the parts billed.
--- a/src/ledger/request.rs
+++ b/src/ledger/request.rs
@@ -8,7 +8,7 @@
 use super::UnixMs;
 use super::export_format::Format;
 use super::period::{ParsePeriodError, Period};
-use super::record::{Correction, Share};
+use super::record::{Correction, QuotaShare};
 use serde_json::{Value, json};
 use std::error::Error;
 use std::fmt;
@@ -101,7 +101,7 @@
                 "tenant": correction.tenant,
                 "class": correction.class,
                 "corrects": correction.corrects,
-                "beyond": correction.share == Share::OverQuota,
+                "beyond": correction.share == QuotaShare::OverQuota,
                 "queries": correction.queries,
                 "parts": correction.parts,
                 "work": correction.work,
@@ -158,7 +158,7 @@
             tenant: self.text("tenant")?,
             class: self.text("class")?,
             corrects: self.text("corrects")?,
-            share: if self.0["beyond"] == true { Share::OverQuota } else { Share::WithinQuota },
+            share: if self.0["beyond"] == true { QuotaShare::OverQuota } else { QuotaShare::WithinQuota },
             queries: self.number("queries")?,
             parts: self.number("parts")?,
             work: self.number("work")?,
--- a/src/ledger/store/mod.rs
+++ b/src/ledger/store/mod.rs
@@ -81,7 +81,7 @@
     /// Records that a run begins, and before that what the last run may have lost if it was killed.
     fn begin_run(&mut self, aggregator: &str, now: UnixMs) -> Result<(), LedgerError> {
         let mut records = Vec::new();
-        let window = self.options.window;
+        let window = self.options.loss_window_ms;
         if !self.book.ended_gracefully && window > 0 {
             let from = self.book.latest_entry;
             records.push(Record::Gap(Gap {
--- a/src/ledger/writer/mod.rs
+++ b/src/ledger/writer/mod.rs
@@ -8,7 +8,7 @@
 mod timers;
 
 pub use event::LedgerEvent;
-pub use queue::{Handle, Intake, NumberedRecord, queue};
+pub use queue::{Intake, LedgerHandle, NumberedRecord, queue};
 
 use super::UnixMs;
 use super::book::ExportRecord;
@@ -42,7 +42,7 @@
     /// Time between two commits, which bounds the loss by a crash; zero commits each group at once (strict mode).
     commit_interval: Duration,
     /// Time between a period's end and its closing, in milliseconds.
-    grace: UnixMs,
+    grace_ms: UnixMs,
     /// The format in which periods are exported when they close.
     export_format: Option<Format>,
     /// Records that are not known to be durable.
@@ -65,8 +65,8 @@
             store,
             emit,
             commit_interval,
-            grace: options.grace,
-            export_format: options.export,
+            grace_ms: options.grace_ms,
+            export_format: options.export_format,
             pending: VecDeque::new(),
             appended: 0,
             lost: LostEntries::default(),
@@ -75,7 +75,8 @@
         }
     }
 
-    /// Runs until the [`Handle`] is dropped, commits what was enqueued and ends the run. `now` reads the wall clock.
+    /// Runs until the [`LedgerHandle`] is dropped, commits what was enqueued and ends the run. `now` reads the wall
+    /// clock.
     pub fn run(mut self, intake: Intake, now: impl Fn() -> UnixMs) -> Store<D> {
         let mut timers = Timers::new();
         loop {
@@ -198,7 +199,7 @@
 
     /// Closes the periods that are due, exports them if that is configured, and compacts the ledger.
     pub fn close_due_periods(&mut self, now: UnixMs) {
-        for period in self.store.book().due(now, self.grace) {
+        for period in self.store.book().due(now, self.grace_ms) {
             match self.close_and_export(period, now) {
                 Ok(Some(export)) => (self.emit)(LedgerEvent::ExportFinished(export.name)),
                 Ok(None) => {}
--- a/src/ledger/writer/queue.rs
+++ b/src/ledger/writer/queue.rs
@@ -13,14 +13,14 @@
 /// A record and the number of the entry with which it was enqueued.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NumberedRecord {
-    /// Counted from 1 by [`Handle::put`].
+    /// Counted from 1 by [`LedgerHandle::enqueue`].
     pub number: u64,
     /// An entry, or a gap for entries that did not fit.
     pub record: Record,
 }
 
 /// The end of the queue where the event loop puts entries. Dropping it ends the ledger's thread.
-pub struct Handle {
+pub struct LedgerHandle {
     sender: SyncSender<NumberedRecord>,
     /// The number of the newest entry.
     newest: u64,
@@ -37,18 +37,18 @@
     Record(NumberedRecord),
     /// The deadline passed.
     Nothing,
-    /// The queue is empty and its [`Handle`] was dropped.
+    /// The queue is empty and its [`LedgerHandle`] was dropped.
     Disconnected,
 }
 
 /// A queue from the event loop to the ledger's thread.
-pub fn queue() -> (Handle, Intake) {
+pub fn queue() -> (LedgerHandle, Intake) {
     let (sender, receiver) = sync_channel(QUEUE_RECORDS);
-    let handle = Handle { sender, newest: 0, lost: LostEntries::default() };
+    let handle = LedgerHandle { sender, newest: 0, lost: LostEntries::default() };
     (handle, Intake { receiver })
 }
 
-impl Handle {
+impl LedgerHandle {
     /// Enqueues an entry and returns its number, without waiting. If the queue is full the entry is lost; a gap that
     /// says so goes ahead of the next entry that fits.
     pub fn enqueue(&mut self, entry: Entry) -> u64 {
--- a/src/net/hot_restart.rs
+++ b/src/net/hot_restart.rs
@@ -5,7 +5,8 @@
 use crate::aggregator::{AdminOutcome, Event, Siblings};
 use crate::clock::{Clock, Millis};
 use crate::hot_restart::{
-    Overrides, ProcessSlot, ProcessStatus, SharedDirectory, Sibling, StoredOverrides, snapshot,
+    ChangeMarker, MergedOverrides, Overrides, ProcessSlot, ProcessStatus, SharedDirectory, Sibling,
+    StoredOverrides, snapshot,
 };
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
@@ -121,7 +122,7 @@
             debug!(active, "stored overrides read");
             overrides
         }
-        StoredOverrides::MovedAside(path, reason) => {
+        StoredOverrides::MovedAside { path, reason } => {
             error!(path = %path.display(), "stored overrides: the file {reason}; moved aside, its overrides are not in force");
             Overrides::default()
         }
@@ -141,7 +142,7 @@
     /// What this process publishes in its slot.
     status: ProcessStatus,
     /// The directory's marker when it was last read.
-    change_marker: Option<(i64, i64)>,
+    change_marker: Option<ChangeMarker>,
     /// Digest of the stored overrides that the aggregator knows.
     known_digest: u32,
     siblings: Siblings,
@@ -204,15 +205,16 @@
 
     fn store(&mut self, overrides: &Overrides, reply: oneshot::Sender<AdminOutcome>) {
         let now = self.clock.now() + self.clock.wall_clock_offset();
-        let (merged, found) = match self.directory.merge_overrides(overrides, now - CANCELLED_RETENTION) {
-            Ok(merged) => merged,
-            Err(error) => {
-                error!("overrides cannot be stored: {error}; they are in force in this process only");
-                let _ = reply.send(AdminOutcome::Accepted);
-                return;
-            }
-        };
-        if let StoredOverrides::MovedAside(..) = found {
+        let MergedOverrides { merged, found } =
+            match self.directory.merge_overrides(overrides, now - CANCELLED_RETENTION) {
+                Ok(merged) => merged,
+                Err(error) => {
+                    error!("overrides cannot be stored: {error}; they are in force in this process only");
+                    let _ = reply.send(AdminOutcome::Accepted);
+                    return;
+                }
+            };
+        if let StoredOverrides::MovedAside { .. } = found {
             overrides_of(found);
         }
         // These are in force here already: the aggregator gave them.
@@ -249,7 +251,7 @@
         self.events.blocking_send(Event::SiblingsChanged(siblings))
     }
 
-    fn read_overrides(&mut self, change_marker: Option<(i64, i64)>) -> Result<(), AggregatorStopped> {
+    fn read_overrides(&mut self, change_marker: Option<ChangeMarker>) -> Result<(), AggregatorStopped> {
         let stored = match self.directory.read_overrides() {
             Ok(stored) => stored,
             Err(error) => {
--- a/src/net/inventory_watch/mod.rs
+++ b/src/net/inventory_watch/mod.rs
@@ -10,7 +10,7 @@
 use crate::config::operator::{Inventory, InventoryFile};
 use crate::diagnostic::Diagnostics;
 use crate::endpoints::{self, FileCheck, FileList, FilePoller, PollDecision};
-use crate::inventory::{self, Bundle, Gathered, Seen};
+use crate::inventory::{self, Bundle, Gathered, SeenFile};
 use change_notifier::ChangeNotifier;
 use std::collections::VecDeque;
 use std::fs;
@@ -24,7 +24,7 @@
 const RETAINED_LISTS: usize = 3;
 
 /// What one poll of a file finds; none where the inventory is not there.
-type Signature = Option<Vec<Seen>>;
+type Signature = Option<Vec<SeenFile>>;
 
 /// The lists of all files as they were found at the start.
 pub(super) fn initial_lists(inventory: &Inventory) -> Vec<Arc<FileList>> {
--- a/src/net/ledger_writer.rs
+++ b/src/net/ledger_writer.rs
@@ -5,7 +5,7 @@
 use crate::aggregator::{ClientId, Reply};
 use crate::clock::{Clock, Millis};
 use crate::config::operator;
-use crate::ledger::{Entry, Handle, LedgerEvent, RealDisk, Store, Writer, queue};
+use crate::ledger::{Entry, LedgerEvent, LedgerHandle, RealDisk, Store, Writer, queue};
 use std::collections::{HashMap, VecDeque};
 use std::io;
 use std::thread::{self, JoinHandle};
@@ -34,7 +34,7 @@
 
 /// The event loop's end of the ledger.
 pub(super) struct LedgerWriter {
-    entries: Handle,
+    entries: LedgerHandle,
     thread: JoinHandle<()>,
     clock: Clock,
     /// How long a reply waits for its entry at most; none where it does not wait.
--- a/src/yaml.rs
+++ b/src/yaml.rs
@@ -67,8 +67,13 @@
 /// A value.
 #[derive(Clone, Debug)]
 pub enum Kind {
-    /// A scalar's text, and whether it is plain (unquoted), so that it may stand for a number, a truth value or null.
-    Scalar(String, bool),
+    /// A single value.
+    Scalar {
+        /// Its text.
+        text: String,
+        /// It is unquoted, so that it may be a number, a truth value or null.
+        is_plain: bool,
+    },
     /// A list.
     List(Vec<Rc<Node>>),
     /// A map, in order, with merge keys resolved; each name occurs once.
@@ -88,19 +93,19 @@
 
 impl Node {
     fn plain_null(line: u32) -> Self {
-        Node { line, tag: String::new(), size: 1, kind: Kind::Scalar(String::new(), true) }
+        Node { line, tag: String::new(), size: 1, kind: Kind::Scalar { text: String::new(), is_plain: true } }
     }
 
     /// Whether it is null: left out, `~` or `null`.
     pub fn is_null(&self) -> bool {
-        let Kind::Scalar(text, true) = &self.kind else { return false };
+        let Kind::Scalar { text, is_plain: true } = &self.kind else { return false };
         matches!(text.as_str(), "" | "~" | "null" | "Null" | "NULL")
     }
 
     /// A scalar's text as written; `None` for null, lists and maps.
     pub fn as_str(&self) -> Option<&str> {
         match &self.kind {
-            Kind::Scalar(text, _) if !self.is_null() => Some(text),
+            Kind::Scalar { text, .. } if !self.is_null() => Some(text),
             _ => None,
         }
     }
@@ -129,7 +134,7 @@
 
     /// A truth value, in the words of YAML 1.1 that configuration tools use.
     pub fn as_bool(&self) -> Option<bool> {
-        let Kind::Scalar(text, true) = &self.kind else { return None };
+        let Kind::Scalar { text, is_plain: true } = &self.kind else { return None };
         match text.to_ascii_lowercase().as_str() {
             "true" | "yes" | "on" => Some(true),
             "false" | "no" | "off" => Some(false),
@@ -140,8 +145,8 @@
     /// What kind of value it is, for error messages.
     pub fn kind_name(&self) -> &'static str {
         match &self.kind {
-            Kind::Scalar(..) if self.is_null() => "nothing",
-            Kind::Scalar(..) => "a single value",
+            Kind::Scalar { .. } if self.is_null() => "nothing",
+            Kind::Scalar { .. } => "a single value",
             Kind::List(_) => "a list",
             Kind::Map(_) => "fields by name",
         }
@@ -227,7 +232,7 @@
             Event::Scalar(text, style, anchor, tag) => {
                 let tag = tag_suffix(tag);
                 let is_plain = style == TScalarStyle::Plain && tag != "str";
-                let node = Node { line, tag, size: 1, kind: Kind::Scalar(text, is_plain) };
+                let node = Node { line, tag, size: 1, kind: Kind::Scalar { text, is_plain } };
                 self.add(Rc::new(node), anchor)
             }
             Event::SequenceStart(anchor, tag) => {
@@ -346,7 +351,7 @@
 
     fn add_key(&mut self, node: &Node) -> Result<(), YamlError> {
         let line = node.line;
-        let Kind::Scalar(name, _) = &node.kind else {
+        let Kind::Scalar { text: name, .. } = &node.kind else {
             return Err(YamlError::at(line, "a field whose name is no text"));
         };
         if name != MERGE_KEY
@@ -367,7 +372,7 @@
 fn expanded_size(kind: &Kind) -> u64 {
     let mut size: u64 = 1;
     match kind {
-        Kind::Scalar(..) => {}
+        Kind::Scalar { .. } => {}
         Kind::List(list) => {
             for node in list {
                 size = size.saturating_add(node.size);
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -8,6 +8,7 @@
 use sailmux::endpoints::EndpointState;
 use sailmux::inventory::{Field as EndpointField, Format};
 use sailmux::json::{Field, FieldError};
+use sailmux::ledger::ClassPrices;
 use std::path::Path;
 use std::time::Duration;
 
@@ -197,8 +198,8 @@
     let ledger = operator.ledger.expect("a ledger");
     assert_eq!(ledger.dir, Path::new("/etc/sailmux/book"));
     assert_eq!((ledger.strict, ledger.every), (Some(Duration::from_millis(40)), Duration::from_millis(50)));
-    assert_eq!((ledger.options.segment_bytes, ledger.options.grace), (2 << 20, 3_600_000));
-    assert_eq!(ledger.prices.classes["c"], (5, 1000));
+    assert_eq!((ledger.options.segment_bytes, ledger.options.grace_ms), (2 << 20, 3_600_000));
+    assert_eq!(ledger.prices.classes["c"], ClassPrices { query: 5, part: 1000 });
 }
 
 #[test]
--- a/tests/formats/ansible.rs
+++ b/tests/formats/ansible.rs
@@ -98,9 +98,9 @@
     let hosts = hosts(&bundle(&LAYERS), &Options::default()).expect("layers");
     let explained = hosts.explain("s0");
     let zone = explained.iter().find(|variable| variable.variable == "zone").expect("a zone");
-    let values: Vec<&str> = zone.values.iter().map(|(value, ..)| value.as_str()).collect();
+    let values: Vec<&str> = zone.values.iter().map(|value| value.text.as_str()).collect();
     assert_eq!(values, ["10", "9", "8", "7", "6", "5", "4", "2", "3", "1"]);
-    assert_eq!(zone.values[0].1, Layer::HostVars);
+    assert_eq!(zone.values[0].layer, Layer::HostVars);
 }
 
 #[test]
--- a/tests/hot_restart.rs
+++ b/tests/hot_restart.rs
@@ -124,7 +124,7 @@
     let mut second_overrides = Overrides::default();
     second_overrides.set(OverrideSubject::Aggregator, true, 2.0).expect("few");
     directory.merge_overrides(&first_overrides, 0.0).expect("written");
-    let (both, _) = directory.merge_overrides(&second_overrides, 0.0).expect("written");
+    let both = directory.merge_overrides(&second_overrides, 0.0).expect("written").merged;
     assert!(both.is_active(&OverrideSubject::Aggregator));
     assert!(both.is_active(&leaf_server("a")));
     assert_eq!(directory.read_overrides().expect("read"), StoredOverrides::Present(both));
--- a/tests/ledger.rs
+++ b/tests/ledger.rs
@@ -30,7 +30,7 @@
         attempts: 4,
         work: 3000,
         outcome: Outcome::Complete,
-        share: if n.is_multiple_of(5) { Share::OverQuota } else { Share::WithinQuota },
+        share: if n.is_multiple_of(5) { QuotaShare::OverQuota } else { QuotaShare::WithinQuota },
     }
 }
 
@@ -41,7 +41,7 @@
         tenant: "lanyang-law".to_owned(),
         class: "envelope-search".to_owned(),
         corrects: "2026-11".to_owned(),
-        share: Share::WithinQuota,
+        share: QuotaShare::WithinQuota,
         queries: -1,
         parts: -3,
         work: -3000,
@@ -51,7 +51,7 @@
 }
 
 fn small_segments() -> Options {
-    Options { segment_bytes: 700, grace: 0, window: 0, export: None }
+    Options { segment_bytes: 700, grace_ms: 0, loss_window_ms: 0, export_format: None }
 }
 
 fn open(disk: &FaultyDisk, now: UnixMs) -> Result<(Store<FaultyDisk>, Recovery), LedgerError> {
@@ -180,7 +180,7 @@
 #[test]
 fn torn_tail_is_cut_and_damaged_middle_is_rejected_with_file_and_offset() {
     let disk = FaultyDisk::default();
-    let options = Options { window: 0, ..Options::default() };
+    let options = Options { loss_window_ms: 0, ..Options::default() };
     let mut store = Store::open(disk.clone(), calendar(), options.clone(), "n1", NOVEMBER).expect("new").0;
     for n in 0..20 {
         store.append(&[Record::Entry(entry(n, NOVEMBER))]).expect("written");
@@ -320,7 +320,7 @@
 fn killed_run_leaves_a_gap_unless_no_entry_can_be_missing() {
     for (window, ends, gaps) in [(50, false, 1), (50, true, 0), (0, false, 0)] {
         let disk = FaultyDisk::default();
-        let options = Options { window, ..small_segments() };
+        let options = Options { loss_window_ms: window, ..small_segments() };
         let start =
             || Store::open(disk.clone(), calendar(), options.clone(), "n1", NOVEMBER + 9).expect("opened").0;
         let mut store = start();
--- a/tests/stored_formats.rs
+++ b/tests/stored_formats.rs
@@ -6,11 +6,12 @@
 
 use common::process::{PATIENCE, Setup, binary, scratch_dir};
 use sailmux::hot_restart::{
-    Override, OverrideSubject, Overrides, ProcessStatus, SharedDirectory, Sibling, StoredOverrides, snapshot,
+    MergedOverrides, Override, OverrideSubject, Overrides, ProcessStatus, SharedDirectory, Sibling,
+    StoredOverrides, snapshot,
 };
 use sailmux::ledger::{
     Account, Calendar, Correction, Entry, ExportRecord, Format, Gap, Line, Options, Outcome, Period,
-    PeriodState, RealDisk, Record, Request, Share, Store, Sums, Totals, journal, read_all, reply_name,
+    PeriodState, QuotaShare, RealDisk, Record, Request, Store, Sums, Totals, journal, read_all, reply_name,
     request_name,
 };
 use serde_json::{Value, json};
@@ -109,7 +110,7 @@
         attempts: 4,
         work: 1250,
         outcome: Outcome::Complete,
-        share: Share::WithinQuota,
+        share: QuotaShare::WithinQuota,
     };
     let all = [
         acme.clone(),
@@ -120,7 +121,7 @@
             attempts: 5,
             work: 900,
             outcome: Outcome::Partial,
-            share: Share::OverQuota,
+            share: QuotaShare::OverQuota,
             ..acme.clone()
         },
         Entry {
@@ -144,7 +145,7 @@
             attempts: 9,
             work: 700,
             outcome: Outcome::Failed,
-            share: Share::OverQuota,
+            share: QuotaShare::OverQuota,
             ..acme.clone()
         },
         Entry {
@@ -167,7 +168,7 @@
             attempts: 2,
             work: 500_000_000_000,
             outcome: Outcome::ClientDisconnected,
-            share: Share::OverQuota,
+            share: QuotaShare::OverQuota,
             ..acme
         },
     ];
@@ -195,7 +196,7 @@
         tenant: "acme".to_owned(),
         class: "c".to_owned(),
         corrects: "2026-10".to_owned(),
-        share: if number % 2 == 0 { Share::OverQuota } else { Share::WithinQuota },
+        share: if number % 2 == 0 { QuotaShare::OverQuota } else { QuotaShare::WithinQuota },
         queries: -number,
         parts: 300 * number,
         work: -70_000 * number,
@@ -216,7 +217,7 @@
         attempts: 3,
         work: 1250,
         outcome: Outcome::Complete,
-        share: Share::WithinQuota,
+        share: QuotaShare::WithinQuota,
     }
 }
 
@@ -291,7 +292,7 @@
 
 // ---- Ledger: snapshot -------------------------------------------------------------------------------------------
 
-fn line(of: &str, account: Account, class: &str, share: Share) -> Line {
+fn line(of: &str, account: Account, class: &str, share: QuotaShare) -> Line {
     Line { period: period(of), account, class: class.to_owned(), share }
 }
 
@@ -313,12 +314,15 @@
         late,
     };
     [
-        (line("2026-11", acme(), "c", Share::WithinQuota), sums([3, 3, 0, 0, 9, 9, 12, 3750, 0])),
-        (line("2026-11", acme(), "c", Share::OverQuota), sums([6, 3, 0, 3, 15, 6, 21, 2700, 0])),
-        (line("2026-11", zoe, "slow", Share::WithinQuota), sums([3, 0, 3, 0, 0, 0, 0, 0, 0])),
-        (line("2026-11", unknown(""), "c", Share::WithinQuota), sums([3, 0, 0, 3, 600, 0, 900, 0, 0])),
-        (line("2026-11", unknown("stranger"), "c", Share::OverQuota), sums([3, 0, 0, 3, 9, 0, 27, 0, 0])),
-        (line("2026-12", acme(), "c", Share::WithinQuota), sums([1, 1, 0, 0, 3, 3, 3, 1250, 1])),
+        (line("2026-11", acme(), "c", QuotaShare::WithinQuota), sums([3, 3, 0, 0, 9, 9, 12, 3750, 0])),
+        (line("2026-11", acme(), "c", QuotaShare::OverQuota), sums([6, 3, 0, 3, 15, 6, 21, 2700, 0])),
+        (line("2026-11", zoe, "slow", QuotaShare::WithinQuota), sums([3, 0, 3, 0, 0, 0, 0, 0, 0])),
+        (line("2026-11", unknown(""), "c", QuotaShare::WithinQuota), sums([3, 0, 0, 3, 600, 0, 900, 0, 0])),
+        (
+            line("2026-11", unknown("stranger"), "c", QuotaShare::OverQuota),
+            sums([3, 0, 0, 3, 9, 0, 27, 0, 0]),
+        ),
+        (line("2026-12", acme(), "c", QuotaShare::WithinQuota), sums([1, 1, 0, 0, 3, 3, 3, 1250, 1])),
     ]
     .into_iter()
     .collect()
@@ -644,7 +648,7 @@
         tenant: "zo\u{eb}, \"b\"".to_owned(),
         class: "slow".to_owned(),
         corrects: "2026-11".to_owned(),
-        share: Share::OverQuota,
+        share: QuotaShare::OverQuota,
         queries: -5,
         parts: 6,
         work: -7000,
@@ -806,10 +810,13 @@
     // Nothing new: the file stays.
     assert_eq!(
         folder.merge_overrides(&orders(), 0.0).expect("merged"),
-        (orders(), StoredOverrides::Present(orders()))
+        MergedOverrides { merged: orders(), found: StoredOverrides::Present(orders()) }
     );
     fs::remove_file(dir.join("orders")).expect("removed");
-    assert_eq!(folder.merge_overrides(&orders(), 0.0).expect("merged"), (orders(), StoredOverrides::Missing));
+    assert_eq!(
+        folder.merge_overrides(&orders(), 0.0).expect("merged"),
+        MergedOverrides { merged: orders(), found: StoredOverrides::Missing }
+    );
     assert!(fs::read(dir.join("orders")).expect("written") == bytes("handover/orders"));
 }
 
