--- a/src/cli/ledger/show.rs
+++ b/src/cli/ledger/show.rs
@@ -4,7 +4,7 @@
 use super::super::print;
 use super::LedgerLocation;
 use super::table::totals_table;
-use crate::ledger::{Book, Correction, Period, Record, Totals, UnixMs, lines};
+use crate::ledger::{BilledCorrection, Book, Period, Record, Totals, UnixMs, lines};
 use jiff::Timestamp;
 use serde_json::{Value, json};
 
@@ -26,9 +26,6 @@
     json: bool,
 }
 
-/// A correction with its sequence number and the period in which it is billed.
-type BilledCorrection = (u64, Period, Correction);
-
 impl Show {
     pub(super) fn run(self) -> Result<(), Failure> {
         let book = match self.as_of {
@@ -39,7 +36,7 @@
         totals.retain(|line, _| self.is_selected(line.period, &line.account.name()));
         let corrections = book.corrections().iter();
         let corrections: Vec<&BilledCorrection> = corrections
-            .filter(|(_, period, correction)| self.is_selected(*period, &correction.tenant))
+            .filter(|billed| self.is_selected(billed.billed_in, &billed.correction.tenant))
             .collect();
         if self.json {
             return print(&json_text(&totals, &corrections));
@@ -88,10 +85,11 @@
     format!("{:#}\n", json!({ "totals": lines(totals), "corrections": corrections }))
 }
 
-fn correction_object((sequence, period, correction): &BilledCorrection) -> Value {
+fn correction_object(billed: &BilledCorrection) -> Value {
+    let BilledCorrection { sequence, billed_in, correction } = billed;
     json!({
         "seq": sequence,
-        "billed_in": period.to_string(),
+        "billed_in": billed_in.to_string(),
         "corrects": correction.corrects,
         "tenant": correction.tenant,
         "class": correction.class,
@@ -105,9 +103,10 @@
     })
 }
 
-fn correction_line((sequence, period, correction): &BilledCorrection) -> String {
+fn correction_line(billed: &BilledCorrection) -> String {
+    let BilledCorrection { sequence, billed_in, correction } = billed;
     format!(
-        "correction {sequence}, billed in {period}, of {}: {} {} {:+} queries, {:+} parts, {:+.3} units; by {}: {}\n",
+        "correction {sequence}, billed in {billed_in}, of {}: {} {} {:+} queries, {:+} parts, {:+.3} units; by {}: {}\n",
         correction.corrects,
         correction.tenant,
         correction.class,
--- a/src/cli/ledger/submit.rs
+++ b/src/cli/ledger/submit.rs
@@ -18,7 +18,7 @@
     /// Has a request carried out and prints what it achieved.
     pub(super) fn submit(&self, request: Request) -> Result<(), Failure> {
         let book = self.read(|_, _, _| {})?;
-        let (_, aggregator, _) = book.position();
+        let aggregator = book.position().aggregator;
         match RealDisk::own(&self.dir) {
             Ok(disk) => self.perform(disk, aggregator, request),
             Err(error) if error.kind() == ErrorKind::WouldBlock => self.send(&request),
--- a/src/cli/ledger/verify.rs
+++ b/src/cli/ledger/verify.rs
@@ -4,7 +4,7 @@
 use super::super::print;
 use super::LedgerLocation;
 use crate::inventory::hex;
-use crate::ledger::{Book, ExportRecord, Record};
+use crate::ledger::{Book, BookPosition, ExportRecord, Record, RecordedGap};
 use sha2::{Digest, Sha256};
 use std::fs;
 use std::io::ErrorKind;
@@ -30,11 +30,11 @@
 }
 
 fn summary(directory: &Path, book: &Book, entries: u64) -> String {
-    let (sequence, aggregator, epoch) = book.position();
+    let BookPosition { sequence, aggregator, epoch } = book.position();
     let directory = directory.display();
     let mut text =
         format!("{directory}: {aggregator}, {epoch} runs, records up to {sequence}, {entries} entries\n");
-    for (sequence, gap) in book.gaps() {
+    for RecordedGap { sequence, gap } in book.gaps() {
         text.push_str(&format!("record {sequence}: {}\n", Record::Gap(gap.clone())));
     }
     let unfinished = book.exports().iter().filter(|export| !export.is_finished());
--- a/src/ledger/book.rs
+++ b/src/ledger/book.rs
@@ -16,6 +16,46 @@
     Closed,
 }
 
+/// The records that an export covers, by their sequence numbers.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct SequenceRange {
+    /// The last record before it; 0 if it covers the first record.
+    pub after: u64,
+    /// The last record in it.
+    pub up_to: u64,
+}
+
+/// A correction in the journal.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct BilledCorrection {
+    /// The sequence number of its record.
+    pub sequence: u64,
+    /// The period in which it is billed, which may be later than the one that it corrects.
+    pub billed_in: Period,
+    /// The correction.
+    pub correction: Correction,
+}
+
+/// A gap in the journal.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct RecordedGap {
+    /// The sequence number of its record.
+    pub sequence: u64,
+    /// The gap.
+    pub gap: Gap,
+}
+
+/// How far a ledger's journal has come.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct BookPosition<'a> {
+    /// The sequence number of the last record.
+    pub sequence: u64,
+    /// The aggregator that wrote it.
+    pub aggregator: &'a str,
+    /// The number of its run, counted from 1.
+    pub epoch: u64,
+}
+
 /// An export whose intent is in the journal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ExportRecord {
@@ -25,8 +65,8 @@
     pub period: String,
     /// The name of its format.
     pub format: String,
-    /// The records that it covers: after the first sequence number, up to and including the second.
-    pub range: (u64, u64),
+    /// The records that it covers.
+    pub range: SequenceRange,
     /// SHA-256 of its bytes in hex, once it is finished.
     pub hash: Option<String>,
 }
@@ -55,8 +95,8 @@
     pub(super) epoch: u64,
     pub(super) totals: Totals,
     pub(super) unknown_tenants: UnknownTenants,
-    pub(super) corrections: Vec<(u64, Period, Correction)>,
-    pub(super) gaps: Vec<(u64, Gap)>,
+    pub(super) corrections: Vec<BilledCorrection>,
+    pub(super) gaps: Vec<RecordedGap>,
     /// Closed periods, and when each was closed.
     pub(super) closed_periods: BTreeMap<Period, UnixMs>,
     pub(super) exports: Vec<ExportRecord>,
@@ -99,7 +139,7 @@
                 self.epoch = *epoch;
             }
             Record::Entry(entry) => self.apply_entry(sequence, entry),
-            Record::Gap(gap) => self.gaps.push((sequence, gap.clone())),
+            Record::Gap(gap) => self.gaps.push(RecordedGap { sequence, gap: gap.clone() }),
             Record::Correction(correction) => self.apply_correction(sequence, correction),
             Record::Close { period, at } => {
                 if let Ok(period) = period.parse() {
@@ -110,7 +150,7 @@
                 name: name.clone(),
                 period: period.clone(),
                 format: format.clone(),
-                range: (*after, *up_to),
+                range: SequenceRange { after: *after, up_to: *up_to },
                 hash: None,
             }),
             Record::ExportFinished { name, hash, .. } => {
@@ -132,9 +172,9 @@
 
     /// A correction is billed in the period that is open when it is made, whichever period it corrects.
     fn apply_correction(&mut self, sequence: u64, correction: &Correction) {
-        let (period, _) = self.billed_in(correction.at);
-        self.last_changes.insert(period, sequence);
-        self.corrections.push((sequence, period, correction.clone()));
+        let (billed_in, _) = self.billed_in(correction.at);
+        self.last_changes.insert(billed_in, sequence);
+        self.corrections.push(BilledCorrection { sequence, billed_in, correction: correction.clone() });
     }
 
     /// The period in which an event of that time is billed, and whether its own period had closed.
@@ -152,13 +192,13 @@
         &self.totals
     }
 
-    /// Corrections with their sequence numbers and the periods in which they are billed.
-    pub fn corrections(&self) -> &[(u64, Period, Correction)] {
+    /// All corrections, in the order of their records.
+    pub fn corrections(&self) -> &[BilledCorrection] {
         &self.corrections
     }
 
-    /// Gaps with their sequence numbers.
-    pub fn gaps(&self) -> &[(u64, Gap)] {
+    /// All gaps, in the order of their records.
+    pub fn gaps(&self) -> &[RecordedGap] {
         &self.gaps
     }
 
@@ -172,9 +212,9 @@
         if self.closed_periods.contains_key(&period) { PeriodState::Closed } else { PeriodState::Open }
     }
 
-    /// The sequence number of the last record, the aggregator that wrote it, and the number of its run.
-    pub fn position(&self) -> (u64, &str, u64) {
-        (self.sequence, &self.aggregator, self.epoch)
+    /// The position of the last record.
+    pub fn position(&self) -> BookPosition<'_> {
+        BookPosition { sequence: self.sequence, aggregator: &self.aggregator, epoch: self.epoch }
     }
 
     /// The calendar by which entries are assigned to periods.
@@ -185,7 +225,7 @@
     /// Periods with lines or corrections that ended at least `grace` milliseconds ago and are still open, oldest first.
     pub fn due(&self, now: UnixMs, grace: UnixMs) -> Vec<Period> {
         let billed = self.totals.keys().map(|line| line.period);
-        let corrected = self.corrections.iter().map(|(_, period, _)| *period);
+        let corrected = self.corrections.iter().map(|billed| billed.billed_in);
         let is_due = |period: &Period| {
             let is_open = self.state(*period) == PeriodState::Open;
             is_open && self.calendar.end(*period).saturating_add(grace) <= now
@@ -201,7 +241,7 @@
     pub fn next_export(&self, period: Period, format: &str) -> Option<ExportRecord> {
         let period_name = period.to_string();
         let earlier = || self.exports.iter().filter(|export| export.period == period_name);
-        let after = earlier().map(|export| export.range.1).max().unwrap_or(0);
+        let after = earlier().map(|export| export.range.up_to).max().unwrap_or(0);
         if self.last_changes.get(&period).is_none_or(|last| *last <= after) {
             return None;
         }
@@ -212,7 +252,7 @@
             name: format!("{aggregator}-e{epoch}-{period_name}-{number:04}"),
             period: period_name,
             format: format.to_owned(),
-            range: (after, self.sequence),
+            range: SequenceRange { after, up_to: self.sequence },
             hash: None,
         })
     }
--- a/src/ledger/export.rs
+++ b/src/ledger/export.rs
@@ -2,7 +2,7 @@
 //! turns it into bytes.
 
 use super::accounts::{Account, Line, Sums, Totals};
-use super::book::{Book, ExportRecord};
+use super::book::{Book, ExportRecord, SequenceRange};
 use super::record::{Correction, Entry, Record};
 use serde_json::{Value, json};
 
@@ -27,7 +27,7 @@
 pub struct Export {
     name: String,
     period: String,
-    range: (u64, u64),
+    range: SequenceRange,
     rows: Vec<BilledRow>,
     totals: Totals,
 }
@@ -103,8 +103,8 @@
         Manifest(json!({
             "name": self.name,
             "period": self.period,
-            "after": self.range.0,
-            "upto": self.range.1,
+            "after": self.range.after,
+            "upto": self.range.up_to,
             "entries": entries,
             "corrections": self.rows.len() - entries,
             "sha256": hash,
--- a/src/ledger/journal/mod.rs
+++ b/src/ledger/journal/mod.rs
@@ -22,11 +22,22 @@
 /// Bytes of a segment's header: [`MAGIC`] and the first sequence number.
 pub const HEADER_BYTES: usize = 16;
 
+/// A record of a segment.
+#[derive(Clone, Debug)]
+pub struct ScannedRecord {
+    /// Its sequence number.
+    pub sequence: u64,
+    /// The record.
+    pub record: Record,
+    /// The offset behind its frame, in bytes from the segment's start.
+    pub end: usize,
+}
+
 /// The content of a segment.
 #[derive(Clone, Debug, Default)]
 pub struct Scanned {
-    /// Records with their sequence numbers and the offsets behind their frames.
-    pub records: Vec<(u64, Record, usize)>,
+    /// Its records, in order.
+    pub records: Vec<ScannedRecord>,
     /// Length of the readable part, in bytes.
     pub readable_bytes: usize,
     /// Length of the torn tail behind it, in bytes.
@@ -78,7 +89,7 @@
         };
         let record = expected_record(&frame, sequence).map_err(|kind| Damage { offset, kind })?;
         offset += frame.length;
-        scanned.records.push((sequence, record, offset));
+        scanned.records.push(ScannedRecord { sequence, record, end: offset });
         sequence += 1;
     }
     scanned.readable_bytes = offset;
--- a/src/ledger/mod.rs
+++ b/src/ledger/mod.rs
@@ -29,7 +29,7 @@
 mod writer;
 
 pub use accounts::{Account, Line, Sums, Totals};
-pub use book::{Book, ExportRecord, PeriodState};
+pub use book::{BilledCorrection, Book, BookPosition, ExportRecord, PeriodState, RecordedGap, SequenceRange};
 pub use disk::{Disk, RealDisk};
 pub use error::LedgerError;
 pub use export::{Export, Manifest, lines};
--- a/src/ledger/reconcile.rs
+++ b/src/ledger/reconcile.rs
@@ -79,7 +79,7 @@
     fn find_overlaps(&mut self) {
         let mut places: HashMap<&str, &str> = HashMap::new();
         for ledger in self.ledgers {
-            let (_, aggregator, _) = ledger.book.position();
+            let aggregator = ledger.book.position().aggregator;
             let place = &ledger.place;
             if let Some(other) = places.insert(aggregator, place) {
                 self.result.overlaps.push(format!("{other} and {place} are both {aggregator}'s"));
@@ -94,15 +94,15 @@
     }
 
     fn add_gaps(&mut self, book: &Book) {
-        let (_, aggregator, _) = book.position();
-        for (_, gap) in book.gaps() {
-            self.result.gaps.push((aggregator.to_owned(), gap.clone()));
+        let aggregator = book.position().aggregator;
+        for recorded in book.gaps() {
+            self.result.gaps.push((aggregator.to_owned(), recorded.gap.clone()));
         }
     }
 
     fn compare_entries(&mut self, index: usize) {
         let ledger = &self.ledgers[index];
-        let (_, aggregator, _) = ledger.book.position();
+        let aggregator = ledger.book.position().aggregator;
         let mut latest = UnixMs::MIN;
         for (sequence, record) in &ledger.records {
             let Record::Entry(entry) = record else { continue };
--- a/src/ledger/store/compaction.rs
+++ b/src/ledger/store/compaction.rs
@@ -52,7 +52,7 @@
             let (billed, _) = self.book.billed_in(entry.at);
             unfinished.contains(&own) || unfinished.contains(&billed)
         };
-        Ok(scanned.records.iter().any(|(_, record, _)| is_needed(record)))
+        Ok(scanned.records.iter().any(|scanned| is_needed(&scanned.record)))
     }
 
     /// Removes the snapshots that precede the one on which the oldest segment builds.
--- a/src/ledger/store/exports.rs
+++ b/src/ledger/store/exports.rs
@@ -3,7 +3,7 @@
 //! can take an export's name as an idempotency key.
 
 use super::super::UnixMs;
-use super::super::book::ExportRecord;
+use super::super::book::{ExportRecord, SequenceRange};
 use super::super::disk::Disk;
 use super::super::error::LedgerError;
 use super::super::export::Export;
@@ -33,7 +33,7 @@
         let Some(begun) = self.book.next_export(period, format.word()) else {
             return Ok(None);
         };
-        let (after, up_to) = begun.range;
+        let SequenceRange { after, up_to } = begun.range;
         let intent = Record::ExportIntent {
             name: begun.name.clone(),
             period: begun.period.clone(),
@@ -76,7 +76,7 @@
     /// The content of an export: the same at any time, since its records never change.
     fn export_content(&self, begun: &ExportRecord) -> Result<Export, LedgerError> {
         let mut content = Export::new(begun);
-        let (after, up_to) = begun.range;
+        let SequenceRange { after, up_to } = begun.range;
         recovery::load(&self.disk, self.book.calendar(), Start::FirstRecord, |sequence, record, book| {
             if sequence > after && sequence <= up_to {
                 content.add(sequence, record, book);
--- a/src/ledger/store/recovery.rs
+++ b/src/ledger/store/recovery.rs
@@ -3,7 +3,7 @@
 use super::super::book::Book;
 use super::super::disk::Disk;
 use super::super::error::LedgerError;
-use super::super::journal::{self, Damage, DamageKind, Scanned};
+use super::super::journal::{self, Damage, DamageKind, Scanned, ScannedRecord};
 use super::super::period::Calendar;
 use super::super::record::Record;
 use super::{file_names, snapshot};
@@ -69,7 +69,7 @@
         if let Some(damage) = missing_records(&scanned, book.sequence, first, next) {
             return Err(LedgerError::Damaged { file: name, damage });
         }
-        for (sequence, record, _) in &scanned.records {
+        for ScannedRecord { sequence, record, .. } in &scanned.records {
             if *sequence == book.sequence + 1 {
                 book.apply(*sequence, record);
                 each(*sequence, record, &book);
--- a/src/ledger/store/requests.rs
+++ b/src/ledger/store/requests.rs
@@ -38,9 +38,9 @@
 
     /// Makes a correction unless one with its idempotency key is in the ledger.
     fn correct_once(&mut self, correction: Correction) -> Result<RequestOutcome, LedgerError> {
-        let made = self.book.corrections().iter().find(|(_, _, made)| made.id == correction.id);
-        if let Some((sequence, period, _)) = made {
-            return Ok(RequestOutcome::Corrected { sequence: *sequence, period: *period });
+        let made = self.book.corrections().iter().find(|made| made.correction.id == correction.id);
+        if let Some(made) = made {
+            return Ok(RequestOutcome::Corrected { sequence: made.sequence, period: made.billed_in });
         }
         let (period, _) = self.book.billed_in(correction.at);
         self.correct(correction)?;
--- a/src/ledger/store/snapshot.rs
+++ b/src/ledger/store/snapshot.rs
@@ -2,7 +2,7 @@
 //! an older one, or the records themselves, take its place.
 
 use super::super::accounts::{Account, Line, Sums};
-use super::super::book::{Book, ExportRecord};
+use super::super::book::{BilledCorrection, Book, ExportRecord, RecordedGap, SequenceRange};
 use super::super::journal::{self, FieldReader, put_bytes, put_number, put_signed, put_text, read_frame};
 use super::super::period::Calendar;
 use super::super::record::Record;
@@ -156,16 +156,16 @@
 /// Corrections and gaps are stored as frames of the journal; the periods in which corrections are billed follow.
 fn encode_corrections_and_gaps(into: &mut Vec<u8>, book: &Book) {
     let mut frames = Vec::new();
-    for (sequence, _, correction) in &book.corrections {
-        journal::encode(&mut frames, *sequence, 0, &Record::Correction(correction.clone()));
+    for billed in &book.corrections {
+        journal::encode(&mut frames, billed.sequence, 0, &Record::Correction(billed.correction.clone()));
     }
-    for (sequence, gap) in &book.gaps {
-        journal::encode(&mut frames, *sequence, 0, &Record::Gap(gap.clone()));
+    for recorded in &book.gaps {
+        journal::encode(&mut frames, recorded.sequence, 0, &Record::Gap(recorded.gap.clone()));
     }
     put_bytes(into, &frames);
     put_number(into, book.corrections.len() as u64);
-    for (_, period, _) in &book.corrections {
-        put_text(into, &period.to_string());
+    for billed in &book.corrections {
+        put_text(into, &billed.billed_in.to_string());
     }
 }
 
@@ -176,7 +176,7 @@
         let framed = read_frame(frames)?;
         match framed.record {
             Record::Correction(correction) => corrections.push((framed.sequence, correction)),
-            Record::Gap(gap) => book.gaps.push((framed.sequence, gap)),
+            Record::Gap(gap) => book.gaps.push(RecordedGap { sequence: framed.sequence, gap }),
             _ => return None,
         }
         frames = &frames[framed.length..];
@@ -185,8 +185,8 @@
         return None;
     }
     for (sequence, correction) in corrections {
-        let period = fields.text()?.parse().ok()?;
-        book.corrections.push((sequence, period, correction));
+        let billed_in = fields.text()?.parse().ok()?;
+        book.corrections.push(BilledCorrection { sequence, billed_in, correction });
     }
     Some(())
 }
@@ -225,8 +225,8 @@
         put_text(into, &export.period);
         put_text(into, &export.format);
         put_text(into, export.hash.as_deref().unwrap_or_default());
-        put_number(into, export.range.0);
-        put_number(into, export.range.1);
+        put_number(into, export.range.after);
+        put_number(into, export.range.up_to);
     }
 }
 
@@ -236,7 +236,7 @@
         let period = fields.text()?;
         let format = fields.text()?;
         let hash = Some(fields.text()?).filter(|hash| !hash.is_empty());
-        let range = (fields.number()?, fields.number()?);
+        let range = SequenceRange { after: fields.number()?, up_to: fields.number()? };
         book.exports.push(ExportRecord { name, period, format, range, hash });
     }
     Some(())
--- a/tests/ledger.rs
+++ b/tests/ledger.rs
@@ -195,7 +195,7 @@
         handle.truncate(&name, cut as u64).expect("cut");
         let (store, found) =
             Store::open(torn.clone(), calendar(), options.clone(), "n1", NOVEMBER).expect("opened");
-        assert!(found.records <= 21 && store.book().position().0 == found.records + 1);
+        assert!(found.records <= 21 && store.book().position().sequence == found.records + 1);
     }
     // A byte anywhere before the last commit: refused, with the file and a place at or before it.
     for at in (16..length - 120).step_by(13) {
@@ -251,7 +251,7 @@
             [LedgerEvent::EntriesLost(gap.clone()), LedgerEvent::Recovered, LedgerEvent::Durable(66_001)]
         );
         let book = read_all(&disk, &calendar(), |_, _, _| {}).expect("whole");
-        assert_eq!(book.gaps().iter().map(|(_, g)| g.clone()).collect::<Vec<_>>(), [gap]);
+        assert_eq!(book.gaps().iter().map(|recorded| recorded.gap.clone()).collect::<Vec<_>>(), [gap]);
         let all = queries(&disk);
         assert_eq!(all.len(), 65_537);
         assert_eq!(all.iter().collect::<BTreeSet<_>>().len(), 65_537, "none stands twice");
@@ -290,7 +290,7 @@
     assert!(store.correct(correction_by(" ")).is_err(), "by whom?");
     store.correct(correction_by("billing")).expect("corrected");
     assert_eq!(sum(&store, "2026-11"), (1, 0), "a closed period stays as it is");
-    assert_eq!(store.book().corrections()[0].1.to_string(), "2026-12");
+    assert_eq!(store.book().corrections()[0].billed_in.to_string(), "2026-12");
     // What was exported once is not exported again; what came since is.
     let first = store.export(november, Format::Csv, end + 6000).expect("exported").expect("something");
     assert_eq!(store.export(november, Format::Csv, end + 6000).expect("asked"), None);
@@ -336,7 +336,8 @@
                 .book()
                 .gaps()
                 .iter()
-                .all(|(_, g)| (g.from, g.to, g.entries) == (NOVEMBER + 5, NOVEMBER + 9, 0))
+                .map(|recorded| &recorded.gap)
+                .all(|g| (g.from, g.to, g.entries) == (NOVEMBER + 5, NOVEMBER + 9, 0))
         );
     }
 }
--- a/tests/stored_formats.rs
+++ b/tests/stored_formats.rs
@@ -10,9 +10,9 @@
     StoredOverrides, snapshot,
 };
 use sailmux::ledger::{
-    Account, Calendar, Correction, Entry, ExportRecord, Format, Gap, Line, Options, Outcome, Period,
-    PeriodState, QuotaShare, RealDisk, Record, Request, Store, Sums, Totals, journal, read_all, reply_name,
-    request_name,
+    Account, BilledCorrection, BookPosition, Calendar, Correction, Entry, ExportRecord, Format, Gap, Line,
+    Options, Outcome, Period, PeriodState, QuotaShare, RealDisk, Record, RecordedGap, Request, SequenceRange,
+    Store, Sums, Totals, journal, read_all, reply_name, request_name,
 };
 use serde_json::{Value, json};
 use std::fs;
@@ -267,9 +267,9 @@
     assert_eq!(stored[..8], *b"SMXLEDG\x01");
     let scanned = journal::scan(&stored, first, true).expect("undamaged");
     assert_eq!((scanned.readable_bytes, scanned.torn_bytes), (stored.len(), 0));
-    let records: Vec<Record> = scanned.records.iter().map(|(_, r, _)| r.clone()).collect();
+    let records: Vec<Record> = scanned.records.iter().map(|scanned| scanned.record.clone()).collect();
     assert_eq!(records, expected);
-    assert!(scanned.records.iter().map(|(seq, _, _)| *seq).eq((first..).take(expected.len())));
+    assert!(scanned.records.iter().map(|scanned| scanned.sequence).eq((first..).take(expected.len())));
     // The length of the synced part stands in bytes 16 to 20 of each frame; `scan` does not return it.
     let mut encoded = journal::segment_header(first).to_vec();
     for (i, record) in expected.iter().enumerate() {
@@ -334,7 +334,7 @@
         name: name.to_owned(),
         period: "2026-11".to_owned(),
         format: format.to_owned(),
-        range,
+        range: SequenceRange { after: range.0, up_to: range.1 },
         hash: Some(hash.to_owned()),
     }
 }
@@ -349,13 +349,19 @@
     .expect("undamaged");
     // Only the records behind the snapshot are read one by one.
     assert_eq!(read, (34..).zip(second_segment()).collect::<Vec<_>>());
-    assert_eq!(book.position(), (36, "n0", 3));
+    assert_eq!(book.position(), BookPosition { sequence: 36, aggregator: "n0", epoch: 3 });
     assert_eq!(*book.totals(), totals());
     let november = period("2026-11");
-    let corrections: Vec<_> =
-        [9, 10, 19, 28].into_iter().zip(1..).map(|(seq, n)| (seq, november, correction(n))).collect();
+    let corrections: Vec<_> = [9, 10, 19, 28]
+        .into_iter()
+        .zip(1..)
+        .map(|(sequence, n)| BilledCorrection { sequence, billed_in: november, correction: correction(n) })
+        .collect();
     assert_eq!(book.corrections(), corrections);
-    assert_eq!(book.gaps(), [(8, gap()), (35, gap_of_run())]);
+    assert_eq!(
+        book.gaps(),
+        [RecordedGap { sequence: 8, gap: gap() }, RecordedGap { sequence: 35, gap: gap_of_run() }]
+    );
     assert_eq!(book.exports(), [begun(0), begun(1), begun(2)]);
     assert_eq!(book.state(november), PeriodState::Closed);
     assert_eq!(book.state(period("2026-12")), PeriodState::Open);
@@ -365,7 +371,7 @@
         name: "n0-e3-2026-12-0001".to_owned(),
         period: "2026-12".to_owned(),
         format: "csv".to_owned(),
-        range: (0, 36),
+        range: SequenceRange { after: 0, up_to: 36 },
         hash: None,
     };
     assert_eq!(book.next_export(period("2026-12"), "csv"), Some(next));
@@ -537,7 +543,7 @@
     for (name, format, ..) in EXPORTS {
         // The journal ends behind the record that the export was begun; opening the ledger completes it.
         let begun = |r: &Record| matches!(r, Record::ExportIntent { name: n, .. } if n == name);
-        let (_, _, end) = scanned.records.iter().find(|(_, r, _)| begun(r)).expect("it was begun");
+        let end = &scanned.records.iter().find(|scanned| begun(&scanned.record)).expect("it was begun").end;
         let dir = scratch_dir("stored");
         fs::write(dir.join(FIRST), &segment[..*end]).expect("written");
         let disk = RealDisk::own(&dir).expect("owned");
@@ -686,7 +692,7 @@
         assert_eq!(reply, text(&format!("requests/{}", reply_name(id))), "{id}");
         assert!(!dir.join(request_name(id)).exists(), "request {id} is removed");
         if let Request::Correct(correction) = request {
-            let of = |(_, billed, c): &(u64, Period, Correction)| (*billed, c.clone());
+            let of = |made: &BilledCorrection| (made.billed_in, made.correction.clone());
             let made: Vec<_> = store.book().corrections().iter().map(of).collect();
             assert!(made.contains(&(period("2026-12"), correction)), "{id}");
         }
