--- a/src/cli/ledger/submit.rs
+++ b/src/cli/ledger/submit.rs
@@ -9,9 +9,9 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// How long a reply is awaited; the owner looks for requests several times a second.
+/// How long to wait for a reply; the owner polls for requests several times a second.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(30);
-/// Time between two searches for the reply.
+/// Time between two polls for the reply.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 impl LedgerLocation {
@@ -35,7 +35,7 @@
         print(&format!("{}\n", outcome?))
     }
 
-    /// Leaves a request as a file for the owner and waits for the reply.
+    /// Writes a request as a file for the owner and waits for the reply.
     fn send(&self, request: &Request) -> Result<(), Failure> {
         let id = unique_id();
         let request_path = self.dir.join(request_name(&id));
--- a/src/net/discovery_watch/answer.rs
+++ b/src/net/discovery_watch/answer.rs
@@ -15,7 +15,7 @@
 /// Most headers of an answer.
 const MAX_HEADERS: usize = 64;
 
-/// What in discovery's answer cannot be read; the last good list stands.
+/// What in discovery's answer cannot be read; the last valid list stays in force.
 #[derive(Debug)]
 pub(super) enum MalformedAnswer {
     Head(httparse::Error),
--- a/src/net/effects.rs
+++ b/src/net/effects.rs
@@ -201,7 +201,7 @@
         }
     }
 
-    /// A task that takes no more messages has ended, or is to: the aggregator is told of its end.
+    /// A task that takes no more messages has ended or is about to; the aggregator gets an event when it ends.
     fn send_to_leaf(&mut self, connection: ConnectionId, message: LeafMessage) {
         let Some(messages) = self.leaf_connections.get(&connection) else { return };
         if messages.try_send(message).is_err() {
--- a/src/net/http/session.rs
+++ b/src/net/http/session.rs
@@ -263,7 +263,7 @@
 
 /// Waits for the end of what a client sends, though some of it stays unread before that.
 async fn end_of_stream(stream: &TcpStream) -> io::Result<()> {
-    // Readiness stays while there is something to read, so it cannot be awaited.
+    // The socket stays readable while there is unread data, so waiting for readability would return at once.
     while !stream.ready(Interest::READABLE).await?.is_read_closed() {
         sleep(END_CHECK_INTERVAL).await;
     }
--- a/src/net/leaf_connection/mod.rs
+++ b/src/net/leaf_connection/mod.rs
@@ -220,7 +220,7 @@
         Ok(())
     }
 
-    /// An answer under an unknown name may be that to an attempt which would then be awaited in vain.
+    /// An answer under an unknown name is an error: it may belong to an attempt that would then wait for it in vain.
     fn answered(&mut self, answer: Answer<'_>) -> Result<Event, ProtocolError> {
         let attempt = self.attempts.remove(answer.attempt_name).ok_or(ProtocolError::UnknownAttempt)?;
         Ok(Event::AttemptAnswered {
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -160,7 +160,7 @@
 }
 
 /// Feeds the endpoints known at the start to the aggregator and watches their sources. Inventory files take
-/// discovery's place unless they are configured to stand beside it.
+/// discovery's place unless discovery is configured as a further source.
 fn start_endpoint_sources(
     event_loop: &mut EventLoop,
     events: &EventSender,
