--- a/src/cli/ledger/submit.rs
+++ b/src/cli/ledger/submit.rs
@@ -9,16 +9,16 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// How long a reply is awaited; the owner looks for requests several times a second.
+/// How long to wait for a reply; the owner polls for requests several times a second.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(30);
-/// Time between two searches for the reply.
+/// Time between two polls for the reply.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 impl LedgerLocation {
     /// Has a request carried out and prints what it achieved.
     pub(super) fn submit(&self, request: Request) -> Result<(), Failure> {
         let book = self.read(|_, _, _| {})?;
-        let (_, aggregator, _) = book.position();
+        let aggregator = book.position().aggregator;
         match RealDisk::own(&self.dir) {
             Ok(disk) => self.perform(disk, aggregator, request),
             Err(error) if error.kind() == ErrorKind::WouldBlock => self.send(&request),
@@ -28,14 +28,14 @@
 
     fn perform(&self, disk: RealDisk, aggregator: &str, request: Request) -> Result<(), Failure> {
         // Every record is synced before the command ends, so a kill loses nothing that was acknowledged.
-        let options = Options { window: 0, ..Options::default() };
+        let options = Options { loss_window_ms: 0, ..Options::default() };
         let (mut store, _) = Store::open(disk, self.calendar()?, options, aggregator, now())?;
         let outcome = store.perform(request, now());
         store.end(now())?;
         print(&format!("{}\n", outcome?))
     }
 
-    /// Leaves a request as a file for the owner and waits for the reply.
+    /// Writes a request as a file for the owner and waits for the reply.
     fn send(&self, request: &Request) -> Result<(), Failure> {
         let id = unique_id();
         let request_path = self.dir.join(request_name(&id));
--- a/tests/ledger.rs
+++ b/tests/ledger.rs
@@ -30,7 +30,7 @@
         attempts: 4,
         work: 3000,
         outcome: Outcome::Complete,
-        share: if n.is_multiple_of(5) { Share::OverQuota } else { Share::WithinQuota },
+        share: if n.is_multiple_of(5) { QuotaShare::OverQuota } else { QuotaShare::WithinQuota },
     }
 }
 
@@ -41,7 +41,7 @@
         tenant: "lanyang-law".to_owned(),
         class: "envelope-search".to_owned(),
         corrects: "2026-11".to_owned(),
-        share: Share::WithinQuota,
+        share: QuotaShare::WithinQuota,
         queries: -1,
         parts: -3,
         work: -3000,
@@ -51,7 +51,7 @@
 }
 
 fn small_segments() -> Options {
-    Options { segment_bytes: 700, grace: 0, window: 0, export: None }
+    Options { segment_bytes: 700, grace_ms: 0, loss_window_ms: 0, export_format: None }
 }
 
 fn open(disk: &FaultyDisk, now: UnixMs) -> Result<(Store<FaultyDisk>, Recovery), LedgerError> {
@@ -180,7 +180,7 @@
 #[test]
 fn torn_tail_is_cut_and_damaged_middle_is_rejected_with_file_and_offset() {
     let disk = FaultyDisk::default();
-    let options = Options { window: 0, ..Options::default() };
+    let options = Options { loss_window_ms: 0, ..Options::default() };
     let mut store = Store::open(disk.clone(), calendar(), options.clone(), "n1", NOVEMBER).expect("new").0;
     for n in 0..20 {
         store.append(&[Record::Entry(entry(n, NOVEMBER))]).expect("written");
@@ -195,7 +195,7 @@
         handle.truncate(&name, cut as u64).expect("cut");
         let (store, found) =
             Store::open(torn.clone(), calendar(), options.clone(), "n1", NOVEMBER).expect("opened");
-        assert!(found.records <= 21 && store.book().position().0 == found.records + 1);
+        assert!(found.records <= 21 && store.book().position().sequence == found.records + 1);
     }
     // A byte anywhere before the last commit: refused, with the file and a place at or before it.
     for at in (16..length - 120).step_by(13) {
@@ -251,7 +251,7 @@
             [LedgerEvent::EntriesLost(gap.clone()), LedgerEvent::Recovered, LedgerEvent::Durable(66_001)]
         );
         let book = read_all(&disk, &calendar(), |_, _, _| {}).expect("whole");
-        assert_eq!(book.gaps().iter().map(|(_, g)| g.clone()).collect::<Vec<_>>(), [gap]);
+        assert_eq!(book.gaps().iter().map(|recorded| recorded.gap.clone()).collect::<Vec<_>>(), [gap]);
         let all = queries(&disk);
         assert_eq!(all.len(), 65_537);
         assert_eq!(all.iter().collect::<BTreeSet<_>>().len(), 65_537, "none stands twice");
@@ -290,7 +290,7 @@
     assert!(store.correct(correction_by(" ")).is_err(), "by whom?");
     store.correct(correction_by("billing")).expect("corrected");
     assert_eq!(sum(&store, "2026-11"), (1, 0), "a closed period stays as it is");
-    assert_eq!(store.book().corrections()[0].1.to_string(), "2026-12");
+    assert_eq!(store.book().corrections()[0].billed_in.to_string(), "2026-12");
     // What was exported once is not exported again; what came since is.
     let first = store.export(november, Format::Csv, end + 6000).expect("exported").expect("something");
     assert_eq!(store.export(november, Format::Csv, end + 6000).expect("asked"), None);
@@ -320,7 +320,7 @@
 fn killed_run_leaves_a_gap_unless_no_entry_can_be_missing() {
     for (window, ends, gaps) in [(50, false, 1), (50, true, 0), (0, false, 0)] {
         let disk = FaultyDisk::default();
-        let options = Options { window, ..small_segments() };
+        let options = Options { loss_window_ms: window, ..small_segments() };
         let start =
             || Store::open(disk.clone(), calendar(), options.clone(), "n1", NOVEMBER + 9).expect("opened").0;
         let mut store = start();
@@ -336,7 +336,8 @@
                 .book()
                 .gaps()
                 .iter()
-                .all(|(_, g)| (g.from, g.to, g.entries) == (NOVEMBER + 5, NOVEMBER + 9, 0))
+                .map(|recorded| &recorded.gap)
+                .all(|g| (g.from, g.to, g.entries) == (NOVEMBER + 5, NOVEMBER + 9, 0))
         );
     }
 }
--- a/tests/stored_formats.rs
+++ b/tests/stored_formats.rs
@@ -6,12 +6,13 @@
 
 use common::process::{PATIENCE, Setup, binary, scratch_dir};
 use sailmux::hot_restart::{
-    Override, OverrideSubject, Overrides, ProcessStatus, SharedDirectory, Sibling, StoredOverrides, snapshot,
+    MergedOverrides, Override, OverrideSubject, Overrides, ProcessStatus, SharedDirectory, Sibling,
+    StoredOverrides, snapshot,
 };
 use sailmux::ledger::{
-    Account, Calendar, Correction, Entry, ExportRecord, Format, Gap, Line, Options, Outcome, Period,
-    PeriodState, RealDisk, Record, Request, Share, Store, Sums, Totals, journal, read_all, reply_name,
-    request_name,
+    Account, BilledCorrection, BookPosition, Calendar, Correction, Entry, ExportRecord, Format, Gap, Line,
+    Options, Outcome, Period, PeriodState, QuotaShare, RealDisk, Record, RecordedGap, Request, SequenceRange,
+    Store, Sums, Totals, journal, read_all, reply_name, request_name,
 };
 use serde_json::{Value, json};
 use std::fs;
@@ -110,7 +111,7 @@
         attempts: 4,
         work: 1250,
         outcome: Outcome::Complete,
-        share: Share::WithinQuota,
+        share: QuotaShare::WithinQuota,
     };
     let all = [
         acme.clone(),
@@ -121,7 +122,7 @@
             attempts: 5,
             work: 900,
             outcome: Outcome::Partial,
-            share: Share::OverQuota,
+            share: QuotaShare::OverQuota,
             ..acme.clone()
         },
         Entry {
@@ -145,7 +146,7 @@
             attempts: 9,
             work: 700,
             outcome: Outcome::Failed,
-            share: Share::OverQuota,
+            share: QuotaShare::OverQuota,
             ..acme.clone()
         },
         Entry {
@@ -168,7 +169,7 @@
             attempts: 2,
             work: 500_000_000_000,
             outcome: Outcome::ClientDisconnected,
-            share: Share::OverQuota,
+            share: QuotaShare::OverQuota,
             ..acme
         },
     ];
@@ -196,7 +197,7 @@
         tenant: "acme".to_owned(),
         class: "c".to_owned(),
         corrects: "2026-10".to_owned(),
-        share: if number % 2 == 0 { Share::OverQuota } else { Share::WithinQuota },
+        share: if number % 2 == 0 { QuotaShare::OverQuota } else { QuotaShare::WithinQuota },
         queries: -number,
         parts: 300 * number,
         work: -70_000 * number,
@@ -217,7 +218,7 @@
         attempts: 3,
         work: 1250,
         outcome: Outcome::Complete,
-        share: Share::WithinQuota,
+        share: QuotaShare::WithinQuota,
     }
 }
 
@@ -267,9 +268,9 @@
     assert_eq!(stored[..8], *b"SMXLEDG\x01");
     let scanned = journal::scan(&stored, first, true).expect("undamaged");
     assert_eq!((scanned.readable_bytes, scanned.torn_bytes), (stored.len(), 0));
-    let records: Vec<Record> = scanned.records.iter().map(|(_, r, _)| r.clone()).collect();
+    let records: Vec<Record> = scanned.records.iter().map(|scanned| scanned.record.clone()).collect();
     assert_eq!(records, expected);
-    assert!(scanned.records.iter().map(|(seq, _, _)| *seq).eq((first..).take(expected.len())));
+    assert!(scanned.records.iter().map(|scanned| scanned.sequence).eq((first..).take(expected.len())));
     // The length of the synced part stands in bytes 16 to 20 of each frame; `scan` does not return it.
     let mut encoded = journal::segment_header(first).to_vec();
     for (i, record) in expected.iter().enumerate() {
@@ -292,7 +293,7 @@
 
 // ---- Ledger: snapshot -------------------------------------------------------------------------------------------
 
-fn line(of: &str, account: Account, class: &str, share: Share) -> Line {
+fn line(of: &str, account: Account, class: &str, share: QuotaShare) -> Line {
     Line { period: period(of), account, class: class.to_owned(), share }
 }
 
@@ -314,12 +315,15 @@
         late,
     };
     [
-        (line("2026-11", acme(), "c", Share::WithinQuota), sums([3, 3, 0, 0, 9, 9, 12, 3750, 0])),
-        (line("2026-11", acme(), "c", Share::OverQuota), sums([6, 3, 0, 3, 15, 6, 21, 2700, 0])),
-        (line("2026-11", zoe, "slow", Share::WithinQuota), sums([3, 0, 3, 0, 0, 0, 0, 0, 0])),
-        (line("2026-11", unknown(""), "c", Share::WithinQuota), sums([3, 0, 0, 3, 600, 0, 900, 0, 0])),
-        (line("2026-11", unknown("stranger"), "c", Share::OverQuota), sums([3, 0, 0, 3, 9, 0, 27, 0, 0])),
-        (line("2026-12", acme(), "c", Share::WithinQuota), sums([1, 1, 0, 0, 3, 3, 3, 1250, 1])),
+        (line("2026-11", acme(), "c", QuotaShare::WithinQuota), sums([3, 3, 0, 0, 9, 9, 12, 3750, 0])),
+        (line("2026-11", acme(), "c", QuotaShare::OverQuota), sums([6, 3, 0, 3, 15, 6, 21, 2700, 0])),
+        (line("2026-11", zoe, "slow", QuotaShare::WithinQuota), sums([3, 0, 3, 0, 0, 0, 0, 0, 0])),
+        (line("2026-11", unknown(""), "c", QuotaShare::WithinQuota), sums([3, 0, 0, 3, 600, 0, 900, 0, 0])),
+        (
+            line("2026-11", unknown("stranger"), "c", QuotaShare::OverQuota),
+            sums([3, 0, 0, 3, 9, 0, 27, 0, 0]),
+        ),
+        (line("2026-12", acme(), "c", QuotaShare::WithinQuota), sums([1, 1, 0, 0, 3, 3, 3, 1250, 1])),
     ]
     .into_iter()
     .collect()
@@ -331,7 +335,7 @@
         name: name.to_owned(),
         period: "2026-11".to_owned(),
         format: format.to_owned(),
-        range,
+        range: SequenceRange { after: range.0, up_to: range.1 },
         hash: Some(hash.to_owned()),
     }
 }
@@ -346,13 +350,19 @@
     .expect("undamaged");
     // Only the records behind the snapshot are read one by one.
     assert_eq!(read, (34..).zip(second_segment()).collect::<Vec<_>>());
-    assert_eq!(book.position(), (36, "n0", 3));
+    assert_eq!(book.position(), BookPosition { sequence: 36, aggregator: "n0", epoch: 3 });
     assert_eq!(*book.totals(), totals());
     let november = period("2026-11");
-    let corrections: Vec<_> =
-        [9, 10, 19, 28].into_iter().zip(1..).map(|(seq, n)| (seq, november, correction(n))).collect();
+    let corrections: Vec<_> = [9, 10, 19, 28]
+        .into_iter()
+        .zip(1..)
+        .map(|(sequence, n)| BilledCorrection { sequence, billed_in: november, correction: correction(n) })
+        .collect();
     assert_eq!(book.corrections(), corrections);
-    assert_eq!(book.gaps(), [(8, gap()), (35, gap_of_run())]);
+    assert_eq!(
+        book.gaps(),
+        [RecordedGap { sequence: 8, gap: gap() }, RecordedGap { sequence: 35, gap: gap_of_run() }]
+    );
     assert_eq!(book.exports(), [begun(0), begun(1), begun(2)]);
     assert_eq!(book.state(november), PeriodState::Closed);
     assert_eq!(book.state(period("2026-12")), PeriodState::Open);
@@ -362,7 +372,7 @@
         name: "n0-e3-2026-12-0001".to_owned(),
         period: "2026-12".to_owned(),
         format: "csv".to_owned(),
-        range: (0, 36),
+        range: SequenceRange { after: 0, up_to: 36 },
         hash: None,
     };
     assert_eq!(book.next_export(period("2026-12"), "csv"), Some(next));
@@ -534,7 +544,7 @@
     for (name, format, ..) in EXPORTS {
         // The journal ends behind the record that the export was begun; opening the ledger completes it.
         let begun = |r: &Record| matches!(r, Record::ExportIntent { name: n, .. } if n == name);
-        let (_, _, end) = scanned.records.iter().find(|(_, r, _)| begun(r)).expect("it was begun");
+        let end = &scanned.records.iter().find(|scanned| begun(&scanned.record)).expect("it was begun").end;
         let dir = scratch_dir("stored");
         fs::write(dir.join(FIRST), &segment[..*end]).expect("written");
         let disk = RealDisk::own(&dir).expect("owned");
@@ -645,7 +655,7 @@
         tenant: "zo\u{eb}, \"b\"".to_owned(),
         class: "slow".to_owned(),
         corrects: "2026-11".to_owned(),
-        share: Share::OverQuota,
+        share: QuotaShare::OverQuota,
         queries: -5,
         parts: 6,
         work: -7000,
@@ -683,7 +693,7 @@
         assert_eq!(reply, text(&format!("requests/{}", reply_name(id))), "{id}");
         assert!(!dir.join(request_name(id)).exists(), "request {id} is removed");
         if let Request::Correct(correction) = request {
-            let of = |(_, billed, c): &(u64, Period, Correction)| (*billed, c.clone());
+            let of = |made: &BilledCorrection| (made.billed_in, made.correction.clone());
             let made: Vec<_> = store.book().corrections().iter().map(of).collect();
             assert!(made.contains(&(period("2026-12"), correction)), "{id}");
         }
@@ -807,10 +817,13 @@
     // Nothing new: the file stays.
     assert_eq!(
         folder.merge_overrides(&orders(), 0.0).expect("merged"),
-        (orders(), StoredOverrides::Present(orders()))
+        MergedOverrides { merged: orders(), found: StoredOverrides::Present(orders()) }
     );
     fs::remove_file(dir.join("orders")).expect("removed");
-    assert_eq!(folder.merge_overrides(&orders(), 0.0).expect("merged"), (orders(), StoredOverrides::Missing));
+    assert_eq!(
+        folder.merge_overrides(&orders(), 0.0).expect("merged"),
+        MergedOverrides { merged: orders(), found: StoredOverrides::Missing }
+    );
     assert!(fs::read(dir.join("orders")).expect("written") == bytes("handover/orders"));
 }
 
