--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -29,7 +29,8 @@
 const RATIO_LIFETIME_OBJECTIVES: f64 = 4.0;
 /// Samples of latency ratios.
 const RATIO_SAMPLES: usize = 2 * SAMPLES;
-/// Parts of a query succeed or fail together to a degree: n of them count as `n.powf(1.0 - CORRELATION)` independent ones.
+/// Parts of a query succeed or fail together to a degree: n of them count as `n.powf(1.0 - CORRELATION)` independent
+/// ones.
 const CORRELATION: f64 = 0.25;
 /// A part that is given up is taken to need this many times what it has taken so far.
 const GIVEN_UP_RATIO: f64 = 2.0;
--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -13,8 +13,8 @@
 
 /// A hedged request is due when the time left is this many tail latencies: enough for one more attempt, with a margin.
 pub(super) const HEDGE_TAILS: f64 = 2.0;
-/// Where no hedged request may be sent, an attempt times out after this many tail latencies at the soonest: work that is
-/// cancelled half done is wasted.
+/// Where no hedged request may be sent, an attempt times out after this many tail latencies at the soonest: work that
+/// is cancelled half done is wasted.
 const PATIENCE_TAILS: f64 = 6.0;
 
 /// An attempt that has ended.
@@ -55,8 +55,8 @@
         actions.push(Action::Send { part, replica, timeout, send_by });
     }
 
-    /// The timeout of a part's next attempt. With hedging it is the deadline of the query; without it a retry has to wait
-    /// for the timeout, so the time is divided among the attempts that are left.
+    /// The timeout of a part's next attempt. With hedging it is the deadline of the query; without it a retry has to
+    /// wait for the timeout, so the time is divided among the attempts that are left.
     fn attempt_timeout(&self, part: PartId) -> Millis {
         let Some(record) = self.parts.get(&part) else { return 0.0 };
         let Some(query) = self.queries.get(&record.query) else { return 0.0 };
@@ -89,8 +89,8 @@
         send_by.is_none_or(|send_by| self.now < send_by)
     }
 
-    /// Whether the budgets allow another attempt of a part. If its attempts have cost no work so far, another one adds no
-    /// more load than a first one would: only the configured budget applies.
+    /// Whether the budgets allow another attempt of a part. If its attempts have cost no work so far, another one adds
+    /// no more load than a first one would: only the configured budget applies.
     pub(super) fn within_budget(&self, has_cost_work: bool, usage: BudgetUse) -> bool {
         let granularity = self.settings.timer_granularity;
         let pressure = LatencyPressure {
@@ -113,8 +113,8 @@
         age >= self.latency.tail() && (has_spare_parts || is_short)
     }
 
-    /// Whether a holder of a part's shard is left that was not tried and is healthy. Where all holders are overloaded, as
-    /// with a hot key, hedged requests would only lengthen their queues.
+    /// Whether a holder of a part's shard is left that was not tried and is healthy. Where all holders are overloaded,
+    /// as with a hot key, hedged requests would only lengthen their queues.
     pub(super) fn has_healthy_alternative(&self, part: &Part) -> bool {
         let scoring = self.scoring();
         self.endpoints
@@ -231,8 +231,8 @@
             Outcome::Error if ended.elapsed < immediate => replica.evidence.record_immediate_error(),
             Outcome::Error | Outcome::Rejected => replica.evidence.record_failure(ended.outcome),
             Outcome::ConnectFailed | Outcome::Reset => {
-                // Two failures in a row mean that the process is gone; it will come back cold, and the endpoint list will
-                // show that only seconds later.
+                // Two failures in a row mean that the process is gone; it will come back cold, and the endpoint list
+                // will show that only seconds later.
                 if replica.evidence.has_failed_before() {
                     replica.warm_up.observed_loss = Some(self.now);
                 }
--- a/src/balancer/client_retries.rs
+++ b/src/balancer/client_retries.rs
@@ -37,8 +37,8 @@
             .collect();
     }
 
-    /// Records a try; returns whether it is taken for a first one. If clients do not mark retries, a try with an uncommon
-    /// timeout counts as a first one while `has_spare_capacity`.
+    /// Records a try; returns whether it is taken for a first one. If clients do not mark retries, a try with an
+    /// uncommon timeout counts as a first one while `has_spare_capacity`.
     pub fn record_try(
         &mut self,
         class: usize,
--- a/src/balancer/load_reports.rs
+++ b/src/balancer/load_reports.rs
@@ -81,8 +81,8 @@
         self.regression.slope(REGRESSION_PRIOR).clamp(0.0, 1.0)
     }
 
-    /// Compares an answer's latency with what its replica had reported: `latency_in_parts` is the latency divided by the
-    /// time that a queued part takes, `busyness` the parts expected at the replica, reports included.
+    /// Compares an answer's latency with what its replica had reported: `latency_in_parts` is the latency divided by
+    /// the time that a queued part takes, `busyness` the parts expected at the replica, reports included.
     pub fn record_answer(&mut self, reported: f64, latency_in_parts: f64, busyness: f64) {
         let excess = latency_in_parts - busyness - 1.0 + self.trust() * reported;
         self.regression.add(reported, excess.clamp(-MAX_EXCESS, MAX_EXCESS), REGRESSION_MEMORY);
--- a/src/balancer/outlier_detection.rs
+++ b/src/balancer/outlier_detection.rs
@@ -18,8 +18,8 @@
 const FAILURE_WEIGHT: f64 = 3.0;
 /// Fewer recent failures than this count as none: otherwise a decayed remainder would decide every tie.
 const MIN_FAILURES: f64 = 0.25;
-/// The half-life of evidence: this many of the longest latency objectives, or this many mean gaps between two answers of
-/// a replica if that is longer.
+/// The half-life of evidence: this many of the longest latency objectives, or this many mean gaps between two answers
+/// of a replica if that is longer.
 const HALF_LIFE_OBJECTIVES: f64 = 1.5;
 const HALF_LIFE_GAPS: f64 = 2.0;
 /// The longest half-life, as a multiple of the shortest.
--- a/src/balancer/query_end.rs
+++ b/src/balancer/query_end.rs
@@ -9,13 +9,19 @@
 /// Less coverage than this counts as none.
 const MIN_ANSWERED_COVERAGE: f64 = 4.0 * WEIGHT_ROUNDING;
 
-/// What the attempts of a query's parts have come to.
+/// The answer that may be given to a query when it ends.
+#[derive(Clone, Copy, PartialEq)]
+enum AvailableAnswer {
+    None,
+    Partial,
+    Complete,
+}
+
+/// A query at its end, by the attempts of its parts.
 struct QueryResult {
     /// The weight of the answered parts.
     answered: f64,
-    is_complete: bool,
-    /// An answer may be given, complete or partial.
-    is_answerable: bool,
+    answer: AvailableAnswer,
     /// A replica may have worked on it.
     has_cost_work: bool,
     /// A replica may have executed a part of it.
@@ -23,12 +29,13 @@
 }
 
 impl QueryResult {
-    /// The share of its value that the answer has if it is in time.
+    /// The share of its full value that the query brings if it is answered in time.
     fn value(&self, class: &Class) -> f64 {
-        if self.is_complete {
-            return 1.0;
+        match self.answer {
+            AvailableAnswer::None => 0.0,
+            AvailableAnswer::Partial => class.partial_value_factor * self.answered / class.complete_coverage,
+            AvailableAnswer::Complete => 1.0,
         }
-        class.partial_value_factor * self.answered / class.complete_coverage
     }
 }
 
@@ -40,15 +47,16 @@
         let result = self.query_result(query);
         // A query that was rejected everywhere has cost nothing, and is no evidence about its chance.
         if query.admission_chance > 0.0 && result.has_cost_work {
-            let is_in_time = result.is_answerable && self.now <= query.objective_at;
+            let is_in_time = self.now <= query.objective_at;
             let value = if is_in_time { result.value(&class) } else { 0.0 };
             let chance = query.admission_chance;
             self.admission.record_query(self.admission_context(), chance, value);
         }
-        if result.is_answerable {
-            actions.push(Action::Answer { query: id, complete: result.is_complete });
+        if result.answer != AvailableAnswer::None {
+            let complete = result.answer == AvailableAnswer::Complete;
+            actions.push(Action::Answer { query: id, complete });
             if !query.in_second_step && class.second_step_parts > 0 {
-                return self.begin_second_step(id, result.is_complete, actions);
+                return self.begin_second_step(id, complete, actions);
             }
         } else if query.is_idempotent() || !result.maybe_executed {
             let retry_after = self.retry_after(query);
@@ -73,10 +81,14 @@
         let is_answerable = !query.parts.is_empty()
             && answered >= minimum.max(MIN_ANSWERED_COVERAGE) - WEIGHT_ROUNDING
             && parts().any(|part| part.is_answered);
+        let answer = match (is_answerable, is_complete) {
+            (false, _) => AvailableAnswer::None,
+            (true, false) => AvailableAnswer::Partial,
+            (true, true) => AvailableAnswer::Complete,
+        };
         QueryResult {
             answered,
-            is_complete,
-            is_answerable,
+            answer,
             has_cost_work: parts().any(Part::may_have_cost_work),
             maybe_executed: query.in_second_step || parts().any(|part| part.maybe_executed_at().is_some()),
         }
--- a/src/balancer/query_sending.rs
+++ b/src/balancer/query_sending.rs
@@ -11,8 +11,8 @@
 
 /// The second step is left at most this share of the latency objective.
 const MAX_SECOND_STEP_SHARE: f64 = 0.5;
-/// A query of at least this many parts for each replica sends one part first, as a canary, and waits for its answer for at
-/// most a share of the latency objective.
+/// A query of at least this many parts for each replica sends one part first, as a canary, and waits for its answer
+/// for at most a share of the latency objective.
 const CANARY_PARTS_PER_REPLICA: f64 = 0.5;
 const MAX_CANARY_SHARE: f64 = 0.3;
 /// A query that sends a canary is given up when more parts than this had an attempt reset.
@@ -142,8 +142,8 @@
             || self.now >= query.deadline_at
     }
 
-    /// Whether a query sends one part first, as a canary, and the others once that is answered. A query to most replicas
-    /// does, so that one that crashes its replicas does not take all of them down at once.
+    /// Whether a query sends one part first, as a canary, and the others once that is answered. A query to most
+    /// replicas does, so that one that crashes its replicas does not take all of them down at once.
     fn needs_canary(&self, query: &Query, progress: &Progress) -> bool {
         let is_wide = query.parts.len() as f64 >= CANARY_PARTS_PER_REPLICA * self.endpoints.len() as f64;
         let time_left = query.objective_at - self.now;
@@ -159,7 +159,8 @@
         progress.retryable.len() > 1 && query.parts.iter().filter(was_reset).count() > MAX_RESET_PARTS
     }
 
-    /// Unsent parts, those of the least loaded shards first. Up to one queued part of jitter is added to the load of each.
+    /// Unsent parts, those of the least loaded shards first. Up to one queued part of jitter is added to the load of
+    /// each.
     fn in_sending_order(&mut self, unsent: &[PartId]) -> Vec<PartId> {
         let queued_part_time = self.latency.queued_part_time();
         let mut keyed: Vec<(f64, PartId)> = Vec::with_capacity(unsent.len());
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -25,8 +25,8 @@
 }
 
 impl Scoring<'_> {
-    /// The load of a replica in parts: own calls in flight, recent failures, and the reported queue as far as reports are
-    /// trusted.
+    /// The load of a replica in parts: own calls in flight, recent failures, and the reported queue as far as reports
+    /// are trusted.
     pub fn busyness(&self, replica: &Replica) -> f64 {
         let reported = self.reported_queue(replica);
         replica.calls.len() as f64
@@ -179,8 +179,8 @@
         self.random.unit_interval() < chance
     }
 
-    /// Whether a replica is warm by the endpoint list and has no call in flight. One that is warming up only because its
-    /// connections were lost is not excluded if no other replica is left.
+    /// Whether a replica is warm by the endpoint list and has no call in flight. One that is warming up only because
+    /// its connections were lost is not excluded if no other replica is left.
     fn is_idle_despite_loss(&self, id: ReplicaId) -> bool {
         self.endpoints.get(id).is_some_and(|replica| {
             let is_listed_warm =
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -107,8 +107,8 @@
         self.answers_of_warm = 0.0;
     }
 
-    /// The probability with which a warming replica may be drawn now: the parts it may get at its share of a warm peer's
-    /// rate in the time since it was last considered, which counts up to `longest_objective`.
+    /// The probability with which a warming replica may be drawn now: the parts it may get at its share of a warm
+    /// peer's rate in the time since it was last considered, which counts up to `longest_objective`.
     pub fn admission_chance(
         &self,
         now: Millis,
--- a/src/balancer/state.rs
+++ b/src/balancer/state.rs
@@ -127,8 +127,8 @@
         Ok(())
     }
 
-    /// Handles one event and appends the resulting actions to `actions`, in order. Events about unknown ids are ignored.
-    /// `now` must not run backwards; if it does, the latest time seen is used.
+    /// Handles one event and appends the resulting actions to `actions`, in order. Events about unknown ids are
+    /// ignored. `now` must not run backwards; if it does, the latest time seen is used.
     pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
         self.now = finite_or(now, self.now.max(0.0)).max(self.now);
         self.detect_stall();
