--- a/src/aggregator/admin.rs
+++ b/src/aggregator/admin.rs
@@ -1,4 +1,4 @@
-//! Operators' commands on the admin address, and the overrides that they give. Overrides are shared by all processes of
+//! Operators' commands on the admin address, and the overrides that they set. Overrides are shared by all processes of
 //! an aggregator and survive its restarts.
 
 use super::reduce::Reduction;
@@ -9,7 +9,7 @@
 use crate::hot_restart::{OverrideSubject, Overrides};
 use std::sync::Arc;
 
-/// A cancelled override is remembered for at least so long, until every process of the aggregator has heard of it.
+/// The least time for which a cancelled override is kept, so that every process of the aggregator learns of it.
 const MIN_OVERRIDE_RETENTION: Millis = 60_000.0;
 
 /// An operator's command.
@@ -67,7 +67,7 @@
     }
 
     fn set_override(&mut self, call: AdminCallId, subject: OverrideSubject, active: bool) {
-        let wall_clock = self.now + self.state.wall_clock_ahead;
+        let wall_clock = self.now + self.state.wall_clock_offset;
         match self.state.overrides.set(subject, active, wall_clock) {
             Ok(changed) => {
                 if changed {
@@ -85,7 +85,7 @@
         self.effects.push(Effect::AnswerAdmin(call, outcome));
     }
 
-    /// Takes over overrides that another process of this aggregator was given, or that were stored before the start.
+    /// Merges stored overrides: those set in another process of this aggregator, or before this one started.
     pub(super) fn overrides_loaded(&mut self, overrides: &Overrides, digest: u32) {
         if self.state.overrides.merge(overrides) {
             self.apply_overrides();
@@ -111,7 +111,7 @@
 
     fn forget_old_overrides(&mut self) {
         let retention = MIN_OVERRIDE_RETENTION.max(self.state.settings.balancer.slow_start_window);
-        let wall_clock = self.now + self.state.wall_clock_ahead;
+        let wall_clock = self.now + self.state.wall_clock_offset;
         self.state.overrides.forget_before(wall_clock - retention);
     }
 }
--- a/src/aggregator/cancellations.rs
+++ b/src/aggregator/cancellations.rs
@@ -1,5 +1,5 @@
-//! Cancellation of attempts that were passed to a connection's writer. A part's next attempt waits until the cancellation
-//! is written or the connection has ended: a leaf server could not tell the two attempts apart.
+//! Cancellation of attempts that were passed to a connection's writer. A part's next attempt waits until the
+//! cancellation is written or the connection has ended: a leaf server could not tell the two attempts apart.
 
 use super::leaf_connection::ConnectionPhase;
 use super::records::AttemptStage;
@@ -49,8 +49,8 @@
         }
     }
 
-    /// The leaf server has been told of a cancellation. It may work on regardless, so the attempt counts as a call in
-    /// flight until it is answered, and a connection that is full of these takes nothing new.
+    /// A cancellation has been written. The leaf server may ignore it, so the attempt counts as a call in flight until
+    /// it is answered, and a connection at its limit of such calls is drained.
     pub(super) fn cancellation_written(&mut self, id: AttemptId, connection: ConnectionId) {
         let max_calls = (self.state.settings.calls_per_connection as usize).saturating_sub(1);
         if let Some(record) = self.state.connections.get_mut(&connection)
@@ -62,7 +62,7 @@
         self.confirm_cancellation(id);
     }
 
-    /// The leaf server cannot take a cancelled attempt for one in flight any more: the part's next attempt may go out.
+    /// The leaf server can no longer confuse a cancelled attempt with the part's next one, so that may be sent.
     pub(super) fn confirm_cancellation(&mut self, id: AttemptId) {
         let Some(part) = self.state.attempts.get(&id).map(|attempt| attempt.part) else { return };
         self.remove_attempt(id);
--- a/src/aggregator/clients.rs
+++ b/src/aggregator/clients.rs
@@ -7,7 +7,7 @@
 use crate::clock::Millis;
 use crate::ledger;
 
-/// A client that has sent no request for so long after it connected is not expected to send one.
+/// A client that sends no request within this time after it connected is not expected to send one.
 const SILENT_CLIENT_AFTER: Millis = 2000.0;
 
 /// Which idle clients are closed first when there are too many.
@@ -45,7 +45,8 @@
         self.enforce_client_limit();
     }
 
-    /// Clients keep their connections open for as long as they may. Without a limit they would use up the descriptors.
+    /// Closes an idle client if too many are connected. Clients keep their connections open for as long as they can,
+    /// and would use up the file descriptors.
     fn enforce_client_limit(&mut self) {
         let open = self.state.clients.values().filter(|client| !client.closing).count();
         if open <= self.state.limits.client_connections {
@@ -61,8 +62,8 @@
         }
     }
 
-    /// Clients that ask once and then keep their connection would take the capacity of those that come next, so the
-    /// number of idle ones is limited too.
+    /// Closes the client that has been idle for the longest if too many are. Clients that send one request and keep the
+    /// connection would otherwise take the capacity of the next ones.
     fn enforce_idle_client_limit(&mut self) {
         let is_idle = |client: &Client| client.answered && client.is_idle();
         let idle_count = self.state.clients.values().filter(|client| is_idle(client)).count();
--- a/src/aggregator/connections.rs
+++ b/src/aggregator/connections.rs
@@ -9,10 +9,10 @@
 use crate::clock::Millis;
 use std::collections::{BTreeSet, VecDeque};
 
-/// Unwritten messages on a connection beyond which it takes nothing new: bounds the queue of a stalled leaf server.
+/// A connection with this many unwritten messages takes nothing new: bounds the queue of a stalled leaf server.
 const MAX_UNWRITTEN_MESSAGES: usize = 64;
-/// Share of the leaf servers' keep-alive after which an idle connection is closed. The aggregator has to close it first,
-/// or an attempt may cross the leaf server's close and be reset.
+/// Share of the leaf servers' keep-alive after which an idle connection is closed. The aggregator has to close it
+/// first, or an attempt may cross the leaf server's close and be reset.
 const IDLE_TIMEOUT_SHARE: f64 = 0.8;
 /// The least time between the aggregator's close of an idle connection and the leaf server's.
 const MIN_IDLE_MARGIN: Millis = 500.0;
@@ -28,8 +28,8 @@
 }
 
 impl Reduction<'_> {
-    /// A connection to a leaf server for an attempt of a part, or for a health check. Never one on which a cancelled
-    /// attempt of the same part may yet be answered: that answer could not be told from the new attempt's.
+    /// A connection to a leaf server for an attempt of a part, or for a health check. Never one on which another
+    /// attempt of the same part may yet be answered: the two answers could not be distinguished.
     pub(super) fn connection_for(
         &mut self,
         replica: ReplicaId,
@@ -128,8 +128,8 @@
         }
     }
 
-    /// Closes a connection whose oldest message has waited for too long. A leaf server that reads nothing must neither
-    /// make messages pile up, nor get them long after it began to drain, nor hold up the retries of cancelled attempts.
+    /// Closes a connection whose oldest unwritten message has waited for too long. Otherwise messages to a leaf server
+    /// that reads nothing would pile up, arrive long after it began to drain, and delay retries of cancelled attempts.
     pub(super) fn check_write_timeout(&mut self, id: ConnectionId) {
         let Some(connection) = self.state.connections.get(&id) else { return };
         if connection.phase != ConnectionPhase::Established {
@@ -196,8 +196,8 @@
         self.end_lost_work(&attempts, &health_checks, &loss);
     }
 
-    /// Ends the attempts and health checks of a connection that is lost. An attempt whose message was written completely
-    /// may have run; any other never did.
+    /// Ends the attempts and health checks of a connection that is lost. An attempt whose message was written
+    /// completely may have run; any other never did.
     fn end_lost_work(
         &mut self,
         attempts: &BTreeSet<AttemptId>,
--- a/src/aggregator/endpoint_updates.rs
+++ b/src/aggregator/endpoint_updates.rs
@@ -1,4 +1,4 @@
-//! Changes of the endpoint list: what they mean for attempts, connections and the balancer, and when a leaf server that
+//! Changes of the endpoint list: their effects on attempts, connections and the balancer, and when a leaf server that
 //! was removed is forgotten.
 
 use super::Effect;
@@ -24,14 +24,14 @@
 }
 
 impl Reduction<'_> {
-    pub(super) fn discovery_answered(&mut self, list: EndpointList, wall_clock_ahead: Millis) {
-        self.state.wall_clock_ahead = wall_clock_ahead;
+    pub(super) fn discovery_answered(&mut self, list: EndpointList, wall_clock_offset: Millis) {
+        self.state.wall_clock_offset = wall_clock_offset;
         self.update_endpoints(Input::Discovery(list));
         self.finish_startup();
     }
 
-    pub(super) fn endpoint_source_changed(&mut self, input: Input, wall_clock_ahead: Millis) {
-        self.state.wall_clock_ahead = wall_clock_ahead;
+    pub(super) fn endpoint_source_changed(&mut self, input: Input, wall_clock_offset: Millis) {
+        self.state.wall_clock_offset = wall_clock_offset;
         let starts_without_discovery = matches!(input, Input::Started { known: None, .. });
         if matches!(input, Input::Started { .. }) {
             self.begin_startup();
@@ -51,7 +51,7 @@
         self.balancer_events.push_back(balancer::Event::EndpointListFailed);
     }
 
-    /// Gives an input to the endpoint registry and applies what comes of it.
+    /// Passes an input to the endpoint registry and applies its outputs.
     pub(super) fn update_endpoints(&mut self, input: Input) {
         let mut outputs = Vec::new();
         self.state.endpoints.handle(self.now, input, &mut outputs);
@@ -91,7 +91,7 @@
             self.drain_connections(replica);
         }
         for replica in changed.moved {
-            // It may hold the shards of these attempts no more.
+            // It may no longer hold the shards of these attempts.
             self.withdraw_unsent_attempts(replica, Outcome::ConnectFailed);
         }
         for replica in changed.not_ready {
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Takes over one entry of a list; returns it in the balancer's form.
+    /// Applies one entry of a list; returns it in the balancer's form.
     fn apply_endpoint(&mut self, endpoint: Endpoint, changed: &mut ChangedServers) -> ReplicaEntry {
         let state = &mut *self.state;
         let replica = *state.replica_ids.entry(endpoint.name).or_insert_with(|| {
@@ -133,8 +133,8 @@
         server.removed_at = is_gone.then_some(self.now);
         if server.started_at_unix != endpoint.started_at_unix {
             server.started_at_unix = endpoint.started_at_unix;
-            // By a wrong wall clock the start may lie in the future.
-            let started_at = (endpoint.started_at_unix - state.wall_clock_ahead).min(self.now);
+            // If the wall clock is wrong, the start may lie in the future.
+            let started_at = (endpoint.started_at_unix - state.wall_clock_offset).min(self.now);
             server.started_at = (endpoint.started_at_unix > 0.0).then_some(started_at);
         }
         if endpoint.state != EndpointState::Ready {
@@ -158,8 +158,8 @@
         }
     }
 
-    /// Forgets leaf servers that were removed so long ago that they would be warming up anew if they came back. Where
-    /// each release brings new names, the old ones must not pile up.
+    /// Forgets leaf servers that were removed longer ago than the slow start window. Where each release brings new
+    /// names, the old ones would pile up otherwise.
     fn forget_removed_servers(&mut self) {
         let State { leaf_servers, replica_ids, connections, settings, counters, .. } = &mut *self.state;
         let retention = settings.balancer.slow_start_window;
--- a/src/aggregator/health_checks.rs
+++ b/src/aggregator/health_checks.rs
@@ -7,7 +7,7 @@
 use crate::balancer::{self, LoadReport, Outcome, ReplicaId};
 use crate::clock::Millis;
 
-/// A health check without an answer for so long has failed.
+/// A health check that is not answered within this time has failed.
 const HEALTH_CHECK_TIMEOUT: Millis = 1000.0;
 
 impl Reduction<'_> {
@@ -53,7 +53,7 @@
         self.close_if_drained(id);
     }
 
-    /// Counts a health check's outcome and gives it to the balancer.
+    /// Counts a health check's outcome and reports it to the balancer.
     pub(super) fn report_health_check(
         &mut self,
         replica: ReplicaId,
--- a/src/aggregator/leaf_connection.rs
+++ b/src/aggregator/leaf_connection.rs
@@ -30,7 +30,7 @@
     pub phase: ConnectionPhase,
     /// Attempts on it, cancelled ones included until their cancellation is confirmed.
     pub attempts: BTreeSet<AttemptId>,
-    /// Attempts that the leaf server was told to cancel, but has not answered: it may still work on them.
+    /// Attempts whose cancellation was written but that were not answered: the leaf server may still work on them.
     pub cancelled: BTreeMap<AttemptId, PartKey>,
     /// Attempts not passed to the writer yet, in order.
     pub queued: Vec<AttemptId>,
--- a/src/aggregator/ledger_entries.rs
+++ b/src/aggregator/ledger_entries.rs
@@ -7,7 +7,7 @@
 use crate::balancer::QueryId;
 use crate::ledger::{self, LedgerEvent, PriceList, TenantMetrics};
 
-/// What a ledger needs of the aggregator.
+/// The prices and the counters by tenant, where a ledger is kept.
 pub(super) struct Billing {
     prices: PriceList,
     metrics: TenantMetrics,
--- a/src/aggregator/lifecycle.rs
+++ b/src/aggregator/lifecycle.rs
@@ -8,12 +8,13 @@
 use crate::clock::Millis;
 use crate::hot_restart::OverrideSubject;
 
-/// Clients of a process that drains are served as before for so long: load balancers notice only after a while, and
+/// How long a draining process serves its clients as before: load balancers notice a drain only after a while, and
 /// clients whose connections are closed at once may find no other aggregator yet.
 const CLIENT_GRACE_PERIOD: Millis = 650.0;
-/// A client without a request for so long is idle, and closed, once the grace period is over.
+/// After the grace period, a client without a request for this long counts as idle and is closed.
 const IDLE_CLIENT_AFTER: Millis = 100.0;
-/// A process that has an endpoint list is ready after so long even without an answer of discovery, which may be down.
+/// A process with an endpoint list becomes ready after this time even if discovery, which may be down, has not
+/// answered.
 const MAX_DISCOVERY_WAIT: Millis = 1000.0;
 
 /// The state of the lifecycle. Times are by the aggregator's clock.
@@ -43,7 +44,7 @@
     },
 }
 
-/// How a process that drains gets rid of its clients.
+/// When a draining process closes its clients' connections.
 struct ClientDrain {
     /// From when on a reply closes its connection.
     close_after_reply_from: Millis,
--- a/src/aggregator/queries.rs
+++ b/src/aggregator/queries.rs
@@ -40,7 +40,7 @@
         state.counters.parts_received += new.parts.len() as u64;
         let query = QueryId(state.fresh_id());
         let class_deadline = state.settings.balancer.classes[indices.class].deadline;
-        // A longer time than the class's deadline would only keep the timer for longer.
+        // The balancer ends the query by the deadline of its class in any case.
         let time_left = new.time_left.map_or(class_deadline, |time_left| time_left.min(class_deadline));
         let parts: Vec<PartSpec> = new.parts.iter().map(|part| self.add_part(query, part)).collect();
 
--- a/src/aggregator/records.rs
+++ b/src/aggregator/records.rs
@@ -44,11 +44,11 @@
     pub shard: u32,
     /// Attempts that the balancer has asked for; numbers the next one.
     pub attempts_started: u32,
-    /// Attempts whose end the balancer waits for, by their number.
+    /// Attempts whose end was not reported to the balancer yet, by their number.
     pub open_attempts: BTreeMap<u32, AttemptId>,
-    /// Cancelled attempts that their leaf servers may not have been told of yet.
+    /// Cancelled attempts whose cancellation may not have been written yet.
     pub unconfirmed_cancellations: u32,
-    /// The next attempt, which waits until there are none of those.
+    /// The next attempt, which waits until all cancellations are confirmed.
     pub waiting_attempt: Option<AttemptId>,
     /// The rows of its value, once served.
     pub value: Option<Vec<Bytes>>,
--- a/src/aggregator/reduce.rs
+++ b/src/aggregator/reduce.rs
@@ -1,5 +1,5 @@
-//! The entry of the state machine: [`reduce`] dispatches an event, and then lets the balancer react until it has
-//! nothing more to ask for. Each concern's part of [`Reduction`] lies in its own module.
+//! The entry point of the state machine: [`reduce`] dispatches an event, then runs the balancer until it has no more
+//! events to handle. The methods of [`Reduction`] are in the modules of their concerns.
 
 use super::state::State;
 use super::timer::Timer;
@@ -103,7 +103,8 @@
         }
     }
 
-    /// Gives the balancer all pending events and applies its actions, until none are left.
+    /// Passes all pending events to the balancer and applies its actions, until no event is left. An action may add
+    /// further events.
     fn run_balancer(&mut self) {
         let mut actions = Vec::new();
         while let Some(event) = self.balancer_events.pop_front() {
--- a/src/aggregator/send_deadlines.rs
+++ b/src/aggregator/send_deadlines.rs
@@ -1,4 +1,4 @@
-//! Attempts that must not be sent any more: their time to be written is over, or their leaf server must not get them.
+//! Attempts that must not be sent any more: their send deadline has passed, or their leaf server must not get them.
 
 use super::AttemptId;
 use super::leaf_connection::{ConnectionPhase, LeafConnection};
@@ -9,8 +9,8 @@
 use crate::balancer::{Outcome, ReplicaId};
 
 impl Reduction<'_> {
-    /// The last moment to write an attempt has come. If its message is stuck in the writer, only the end of the
-    /// connection keeps the rest of it from being sent.
+    /// An attempt's send deadline has passed. If its message is stuck in the writer, only closing the connection keeps
+    /// the rest of it from being sent.
     pub(super) fn send_deadline_passed(&mut self, id: AttemptId) {
         let Some(attempt) = self.state.attempts.get(&id) else { return };
         match attempt.stage {
@@ -27,8 +27,8 @@
         }
     }
 
-    /// A leaf server takes nothing new any more: what is not written yet is written within half of its grace period,
-    /// or not at all.
+    /// Bounds the send deadlines of attempts for a leaf server that no longer accepts new work: what is not written
+    /// within half of its grace period is not sent.
     pub(super) fn shorten_send_deadlines(&mut self, replica: ReplicaId) {
         let State { attempts, timers, settings, .. } = &mut *self.state;
         let latest = self.now + settings.drain_grace / 2.0;
--- a/src/aggregator/state.rs
+++ b/src/aggregator/state.rs
@@ -14,7 +14,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// All that an aggregator's process knows.
+/// The state of one process of an aggregator.
 pub struct State {
     pub(super) settings: SiteSettings,
     pub(super) balancer: Balancer,
@@ -35,23 +35,23 @@
 
     pub(super) timers: TimerQueue,
     /// How far the wall clock was last known to be ahead of the aggregator's clock.
-    pub(super) wall_clock_ahead: Millis,
+    pub(super) wall_clock_offset: Millis,
     /// The last number given to a query, part, attempt or connection.
     pub(super) last_id: u64,
 
     pub(super) lifecycle: Lifecycle,
-    /// What operators have ordered on the admin address.
+    /// Overrides that operators have set on the admin address.
     pub(super) overrides: Overrides,
     pub(super) siblings: Siblings,
     /// Limits of a process that has no siblings.
     pub(super) undivided_limits: Limits,
     /// Limits in force: this process's share of them.
     pub(super) limits: Limits,
-    /// The listener has not been told to close.
+    /// The listener has not been asked to close.
     pub(super) accepting_clients: bool,
     /// The listener is closed, and every client that it accepted is known.
     pub(super) listener_closed: bool,
-    /// [`Effect::Exit`](super::Effect::Exit) has been given out.
+    /// [`Effect::Exit`](super::Effect::Exit) has been emitted.
     pub(super) exited: bool,
     /// Set where a ledger is kept.
     pub(super) billing: Option<Billing>,
@@ -83,7 +83,7 @@
             next_replica: 0,
             connections: BTreeMap::new(),
             timers: TimerQueue::default(),
-            wall_clock_ahead: 0.0,
+            wall_clock_offset: 0.0,
             last_id: 0,
             lifecycle: Lifecycle::Starting { since: 0.0 },
             overrides: Overrides::default(),
@@ -136,7 +136,7 @@
         text
     }
 
-    /// A number that was not given out before.
+    /// A number that was not used before.
     pub(super) fn fresh_id(&mut self) -> u64 {
         self.last_id += 1;
         self.last_id
--- a/src/aggregator/timer.rs
+++ b/src/aggregator/timer.rs
@@ -15,7 +15,7 @@
     QueryDeadline(QueryId),
     /// An attempt should have been answered.
     AttemptTimeout(AttemptId),
-    /// An attempt must be written by now, or never.
+    /// An attempt that is not written yet must not be sent any more.
     SendDeadline(AttemptId),
     /// A connection should be established.
     ConnectTimeout(ConnectionId),
