--- a/src/balancer/query_sending.rs
+++ b/src/balancer/query_sending.rs
@@ -151,7 +151,7 @@
         is_wide && !query.in_second_step && progress.answered == 0.0 && has_time
     }
 
-    /// Whether attempts of so many parts were reset that the query seems to crash its replicas.
+    /// Whether the query seems to crash its replicas: attempts of more than [`MAX_RESET_PARTS`] parts were reset.
     fn crashes_replicas(&self, query: &Query, progress: &Progress) -> bool {
         let was_reset = |part: &&PartId| {
             self.parts[*part].attempts.iter().any(|attempt| attempt.outcome == Some(Outcome::Reset))
--- a/src/balancer/settings.rs
+++ b/src/balancer/settings.rs
@@ -109,7 +109,7 @@
     pub max_attempts: u32,
     /// The most queries and parts in flight.
     pub max_in_flight: u32,
-    /// The longest Retry-After, if clients are told one.
+    /// The longest Retry-After, if clients are sent one.
     pub max_retry_after: Option<Millis>,
     /// The endpoint list has to be polled; otherwise it is pushed.
     pub discovery_is_polled: bool,
--- a/tests/balancer/admission.rs
+++ b/tests/balancer/admission.rs
@@ -58,7 +58,8 @@
     harness.warm_up(5000.0, 300.0);
     let mut rejected = [0, 0];
     for i in 0..60u64 {
-        let (query, class) = (QueryId(10_000 + 2 * i), (i % 2) as usize);
+        let query = QueryId(10_000 + 2 * i);
+        let class = (i % 2) as usize;
         let parts = vec![only_part(PartId(10_001 + 2 * i))];
         harness.handle(
             5001.0,
@@ -77,16 +78,16 @@
     let mut harness = Harness::new(Settings { tenants, over_quota_weight: 0.05, ..settings() }, 1);
     harness.list_replicas(3);
     harness.warm_up(5000.0, 300.0);
-    let (mut arrived, mut rejected) = ([0.0, 0.0], [0.0, 0.0]);
+    let mut arrived = [0.0, 0.0];
+    let mut rejected = [0.0, 0.0];
     for i in 0..120u64 {
         let before = i < 40;
         let tenant = usize::from(!before && i % 5 == 4);
         let query = QueryId(10_000 + 2 * i);
         let parts = vec![only_part(PartId(10_001 + 2 * i))];
-        let (time_left, tenant_of) = (3000.0, Some(tenant));
         harness.handle(
             5001.0,
-            Event::Query { query, class: 0, tenant: tenant_of, time_left, is_retry: false, parts },
+            Event::Query { query, class: 0, tenant: Some(tenant), time_left: 3000.0, is_retry: false, parts },
         );
         if before {
             harness.end_attempt(5001.0, PartId(10_001 + 2 * i), 0, Outcome::Ok, 300.0);
@@ -108,7 +109,7 @@
         let now = 100.0 * f64::from(i);
         let shard = i as u32 % 2;
         let (query, _) = harness.query(now, &[shard]);
-        rejected[shard as usize] += u32::from(i > 100 && harness.is_refused(query));
+        rejected[shard as usize] += u32::from(i > 100 && harness.ended_unanswered(query));
         harness.answer_all_except(now + 50.0, 50.0, &[0]);
         harness.run_timer(now + 50.0, now + 90.0);
     }
@@ -156,8 +157,8 @@
 }
 
 /// Queries that were admitted with good chances and missed their objective, as one part of each met an overloaded
-/// replica, make the next ones doubtful though nearly all parts are quick: most are rejected, some still probe. It ends
-/// once admitted queries meet their objective.
+/// replica, make the next ones doubtful though nearly all parts are quick: most are rejected, a few are admitted as trials.
+/// It ends once admitted queries meet their objective.
 #[test]
 fn admission_is_recalibrated_when_admitted_queries_miss_their_objective() {
     let mut harness = Harness::new(Settings { cells: 24, ..with_late_value(0.0) }, 3);
--- a/tests/balancer/answers.rs
+++ b/tests/balancer/answers.rs
@@ -49,7 +49,7 @@
         harness.answer_all_except(now + 50.0, 50.0, &[]);
     }
     let (query, _) = harness.query(4000.0, &[0, 1, 2]);
-    assert!(!harness.is_refused(query), "two of three parts are worth sending");
+    assert!(!harness.ended_unanswered(query), "two of three parts are worth sending");
     harness.answer_all_except(4050.0, 50.0, &[]);
     harness.run_timer(4050.0, 5600.0);
     assert!(harness.has_action(&Action::Answer { query, complete: false }));
--- a/tests/balancer/endpoint_list.rs
+++ b/tests/balancer/endpoint_list.rs
@@ -41,7 +41,8 @@
 fn a_failing_watch_is_retried_with_backoff_and_does_not_stop_service() {
     let mut harness = Harness::new(Settings { discovery_is_polled: true, ..settings() }, 1);
     harness.list_replicas(3);
-    let (mut calls, mut seen) = (vec![], 0);
+    let mut calls = vec![];
+    let mut seen = 0;
     for step in 0..3000 {
         let now = 20.0 * f64::from(step);
         harness.handle(now, Event::Timer);
--- a/tests/balancer/harness.rs
+++ b/tests/balancer/harness.rs
@@ -1,4 +1,4 @@
-//! A caller of the balancer that remembers what it was told to do and which attempts are in flight.
+//! A caller of the balancer that records the actions it was given and which attempts are in flight.
 
 use sailmux::Balancer;
 use sailmux::balancer::*;
@@ -250,7 +250,7 @@
     }
 
     /// Whether the query ended without an answer: rejected or failed.
-    pub fn is_refused(&self, query: QueryId) -> bool {
+    pub fn ended_unanswered(&self, query: QueryId) -> bool {
         self.is_rejected(query) || self.has_action(&Action::Fail { query })
     }
 
--- a/tests/balancer/retries.rs
+++ b/tests/balancer/retries.rs
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn the_stated_budget_bounds_retries() {
+fn the_configured_budget_bounds_retries() {
     let mut harness = Harness::new(with_retry_budget(2.0), 1);
     harness.list_replicas(3);
     for i in 0..20 {
@@ -178,7 +178,7 @@
     assert_eq!(harness.sends.len() - firsts.len(), 2);
 }
 
-/// With the stated budget used up, a query whose part failed is rejected at once, with a Retry-After in which its
+/// With the configured budget used up, a query whose part failed is rejected at once, with a Retry-After in which its
 /// latency objective can still be met.
 #[test]
 fn a_failed_part_beyond_the_retry_budget_rejects_its_query_at_once() {
@@ -194,7 +194,7 @@
     assert!(wait < 500.0, "{wait} ms: in time for a client retry, not the longest Retry-After");
 }
 
-/// Hedged requests leave half of the stated budget to retries of failed parts.
+/// Hedged requests leave half of the configured budget to retries of failed parts.
 #[test]
 fn hedged_requests_leave_half_of_the_retry_budget_to_retries() {
     let mut harness = Harness::new(with_retry_budget(4.0), 2);
--- a/tests/balancer/selection.rs
+++ b/tests/balancer/selection.rs
@@ -30,7 +30,8 @@
 /// Parts sent in one call count as one: a replica with more parts in one call ties with another.
 #[test]
 fn parts_sharing_one_call_count_as_one_request() {
-    let (mut more_won, mut trials) = (0, 0);
+    let mut more_won = 0;
+    let mut trials = 0;
     for seed in 0..300 {
         let shared = Settings { parts_per_call: 8, cells: 2, width: 1, ..settings() };
         let mut harness = Harness::new(shared, seed);
@@ -42,10 +43,11 @@
         let on = |id: u32, harness: &Harness| {
             harness.sends.iter().filter(|sent| sent.replica == ReplicaId(id)).count()
         };
-        let (a, b) = (on(0, &harness), on(1, &harness));
-        if a != b && a > 0 && b > 0 {
+        let on_first = on(0, &harness);
+        let on_second = on(1, &harness);
+        if on_first != on_second && on_first > 0 && on_second > 0 {
             trials += 1;
-            let more = ReplicaId(u32::from(b > a));
+            let more = ReplicaId(u32::from(on_second > on_first));
             more_won += u32::from(harness.select_replica(2.0, 0) == more);
         }
     }
@@ -53,9 +55,9 @@
     assert!(more_won * 4 > trials && more_won * 4 < trials * 3, "{more_won} of {trials}");
 }
 
-/// A shard's only unsuspected replica still loses to a suspected one once it has far more in flight.
+/// A shard's only replica that is no outlier still loses to an outlier once it has far more in flight.
 #[test]
-fn a_single_unsuspected_replica_does_not_get_all_parts() {
+fn a_single_healthy_replica_does_not_get_all_parts() {
     let mut harness = Harness::new(Settings { hedging_allowed: false, ..settings() }, 5);
     harness.list_replicas(3);
     harness.warm_up(20_000.0, 50.0);
--- a/tests/balancer/slow_start.rs
+++ b/tests/balancer/slow_start.rs
@@ -27,7 +27,8 @@
     let mut harness = Harness::new(settings(), 9);
     harness.list_replicas(3);
     harness.warm_up(5000.0, 50.0);
-    let (mut to_lost, mut tried_again) = (vec![], false);
+    let mut to_lost = vec![];
+    let mut tried_again = false;
     for i in 0..1800 {
         let now = 5000.0 + 20.0 * f64::from(i);
         harness.query(now, &[0]);
@@ -151,7 +152,8 @@
         let mut harness = Harness::new(settings.clone(), seed);
         let warm = (0..3).map(|i| ReplicaEntry { cell: 0, ..entry(i) }).collect();
         harness.handle(0.0, Event::EndpointList { complete: true, entries: warm });
-        let (mut now, mut is_listed) = (1.0 + 5.0 * seed as f64, false);
+        let mut now = 1.0 + 5.0 * seed as f64;
+        let mut is_listed = false;
         while now < 15_000.0 {
             // Uneven gaps, half a second in the mean.
             now += 100.0 + f64::from((seed as u32 * 37 + now as u32) % 800);
