--- a/src/balancer/health_checks.rs
+++ b/src/balancer/health_checks.rs
@@ -1,9 +1,12 @@
-//! Health checks for load: when one is worth its cost, and how long its answer is waited for.
+//! Health checks for load: when one is worth its cost, how long its answer is waited for, and what it changes.
 
-use super::Millis;
+use super::action::Action;
+use super::event::CallResult;
 use super::latency::{ENOUGH_SAMPLES, LatencyEstimates, SAMPLES};
 use super::outlier_detection::{FailingShare, MAX_EVIDENCE};
+use super::state::Balancer;
 use super::statistics::{RecentSamples, finite_or};
+use super::{LoadReportMode, Millis, Outcome, ReplicaId};
 
 /// The selection of a replica waits for a check up to this many times the given quantile of recent durations.
 const PATIENCE_RATIO: f64 = 2.0;
@@ -74,7 +77,7 @@
 }
 
 /// The time at or before which a report or a check is too old to be used again.
-pub(super) fn stale_before(now: Millis, median_latency: Millis) -> Millis {
+fn stale_before(now: Millis, median_latency: Millis) -> Millis {
     now - FRESH_MEDIANS * median_latency
 }
 
@@ -92,3 +95,62 @@
     let urgency = by_tail.max(failing.value() / FULL_USE_FAILING_SHARE);
     Some((2.0 * urgency - 1.0).max(MIN_SAMPLED_SHARE))
 }
+
+impl Balancer {
+    /// Handles the end of a health check.
+    pub(super) fn end_health_check(&mut self, id: ReplicaId, result: CallResult) {
+        let CallResult { outcome, elapsed, report } = result;
+        let criteria = self.outlier_criteria();
+        let Some(replica) = self.endpoints.get_mut(id) else { return };
+        replica.health_check.in_flight = false;
+        self.health_checks.record_duration(elapsed);
+        if outcome != Outcome::Ok {
+            replica.evidence.refresh(&criteria);
+            replica.evidence.record_minor_failure();
+            return;
+        }
+        let implied_queue = self.health_checks.implied_queue(elapsed, self.latency.queued_part_time());
+        let own_calls = replica.health_check.own_calls;
+        self.record_report(id, report, own_calls, implied_queue);
+    }
+
+    /// Checks a replica whose report is not fresh.
+    pub(super) fn check_health(&mut self, id: ReplicaId, actions: &mut Vec<Action>) {
+        let reports_load = self.settings.load_report_mode != LoadReportMode::Off;
+        if !self.settings.health_checks_allowed || !reports_load {
+            return;
+        }
+        let stale = stale_before(self.now, self.latency.median());
+        let Some(replica) = self.endpoints.get_mut(id) else { return };
+        let is_report_stale = replica.reported_queue.is_none_or(|report| report.received_at <= stale);
+        let check = &mut replica.health_check;
+        if check.in_flight || check.started_at > stale || !is_report_stale {
+            return;
+        }
+        check.in_flight = true;
+        check.started_at = self.now;
+        check.own_calls = replica.calls.len() as f64;
+        actions.push(Action::HealthCheck { replica: id });
+    }
+
+    fn health_check_patience(&self) -> Millis {
+        self.health_checks.patience(self.latency.median(), self.settings.timer_granularity)
+    }
+
+    /// Whether the answer to a health check may yet come in time.
+    pub(super) fn awaits_health_check(&self, id: ReplicaId) -> bool {
+        self.endpoints.get(id).is_some_and(|replica| {
+            let check = &replica.health_check;
+            check.in_flight && self.now - check.started_at < self.health_check_patience()
+        })
+    }
+
+    /// Whether a health check is still unanswered after the time for which a part would wait for it.
+    pub(super) fn has_overdue_health_check(&self, id: ReplicaId) -> bool {
+        self.endpoints.get(id).is_some_and(|replica| {
+            let check = &replica.health_check;
+            let waited = self.now - check.started_at.max(self.resumed_at);
+            check.in_flight && waited >= self.health_check_patience()
+        })
+    }
+}
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -4,13 +4,12 @@
 
 use super::action::{Action, LogEvent};
 use super::endpoint_set::EndpointSet;
-use super::health_checks::stale_before;
 use super::load_reports::LoadReports;
 use super::outlier_detection::OutlierCriteria;
 use super::part::Candidates;
 use super::replica::Replica;
 use super::state::Balancer;
-use super::{LoadReportMode, Millis, PartId, ReplicaId};
+use super::{Millis, PartId, ReplicaId};
 
 /// Slowness up to this many times the median is taken for noise and does not raise a replica's cost.
 const TOLERATED_SLOWNESS: f64 = 1.5;
@@ -213,45 +212,4 @@
     fn is_in_own_zone(&self, id: ReplicaId) -> bool {
         self.endpoints.get(id).is_some_and(|replica| replica.zone == self.settings.zone)
     }
-
-    // ---- Health checks --------------------------------------------------------------------------------
-
-    /// Checks a replica whose report is not fresh.
-    fn check_health(&mut self, id: ReplicaId, actions: &mut Vec<Action>) {
-        let reports_load = self.settings.load_report_mode != LoadReportMode::Off;
-        if !self.settings.health_checks_allowed || !reports_load {
-            return;
-        }
-        let stale = stale_before(self.now, self.latency.median());
-        let Some(replica) = self.endpoints.get_mut(id) else { return };
-        let is_report_stale = replica.reported_queue.is_none_or(|report| report.received_at <= stale);
-        let check = &mut replica.health_check;
-        if check.in_flight || check.started_at > stale || !is_report_stale {
-            return;
-        }
-        check.in_flight = true;
-        check.started_at = self.now;
-        check.own_calls = replica.calls.len() as f64;
-        actions.push(Action::HealthCheck { replica: id });
-    }
-
-    fn health_check_patience(&self) -> Millis {
-        self.health_checks.patience(self.latency.median(), self.settings.timer_granularity)
-    }
-
-    /// Whether the answer to a health check may yet come in time.
-    fn awaits_health_check(&self, id: ReplicaId) -> bool {
-        self.endpoints.get(id).is_some_and(|replica| {
-            let check = &replica.health_check;
-            check.in_flight && self.now - check.started_at < self.health_check_patience()
-        })
-    }
-
-    fn has_overdue_health_check(&self, id: ReplicaId) -> bool {
-        self.endpoints.get(id).is_some_and(|replica| {
-            let check = &replica.health_check;
-            let waited = self.now - check.started_at.max(self.resumed_at);
-            check.in_flight && waited >= self.health_check_patience()
-        })
-    }
 }
--- a/src/balancer/state.rs
+++ b/src/balancer/state.rs
@@ -5,7 +5,7 @@
 use super::client_retries::TryTimes;
 use super::endpoint_set::EndpointSet;
 use super::endpoint_watch::EndpointWatch;
-use super::event::{CallResult, Event, LoadReport, Outcome, ReplicaEntry};
+use super::event::{CallResult, Event, LoadReport, ReplicaEntry};
 use super::health_checks::HealthChecks;
 use super::latency::LatencyEstimates;
 use super::load_reports::{LoadReports, ReportedQueue};
@@ -194,22 +194,6 @@
         self.endpoint_watch.on_failure(self.now, discovery_is_polled, max_poll_interval, jitter);
     }
 
-    fn end_health_check(&mut self, id: ReplicaId, result: CallResult) {
-        let CallResult { outcome, elapsed, report } = result;
-        let criteria = self.outlier_criteria();
-        let Some(replica) = self.endpoints.get_mut(id) else { return };
-        replica.health_check.in_flight = false;
-        self.health_checks.record_duration(elapsed);
-        if outcome != Outcome::Ok {
-            replica.evidence.refresh(&criteria);
-            replica.evidence.record_minor_failure();
-            return;
-        }
-        let implied_queue = self.health_checks.implied_queue(elapsed, self.latency.queued_part_time());
-        let own_calls = replica.health_check.own_calls;
-        self.record_report(id, report, own_calls, implied_queue);
-    }
-
     /// Records a replica's load report, if there is one from which its queue can be derived. `own_calls` and
     /// `lower_bound` are as in [`ReportedQueue::from_report`].
     pub(super) fn record_report(
