--- a/src/aggregator/queries.rs
+++ b/src/aggregator/queries.rs
@@ -6,7 +6,7 @@
 use super::timer::Timer;
 use super::{AttemptId, ClientId, NewPart, NewQuery, QueryError, Reply};
 use crate::balancer::{self, Outcome, PartId, PartSpec, QueryId};
-use crate::ledger::{self, Share};
+use crate::ledger::{self, QuotaShare};
 use bytes::Bytes;
 use std::collections::BTreeMap;
 
@@ -40,7 +40,7 @@
         state.counters.parts_received += new.parts.len() as u64;
         let query = QueryId(state.fresh_id());
         let class_deadline = state.settings.balancer.classes[indices.class].deadline;
-        // A longer time than the class's deadline would only keep the timer for longer.
+        // The balancer ends the query by the deadline of its class in any case.
         let time_left = new.time_left.map_or(class_deadline, |time_left| time_left.min(class_deadline));
         let parts: Vec<PartSpec> = new.parts.iter().map(|part| self.add_part(query, part)).collect();
 
@@ -51,7 +51,7 @@
             class: new.class.into(),
             tenant: new.tenant,
             tenant_is_known: indices.tenant.is_some(),
-            share: Share::WithinQuota,
+            share: QuotaShare::WithinQuota,
             name: new.name,
             payload: new.payload,
             idempotency_key: new.idempotency_key,
@@ -93,7 +93,7 @@
         if let Some(query) = self.state.queries.get_mut(&query)
             && !within_quota
         {
-            query.share = Share::OverQuota;
+            query.share = QuotaShare::OverQuota;
         }
     }
 
--- a/src/balancer/settings.rs
+++ b/src/balancer/settings.rs
@@ -109,7 +109,7 @@
     pub max_attempts: u32,
     /// The most queries and parts in flight.
     pub max_in_flight: u32,
-    /// The longest Retry-After, if clients are told one.
+    /// The longest Retry-After, if clients are sent one.
     pub max_retry_after: Option<Millis>,
     /// The endpoint list has to be polled; otherwise it is pushed.
     pub discovery_is_polled: bool,
@@ -121,7 +121,7 @@
     pub slow_start_window: Millis,
     /// A replica that gets more than this many times its present capacity, from all aggregators together, fails.
     pub overload_factor: f64,
-    /// The stated budget of further attempts, if any.
+    /// The retry budget, if one is configured.
     pub retry_budget: Option<RetryBudget>,
     /// The cost of an attempt that crosses zones.
     pub cross_zone_cost: f64,
--- a/src/cli/ledger/verify.rs
+++ b/src/cli/ledger/verify.rs
@@ -3,8 +3,8 @@
 use super::super::failure::Failure;
 use super::super::print;
 use super::LedgerLocation;
-use crate::inventory::hex;
-use crate::ledger::{Book, ExportRecord, Record};
+use crate::hex;
+use crate::ledger::{Book, BookPosition, ExportRecord, Record, RecordedGap};
 use sha2::{Digest, Sha256};
 use std::fs;
 use std::io::ErrorKind;
@@ -30,11 +30,11 @@
 }
 
 fn summary(directory: &Path, book: &Book, entries: u64) -> String {
-    let (sequence, aggregator, epoch) = book.position();
+    let BookPosition { sequence, aggregator, epoch } = book.position();
     let directory = directory.display();
     let mut text =
         format!("{directory}: {aggregator}, {epoch} runs, records up to {sequence}, {entries} entries\n");
-    for (sequence, gap) in book.gaps() {
+    for RecordedGap { sequence, gap } in book.gaps() {
         text.push_str(&format!("record {sequence}: {}\n", Record::Gap(gap.clone())));
     }
     let unfinished = book.exports().iter().filter(|export| !export.is_finished());
@@ -51,7 +51,7 @@
     let hash = export.hash.as_ref()?;
     let path = directory.join(export.file_name());
     match fs::read(&path) {
-        Ok(bytes) if hex(&Sha256::digest(&bytes)) == *hash => None,
+        Ok(bytes) if hex::encode(&Sha256::digest(&bytes)) == *hash => None,
         Ok(_) => Some(format!("{}: is not the export that the journal knows", path.display())),
         Err(error) if error.kind() == ErrorKind::NotFound => None,
         Err(error) => Some(format!("{}: {error}", path.display())),
--- a/src/inventory/list.rs
+++ b/src/inventory/list.rs
@@ -2,11 +2,11 @@
 
 use super::ansible::Hosts;
 use super::files::{Bundle, Role};
-use super::hex;
 use super::mapping::Field;
 use super::options::Options;
 use crate::diagnostic::{Diagnostic, Diagnostics};
-use crate::endpoints::{Endpoint, EndpointRecord, EndpointState, FileList, clashes};
+use crate::endpoints::{Endpoint, EndpointRecord, EndpointState, FileList, SharedAddress, shared_addresses};
+use crate::hex;
 use sha2::{Digest, Sha256};
 use std::sync::Arc;
 
@@ -21,7 +21,7 @@
         hash.update((file.text.len() as u64).to_be_bytes());
         hash.update(&file.text);
     }
-    hex(&hash.finalize()[..DIGEST_BYTES]).into()
+    hex::encode(&hash.finalize()[..DIGEST_BYTES]).into()
 }
 
 /// The endpoint records of all hosts, in the order of their names.
@@ -37,7 +37,7 @@
     if records.is_empty() && !options.partial && problems.is_empty() {
         let file = bundle.files.iter().find(|file| file.role == Role::Inventory);
         let name = file.map_or("", |file| &*file.name);
-        problems.push(Diagnostic::for_file(name, "names no node"));
+        problems.push(Diagnostic::for_file(name, "names no leaf server"));
     }
     if !problems.is_empty() {
         return Err(Diagnostics(problems));
@@ -75,7 +75,7 @@
 }
 
 fn report_shared_addresses(records: &[EndpointRecord], bundle: &Bundle, problems: &mut Vec<Diagnostic>) {
-    for (first, second) in clashes(records) {
+    for SharedAddress { first, second } in shared_addresses(records) {
         let address = second.address.as_ref().map_or("", |address| &*address.value);
         let message = format!("{address} is the address of {} too", first.name);
         let file = bundle.file_name(second.location);
--- a/src/inventory/mod.rs
+++ b/src/inventory/mod.rs
@@ -20,25 +20,13 @@
 mod read;
 mod table;
 
-pub use ansible::{Explained, Hosts, Layer};
+pub use ansible::{Explained, ExplainedValue, Hosts, Layer};
 pub use columns::columns;
 pub use error::HostError;
 pub use expand::{RangeError, expand};
-pub use files::{Bundle, BundleFile, FileStamp, Gathered, Role, Seen, gather, signature};
+pub use files::{Bundle, BundleFile, FileStamp, Gathered, Role, SeenFile, gather, signature};
 pub use list::{digest, nodes};
 pub use mapping::{Field, Mapping};
 pub use options::{Bounds, Format, Options};
 pub use print::{Format as PrintFormat, print};
 pub use read::{hosts, read};
-
-use std::fmt::Write;
-
-/// Bytes as lower-case hex digits.
-pub(crate) fn hex(bytes: &[u8]) -> String {
-    let mut text = String::with_capacity(bytes.len() * 2);
-    for byte in bytes {
-        // Writing into a string cannot fail.
-        let _ = write!(text, "{byte:02x}");
-    }
-    text
-}
--- a/src/ledger/store/exports.rs
+++ b/src/ledger/store/exports.rs
@@ -3,7 +3,7 @@
 //! can take an export's name as an idempotency key.
 
 use super::super::UnixMs;
-use super::super::book::ExportRecord;
+use super::super::book::{ExportRecord, SequenceRange};
 use super::super::disk::Disk;
 use super::super::error::LedgerError;
 use super::super::export::Export;
@@ -12,7 +12,7 @@
 use super::super::record::Record;
 use super::Store;
 use super::recovery::{self, Start};
-use crate::inventory::hex;
+use crate::hex;
 use sha2::{Digest, Sha256};
 
 impl<D: Disk> Store<D> {
@@ -33,7 +33,7 @@
         let Some(begun) = self.book.next_export(period, format.word()) else {
             return Ok(None);
         };
-        let (after, up_to) = begun.range;
+        let SequenceRange { after, up_to } = begun.range;
         let intent = Record::ExportIntent {
             name: begun.name.clone(),
             period: begun.period.clone(),
@@ -65,7 +65,7 @@
             return Err(LedgerError::UnknownFormat(begun.format.clone()));
         };
         let bytes = render(&content, format)?;
-        let hash = hex(&Sha256::digest(&bytes));
+        let hash = hex::encode(&Sha256::digest(&bytes));
         let manifest = content.manifest(&hash).to_json();
         self.place_file(&begun.file_name(), &bytes)?;
         self.place_file(&format!("{}.manifest.json", begun.name), manifest.as_bytes())?;
@@ -76,7 +76,7 @@
     /// The content of an export: the same at any time, since its records never change.
     fn export_content(&self, begun: &ExportRecord) -> Result<Export, LedgerError> {
         let mut content = Export::new(begun);
-        let (after, up_to) = begun.range;
+        let SequenceRange { after, up_to } = begun.range;
         recovery::load(&self.disk, self.book.calendar(), Start::FirstRecord, |sequence, record, book| {
             if sequence > after && sequence <= up_to {
                 content.add(sequence, record, book);
--- a/tests/formats/ansible.rs
+++ b/tests/formats/ansible.rs
@@ -98,9 +98,9 @@
     let hosts = hosts(&bundle(&LAYERS), &Options::default()).expect("layers");
     let explained = hosts.explain("s0");
     let zone = explained.iter().find(|variable| variable.variable == "zone").expect("a zone");
-    let values: Vec<&str> = zone.values.iter().map(|(value, ..)| value.as_str()).collect();
+    let values: Vec<&str> = zone.values.iter().map(|value| value.text.as_str()).collect();
     assert_eq!(values, ["10", "9", "8", "7", "6", "5", "4", "2", "3", "1"]);
-    assert_eq!(zone.values[0].1, Layer::HostVars);
+    assert_eq!(zone.values[0].layer, Layer::HostVars);
 }
 
 #[test]
@@ -125,8 +125,8 @@
             "all:\n  hosts:\n    s[3:1]: {port: 1, cell: 0}\n",
             "n.yaml:3: all.hosts.s[3:1]: [3:1] runs backwards",
         ),
-        ("all: {hosts: {}}\n", "n.yaml: names no node"),
-        ("", "n.yaml: names no node"),
+        ("all: {hosts: {}}\n", "n.yaml: names no leaf server"),
+        ("", "n.yaml: names no leaf server"),
         ("all:\n  hosts:\n    s0: {port: 1, cell: 0}\n---\nall:\n", "n.yaml:4: a second document"),
         (
             "all:\n  hosts:\n    s0: {port: 1, cell: 0, address: 'a:2'}\n",
