--- a/src/balancer/simulator_protocol/error.rs
+++ b/src/balancer/simulator_protocol/error.rs
@@ -1,32 +1,32 @@
-//! Why the simulator's input cannot be used, or its output not written.
+//! Errors of the adapter: invalid input, or a failure to read or write.
 
 use sailmux::balancer::SettingsError;
 use sailmux::json::FieldError;
 use std::{fmt, io};
 
-/// Why a line cannot be handled. Each ends the adapter.
+/// The reason why a line cannot be handled. Every one stops the adapter.
 #[derive(Debug)]
 pub enum ProtocolError {
-    /// The line is not a JSON object of the protocol.
+    /// The line is not a JSON object with the protocol's field types.
     Malformed,
-    /// A field that this kind of message must have is missing.
+    /// A field required for this kind of message is missing; holds the field's name.
     MissingField(&'static str),
-    /// A field holds a word that the protocol does not know.
-    UnknownWord {
-        /// What the word should name.
+    /// A field holds a keyword that the protocol does not define.
+    UnknownKeyword {
+        /// The kind of value that the keyword stands for, such as `state`.
         kind: &'static str,
-        /// The word.
-        word: String,
+        /// The keyword as received.
+        keyword: String,
     },
-    /// A query is of a class that the facts do not name.
+    /// A query's class is not in the settings.
     UnknownClass,
-    /// More replicas than the balancer can number.
+    /// There are more replicas than [`ReplicaId`](sailmux::balancer::ReplicaId) can number.
     TooManyReplicas,
-    /// A field of the facts.
-    Facts(FieldError),
-    /// The facts as a whole.
-    Settings(SettingsError),
-    /// Input or output failed.
+    /// A field of the settings is missing or invalid.
+    InvalidSettingsField(FieldError),
+    /// The settings contradict each other or are out of range.
+    InvalidSettings(SettingsError),
+    /// Reading the input or writing the output failed.
     Io(io::Error),
 }
 
@@ -35,11 +35,11 @@
         match self {
             Self::Malformed => write!(f, "is no line of the wire"),
             Self::MissingField(name) => write!(f, "{name} is missing"),
-            Self::UnknownWord { kind, word } => write!(f, "unknown {kind} {word:?}"),
+            Self::UnknownKeyword { kind, keyword } => write!(f, "unknown {kind} {keyword:?}"),
             Self::UnknownClass => write!(f, "unknown class"),
             Self::TooManyReplicas => write!(f, "too many replicas"),
-            Self::Facts(error) => write!(f, "{error}"),
-            Self::Settings(error) => write!(f, "{error}"),
+            Self::InvalidSettingsField(error) => write!(f, "{error}"),
+            Self::InvalidSettings(error) => write!(f, "{error}"),
             Self::Io(error) => write!(f, "{error}"),
         }
     }
@@ -49,13 +49,13 @@
 
 impl From<FieldError> for ProtocolError {
     fn from(error: FieldError) -> Self {
-        Self::Facts(error)
+        Self::InvalidSettingsField(error)
     }
 }
 
 impl From<SettingsError> for ProtocolError {
     fn from(error: SettingsError) -> Self {
-        Self::Settings(error)
+        Self::InvalidSettings(error)
     }
 }
 
@@ -65,12 +65,12 @@
     }
 }
 
-/// A [`ProtocolError`] with the line that caused it.
+/// A [`ProtocolError`] with the number of the line that caused it.
 #[derive(Debug)]
 pub struct LineError {
-    /// The line, from 1.
+    /// Line number in the input, from 1.
     pub line: usize,
-    /// What is wrong with it.
+    /// The reason why the line could not be handled.
     pub error: ProtocolError,
 }
 
--- a/src/balancer/simulator_protocol/instance.rs
+++ b/src/balancer/simulator_protocol/instance.rs
@@ -1,11 +1,11 @@
-//! One simulated aggregator: its balancer, and the names that the protocol has for what the balancer numbers.
+//! A simulated aggregator: its balancer, and the mapping between the protocol's names and the balancer's ids.
 
 use super::error::ProtocolError;
 use super::message::{
     CallResult, EndpointRow, InstanceId, InstanceMessage, ListScope, PartMessage, QueryMessage,
     UncheckedResult, required,
 };
-use super::names::Names;
+use super::name_interner::NameInterner;
 use super::reply::{ActionWriter, write_panic};
 use miniserde::json::Value;
 use sailmux::Balancer;
@@ -19,7 +19,7 @@
 use std::io::Write;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// One simulated aggregator.
+/// A simulated aggregator.
 pub struct Instance {
     id: InstanceId,
     balancer: Balancer,
@@ -27,19 +27,19 @@
     tenants: Vec<String>,
     zones: Vec<String>,
     /// Names of queries and parts.
-    requests: Names,
-    replicas: Names,
-    /// Queries by the number to which their parts refer.
+    requests: NameInterner,
+    replicas: NameInterner,
+    /// Queries by their group number, to which their parts refer.
     groups: HashMap<u64, QueryId>,
-    /// The query whose parts are still coming in.
+    /// The event whose parts are still arriving.
     pending: Option<PendingEvent>,
-    /// Kept for its allocation.
+    /// Buffer that is reused for every event to avoid allocations.
     actions: Vec<Action>,
-    /// The balancer has panicked; it gets no further event.
+    /// Set once the balancer has panicked; further events are dropped.
     failed: bool,
 }
 
-/// A query or a second step, of which parts are still coming in.
+/// A query or a second step whose parts are still arriving, one message each.
 struct PendingEvent {
     group: u64,
     event: Event,
@@ -54,20 +54,20 @@
 }
 
 impl Instance {
-    /// A new instance with the platform's settings.
+    /// Creates an instance from settings in the platform's format.
     ///
     /// # Errors
-    /// Settings that cannot be used.
-    pub fn new(id: InstanceId, seed: u64, facts: &Value) -> Result<Self, ProtocolError> {
-        let settings = parse_platform_settings(&Field::root(facts))?;
+    /// The settings are incomplete or invalid.
+    pub fn new(id: InstanceId, seed: u64, settings: &Value) -> Result<Self, ProtocolError> {
+        let settings = parse_platform_settings(&Field::root(settings))?;
         Ok(Instance {
             id,
             balancer: Balancer::new(settings.balancer, seed)?,
             classes: settings.classes,
             tenants: settings.tenants,
             zones: settings.zones,
-            requests: Names::default(),
-            replicas: Names::default(),
+            requests: NameInterner::default(),
+            replicas: NameInterner::default(),
             groups: HashMap::new(),
             pending: None,
             actions: Vec::new(),
@@ -75,10 +75,10 @@
         })
     }
 
-    /// Handles a message; `rows` are those of the endpoint list that it refers to.
+    /// Handles a message; `rows` are the rows of the endpoint list that it refers to.
     ///
     /// # Errors
-    /// A message that cannot be used, or an output that cannot be written.
+    /// The message is invalid, or writing the output fails.
     pub fn handle(
         &mut self,
         now: Millis,
@@ -98,21 +98,21 @@
                 self.health_check_ended(&replica, result)?
             }
             InstanceMessage::ClientDisconnected { query } => {
-                let query = self.requests.number(&query).map(QueryId);
+                let query = self.requests.lookup(&query).map(QueryId);
                 query.map(|query| Event::ClientDisconnected { query })
             }
             InstanceMessage::Timer => Some(Event::Timer),
         };
-        // Ids that this instance has never had are ignored.
+        // Messages about ids that this instance does not have are ignored.
         let Some(event) = event else { return Ok(()) };
         self.deliver_pending(now, output)?;
         self.deliver(now, event, output)
     }
 
-    /// Delivers a query whose parts are all in, as they are at the latest when another event or the batch's end comes.
+    /// Delivers the pending event. Its parts are complete once any other event arrives or the batch ends.
     ///
     /// # Errors
-    /// The output cannot be written.
+    /// Writing the output fails.
     pub fn deliver_pending(&mut self, now: Millis, output: &mut impl Write) -> Result<(), ProtocolError> {
         match self.pending.take() {
             Some(pending) => self.deliver(now, pending.event, output),
@@ -163,7 +163,8 @@
         Ok(())
     }
 
-    /// Adds a part to the pending query of its group. A part that comes later than that belongs to the second step.
+    /// Adds a part to the pending event of its group. If that event has been delivered, the part begins the query's second
+    /// step.
     fn add_part(
         &mut self,
         now: Millis,
@@ -219,7 +220,7 @@
         attempt: Option<u32>,
         result: UncheckedResult,
     ) -> Result<Option<Event>, ProtocolError> {
-        let Some(number) = self.requests.number(part) else { return Ok(None) };
+        let Some(number) = self.requests.lookup(part) else { return Ok(None) };
         let part = PartId(number);
         let attempt = required(attempt, "sendNo")?;
         let CallResult { outcome, elapsed, report } = result.check()?;
@@ -231,7 +232,7 @@
         replica: &str,
         result: UncheckedResult,
     ) -> Result<Option<Event>, ProtocolError> {
-        let Some(number) = self.replicas.number(replica) else { return Ok(None) };
+        let Some(number) = self.replicas.lookup(replica) else { return Ok(None) };
         let replica = replica_id(number)?;
         let CallResult { outcome, elapsed, report } = result.check()?;
         Ok(Some(Event::HealthCheckEnded { replica, outcome, elapsed, report }))
@@ -242,12 +243,12 @@
     u32::try_from(number).map(ReplicaId).map_err(|_| ProtocolError::TooManyReplicas)
 }
 
-fn parse_state(word: &str) -> Result<ReplicaState, ProtocolError> {
-    match word {
+fn parse_state(keyword: &str) -> Result<ReplicaState, ProtocolError> {
+    match keyword {
         "up" => Ok(ReplicaState::Up),
         "draining" => Ok(ReplicaState::Draining),
         "removed" => Ok(ReplicaState::Removed),
-        other => Err(ProtocolError::UnknownWord { kind: "state", word: other.to_owned() }),
+        other => Err(ProtocolError::UnknownKeyword { kind: "state", keyword: other.to_owned() }),
     }
 }
 
--- a/src/balancer/simulator_protocol/message.rs
+++ b/src/balancer/simulator_protocol/message.rs
@@ -1,119 +1,135 @@
-//! The simulator's messages: JSON lines with the protocol's field names, converted to typed messages in the field's
-//! terms.
+//! The simulator's messages: parses JSON lines with the protocol's field names into typed messages.
 //!
-//! Conversion has up to three steps, since messages about what is unknown are ignored without a check of their other
-//! fields. [`HostMessage`] needs the fields of the envelope alone; [`InstanceMessage`] is converted only once its
-//! instance is known to exist; [`UncheckedResult`] is checked only once the instance is found to have had the id.
+//! Conversion takes up to three steps, because messages for unknown instances and results for unknown ids are ignored
+//! without validation of their other fields. [`HostMessage`] needs only the fields that address the message;
+//! [`InstanceMessage`] is parsed only if its instance exists; [`UncheckedResult`] is validated only if the instance has
+//! the id that it refers to.
 
 use super::error::ProtocolError;
 use miniserde::Deserialize;
 use miniserde::json::Value;
 use sailmux::balancer::{LoadReport, Millis, Outcome};
 
-/// A line: the name of its message, and the fields that any message may have.
+/// A line as received: the name of its message, and every field that any message may have.
 #[derive(Deserialize)]
 pub struct RawMessage {
     cmd: String,
-    who: Option<u32>,
+    #[serde(rename = "who")]
+    instance: Option<u32>,
     #[serde(rename = "momentMs")]
-    moment_ms: Option<f64>,
+    now_ms: Option<f64>,
     batch: Option<u64>,
-    buffer: Option<u32>,
+    #[serde(rename = "buffer")]
+    list_number: Option<u32>,
     #[serde(rename = "rowsIn")]
-    rows_in: Option<Vec<EndpointRow>>,
-    entropy: Option<u64>,
-    facts: Option<Value>,
+    rows: Option<Vec<EndpointRow>>,
+    #[serde(rename = "entropy")]
+    seed: Option<u64>,
+    #[serde(rename = "facts")]
+    settings: Option<Value>,
     scope: Option<String>,
-    corr: Option<String>,
-    qos: Option<String>,
-    party: Option<Value>,
+    #[serde(rename = "corr")]
+    request: Option<String>,
+    #[serde(rename = "qos")]
+    class: Option<String>,
+    #[serde(rename = "party")]
+    tenant: Option<Value>,
     #[serde(rename = "timeBudgetMs")]
-    time_budget_ms: Option<f64>,
+    time_left_ms: Option<f64>,
     #[serde(rename = "costGuessMs")]
-    cost_guess_ms: Option<f64>,
+    cost_hint_ms: Option<f64>,
     #[serde(rename = "groupNo")]
-    group_no: Option<u64>,
-    slab: Option<f64>,
+    group: Option<u64>,
+    /// Negative in the first message of a query.
+    #[serde(rename = "slab")]
+    shard: Option<f64>,
     #[serde(rename = "sizeOrWeight")]
-    size_or_weight: Option<f64>,
-    retry: Option<bool>,
+    weight: Option<f64>,
+    #[serde(rename = "retry")]
+    is_retry: Option<bool>,
     #[serde(rename = "sendNo")]
-    send_no: Option<u32>,
-    searcher: Option<String>,
-    verdict: Option<String>,
+    attempt: Option<u32>,
+    #[serde(rename = "searcher")]
+    replica: Option<String>,
+    #[serde(rename = "verdict")]
+    outcome: Option<String>,
     #[serde(rename = "tookMs")]
-    took_ms: Option<f64>,
-    stats: Option<RawLoadReport>,
+    elapsed_ms: Option<f64>,
+    #[serde(rename = "stats")]
+    load_report: Option<RawLoadReport>,
 }
 
-/// One replica in an endpoint list.
+/// A replica in an endpoint list.
 #[derive(Deserialize)]
 pub struct EndpointRow {
-    /// The replica's name.
+    /// Name of the replica.
     #[serde(rename = "searcher")]
     pub name: String,
-    /// When it last started; 0 for long ago.
+    /// Time of its last start; 0 means that it started long ago.
     #[serde(rename = "lastStartMs")]
     pub started_at: Option<Millis>,
-    /// Its cell.
+    /// Number of its cell; absent means 0.
     #[serde(rename = "setNo")]
     pub cell: Option<u32>,
-    /// Its weight; only ratios matter.
+    /// Its weight relative to other replicas; absent means 1.
     #[serde(rename = "heft")]
     pub weight: Option<f64>,
-    /// The protocol's word for its state.
+    /// Keyword of the protocol for its state: `up`, `draining` or `removed`.
     pub state: String,
-    /// Its zone's name.
+    /// Name of its zone.
     #[serde(rename = "rackZone")]
     pub zone: Option<String>,
 }
 
 #[derive(Deserialize)]
 struct RawLoadReport {
-    pending: Option<f64>,
-    busy_reqs: Option<f64>,
-    cpu_share: Option<f64>,
+    #[serde(rename = "pending")]
+    queue: Option<f64>,
+    #[serde(rename = "busy_reqs")]
+    inflight: Option<f64>,
+    #[serde(rename = "cpu_share")]
+    utilization: Option<f64>,
 }
 
 impl From<RawLoadReport> for LoadReport {
     fn from(raw: RawLoadReport) -> Self {
-        LoadReport { queue: raw.pending, inflight: raw.busy_reqs, utilization: raw.cpu_share }
+        LoadReport { queue: raw.queue, inflight: raw.inflight, utilization: raw.utilization }
     }
 }
 
-/// The number of an instance in the protocol.
+/// The protocol's number for a simulated aggregator.
 pub type InstanceId = u32;
 
-/// A message as the host handles it.
+/// A message to the adapter itself, or one to be passed on to an instance.
 pub enum HostMessage {
-    /// A batch begins.
+    /// Begins a batch of messages.
     BeginBatch {
-        /// The simulated time of all its messages.
+        /// Simulated time of every message in the batch.
         now: Millis,
-        /// Its number.
+        /// Number of the batch, returned in its acknowledgement.
         batch: u64,
     },
-    /// The batch is complete and is to be acknowledged.
+    /// Ends the batch, which is then acknowledged.
     CommitBatch,
-    /// An endpoint list, to which later messages refer by its number.
+    /// Stores an endpoint list, to which later messages refer by its number.
     StoreEndpointList {
-        /// Its number.
-        number: u32,
-        /// Its rows.
+        /// Number of the list; a list stored earlier under this number is replaced.
+        list_number: u32,
+        /// The replicas in the list.
         rows: Vec<EndpointRow>,
     },
-    /// An instance starts, in place of an earlier one of that number.
+    /// Starts an instance; one that runs under the same number is replaced.
     StartInstance {
-        /// Its number.
+        /// Number of the instance.
         instance: InstanceId,
-        /// Seed of its random source.
+        /// Seed of its random number generator.
         seed: u64,
-        /// Its settings in the platform's form.
-        facts: Value,
+        /// Its settings, in the format of the platform.
+        settings: Value,
     },
-    /// An instance stops.
+    /// Stops an instance.
     StopInstance(InstanceId),
-    /// A message to an instance, if it exists.
+    /// A message to an instance; ignored if there is no such instance.
     ToInstance(InstanceId, Box<RawMessage>),
 }
 
@@ -123,107 +139,107 @@
     fn try_from(raw: RawMessage) -> Result<Self, ProtocolError> {
         match raw.cmd.as_str() {
             "round" => Ok(HostMessage::BeginBatch {
-                now: required(raw.moment_ms, "momentMs")?,
+                now: required(raw.now_ms, "momentMs")?,
                 batch: required(raw.batch, "batch")?,
             }),
             "commit" => Ok(HostMessage::CommitBatch),
             "inventory" => Ok(HostMessage::StoreEndpointList {
-                number: required(raw.buffer, "buffer")?,
-                rows: required(raw.rows_in, "rowsIn")?,
+                list_number: required(raw.list_number, "buffer")?,
+                rows: required(raw.rows, "rowsIn")?,
             }),
             "up" => Ok(HostMessage::StartInstance {
-                instance: required(raw.who, "who")?,
-                seed: required(raw.entropy, "entropy")?,
-                facts: required(raw.facts, "facts")?,
+                instance: required(raw.instance, "who")?,
+                seed: required(raw.seed, "entropy")?,
+                settings: required(raw.settings, "facts")?,
             }),
-            "halt" => Ok(HostMessage::StopInstance(required(raw.who, "who")?)),
-            _ => Ok(HostMessage::ToInstance(required(raw.who, "who")?, Box::new(raw))),
+            "halt" => Ok(HostMessage::StopInstance(required(raw.instance, "who")?)),
+            _ => Ok(HostMessage::ToInstance(required(raw.instance, "who")?, Box::new(raw))),
         }
     }
 }
 
-/// What an endpoint-list message says.
+/// The scope of an endpoint-list message.
 #[derive(Clone, Copy)]
 pub enum ListScope {
-    /// The list could not be had.
+    /// Discovery failed; there is no list.
     Failed,
-    /// Only changes.
+    /// Changes to the previous list.
     Changes,
-    /// The whole list.
+    /// A complete list.
     Complete,
 }
 
 /// A message to one instance.
 pub enum InstanceMessage {
-    /// An endpoint list, by the number under which it is stored.
+    /// An endpoint list has arrived, or discovery has failed.
     EndpointList {
-        /// What it says.
+        /// Whether the list is complete.
         scope: ListScope,
-        /// The stored list; none has no rows.
-        number: Option<u32>,
+        /// Number of the stored list; absent means an empty list.
+        list_number: Option<u32>,
     },
     /// The first message of a query; its parts follow.
     Query(QueryMessage),
-    /// A part of the query of the same group.
+    /// A part of the query that has the same group number.
     Part(PartMessage),
     /// An attempt has ended.
     AttemptEnded {
-        /// The part's name.
+        /// Name of the part.
         part: String,
-        /// Which of its attempts, from 0. Missing is an error only if the part is known.
+        /// Number of the attempt, from 0. Its absence is an error only if the part is known.
         attempt: Option<u32>,
-        /// How it ended.
+        /// Result, validated only if the id is known.
         result: UncheckedResult,
     },
     /// A health check has ended.
     HealthCheckEnded {
-        /// The replica's name.
+        /// Name of the replica.
         replica: String,
-        /// How it ended.
+        /// Result, validated only if the id is known.
         result: UncheckedResult,
     },
     /// The client of a query has disconnected.
     ClientDisconnected {
-        /// The query's name.
+        /// Name of the query.
         query: String,
     },
-    /// A timer has come due.
+    /// The timer has expired.
     Timer,
-    /// Of no use to the balancer.
+    /// A message that the balancer does not use.
     Ignored,
 }
 
 /// A query, without its parts.
 pub struct QueryMessage {
-    /// Its name.
+    /// Name of the query.
     pub query: String,
-    /// The number by which its parts refer to it.
+    /// Number by which its parts refer to it.
     pub group: u64,
-    /// Its class's name.
+    /// Name of its class.
     pub class: String,
-    /// Its tenant's name, if any.
+    /// Name of its tenant; `None` if it has no tenant.
     pub tenant: Option<String>,
-    /// Time until the client gives up.
+    /// Time until the client's timeout.
     pub time_left: Millis,
-    /// The client marked it as a retry.
+    /// Whether the client has marked it as a retry.
     pub is_retry: bool,
 }
 
 /// A part of a query.
 pub struct PartMessage {
-    /// Its name.
+    /// Name of the part.
     pub part: String,
-    /// The number of its query.
+    /// Group number of its query.
     pub group: u64,
-    /// The shard that it asks.
+    /// The shard that it queries.
     pub shard: u32,
-    /// Its weight among the parts of its step.
+    /// Its weight relative to the other parts of the same step.
     pub weight: f64,
-    /// Rough expected work, if stated.
+    /// Estimated execution time, if the client supplied one.
     pub cost_hint: Option<Millis>,
 }
 
-/// The result of an attempt or a health check, as it came. Its outcome has been checked.
+/// The result of an attempt or a health check as received. Only its outcome has been validated.
 #[derive(Clone, Copy)]
 pub struct UncheckedResult {
     outcome: Outcome,
@@ -233,21 +249,21 @@
 
 impl UncheckedResult {
     fn parse(
-        verdict: Option<String>,
-        took_ms: Option<f64>,
-        stats: Option<RawLoadReport>,
+        outcome: Option<String>,
+        elapsed_ms: Option<f64>,
+        load_report: Option<RawLoadReport>,
     ) -> Result<Self, ProtocolError> {
         Ok(UncheckedResult {
-            outcome: parse_outcome(&required(verdict, "verdict")?)?,
-            elapsed: took_ms,
-            report: stats.map(LoadReport::from),
+            outcome: parse_outcome(&required(outcome, "verdict")?)?,
+            elapsed: elapsed_ms,
+            report: load_report.map(LoadReport::from),
         })
     }
 
-    /// Checks the fields that matter only for a known id.
+    /// Validates the fields that are needed only if the id is known.
     ///
     /// # Errors
-    /// The duration is missing.
+    /// The elapsed time is missing.
     pub fn check(self) -> Result<CallResult, ProtocolError> {
         Ok(CallResult {
             outcome: self.outcome,
@@ -260,11 +276,11 @@
 /// The result of an attempt or a health check.
 #[derive(Clone, Copy)]
 pub struct CallResult {
-    /// How it ended.
+    /// Outcome of the attempt or health check.
     pub outcome: Outcome,
-    /// Time since it was sent.
+    /// Time from sending to the result.
     pub elapsed: Millis,
-    /// The load report that came with it.
+    /// The load report in the response, if there was one.
     pub report: Option<LoadReport>,
 }
 
@@ -276,56 +292,56 @@
             "opened" | "inbox" => Ok(InstanceMessage::Ignored),
             "targets" => Ok(InstanceMessage::EndpointList {
                 scope: parse_scope(&required(raw.scope, "scope")?),
-                number: raw.buffer,
+                list_number: raw.list_number,
             }),
             "workItem" => parse_work_item(raw),
             "attemptEnd" => Ok(InstanceMessage::AttemptEnded {
-                result: UncheckedResult::parse(raw.verdict, raw.took_ms, raw.stats)?,
-                part: required(raw.corr, "corr")?,
-                attempt: raw.send_no,
+                result: UncheckedResult::parse(raw.outcome, raw.elapsed_ms, raw.load_report)?,
+                part: required(raw.request, "corr")?,
+                attempt: raw.attempt,
             }),
             "pong" => Ok(InstanceMessage::HealthCheckEnded {
-                result: UncheckedResult::parse(raw.verdict, raw.took_ms, raw.stats)?,
-                replica: required(raw.searcher, "searcher")?,
+                result: UncheckedResult::parse(raw.outcome, raw.elapsed_ms, raw.load_report)?,
+                replica: required(raw.replica, "searcher")?,
             }),
             "timedOutClient" => {
-                Ok(InstanceMessage::ClientDisconnected { query: required(raw.corr, "corr")? })
+                Ok(InstanceMessage::ClientDisconnected { query: required(raw.request, "corr")? })
             }
             "wakeup" => Ok(InstanceMessage::Timer),
-            _ => Err(ProtocolError::UnknownWord { kind: "message", word: raw.cmd }),
+            _ => Err(ProtocolError::UnknownKeyword { kind: "message", keyword: raw.cmd }),
         }
     }
 }
 
-/// A work item of a negative slab is a query, each other one a part.
+/// Parses a work item: with a negative shard it is a query, otherwise a part.
 fn parse_work_item(raw: RawMessage) -> Result<InstanceMessage, ProtocolError> {
-    let name = required(raw.corr, "corr")?;
-    let group = required(raw.group_no, "groupNo")?;
-    let slab = required(raw.slab, "slab")?;
-    if slab < 0.0 {
+    let name = required(raw.request, "corr")?;
+    let group = required(raw.group, "groupNo")?;
+    let shard = required(raw.shard, "slab")?;
+    if shard < 0.0 {
         return Ok(InstanceMessage::Query(QueryMessage {
             query: name,
             group,
-            class: required(raw.qos, "qos")?,
-            tenant: match raw.party {
+            class: required(raw.class, "qos")?,
+            tenant: match raw.tenant {
                 Some(Value::String(tenant)) => Some(tenant),
                 _ => None,
             },
-            time_left: required(raw.time_budget_ms, "timeBudgetMs")?,
-            is_retry: raw.retry.unwrap_or(false),
+            time_left: required(raw.time_left_ms, "timeBudgetMs")?,
+            is_retry: raw.is_retry.unwrap_or(false),
         }));
     }
     Ok(InstanceMessage::Part(PartMessage {
         part: name,
         group,
-        shard: slab as u32,
-        weight: raw.size_or_weight.unwrap_or(0.0),
-        cost_hint: raw.cost_guess_ms,
+        shard: shard as u32,
+        weight: raw.weight.unwrap_or(0.0),
+        cost_hint: raw.cost_hint_ms,
     }))
 }
 
-fn parse_outcome(word: &str) -> Result<Outcome, ProtocolError> {
-    match word {
+fn parse_outcome(keyword: &str) -> Result<Outcome, ProtocolError> {
+    match keyword {
         "ok" => Ok(Outcome::Ok),
         "error" => Ok(Outcome::Error),
         "full" => Ok(Outcome::Rejected),
@@ -334,19 +350,19 @@
         "reset" => Ok(Outcome::Reset),
         "cancelled" => Ok(Outcome::Cancelled),
         "moot" => Ok(Outcome::NotSent),
-        other => Err(ProtocolError::UnknownWord { kind: "outcome", word: other.to_owned() }),
+        other => Err(ProtocolError::UnknownKeyword { kind: "outcome", keyword: other.to_owned() }),
     }
 }
 
-fn parse_scope(word: &str) -> ListScope {
-    match word {
+fn parse_scope(keyword: &str) -> ListScope {
+    match keyword {
         "error" => ListScope::Failed,
         "diff" => ListScope::Changes,
         _ => ListScope::Complete,
     }
 }
 
-/// The field, which a message of its kind must have.
+/// Returns the value of a required field, or an error with the field's name if it is missing.
 pub(super) fn required<T>(field: Option<T>, name: &'static str) -> Result<T, ProtocolError> {
     field.ok_or(ProtocolError::MissingField(name))
 }
--- a/src/balancer/simulator_protocol/mod.rs
+++ b/src/balancer/simulator_protocol/mod.rs
@@ -1,10 +1,11 @@
-//! The adapter between the simulator and the balancer: JSON lines in, JSON lines out, one balancer for each simulated
-//! aggregator. Run by the program `sailmux-simhost`. It frames, names and converts; it decides nothing.
+//! The adapter between the simulator and the balancer: reads and writes JSON lines and runs one balancer for each
+//! simulated aggregator. The program `sailmux-simhost` runs it. It only parses, maps names to ids and converts messages;
+//! every decision is the balancer's.
 
 mod error;
 mod instance;
 mod message;
-mod names;
+mod name_interner;
 mod reply;
 
 use error::{LineError, ProtocolError};
@@ -16,10 +17,10 @@
 use std::collections::{BTreeMap, HashMap};
 use std::io::{BufRead, Write};
 
-/// Runs until the input ends.
+/// Processes messages until the end of the input.
 ///
 /// # Errors
-/// A line that cannot be handled, or an output that cannot be written.
+/// A line is invalid, or reading the input or writing the output fails.
 pub fn run(input: impl BufRead, mut output: impl Write) -> Result<(), LineError> {
     std::panic::set_hook(Box::new(|info| eprintln!("sailmux-simhost: {info}")));
     let mut host = Host::default();
@@ -33,14 +34,14 @@
     Ok(())
 }
 
-/// All instances of this process. They share nothing but the endpoint lists that the protocol numbers.
+/// All simulated aggregators of this process. They share only the endpoint lists that the protocol numbers.
 #[derive(Default)]
 struct Host {
     instances: BTreeMap<InstanceId, Instance>,
     endpoint_lists: HashMap<u32, Vec<EndpointRow>>,
-    /// The time of the batch in hand.
+    /// Simulated time of the current batch.
     now: Millis,
-    /// The number of the batch in hand.
+    /// Number of the current batch.
     batch: u64,
 }
 
@@ -57,12 +58,12 @@
                 Ok(())
             }
             HostMessage::CommitBatch => self.commit_batch(output),
-            HostMessage::StoreEndpointList { number, rows } => {
-                self.endpoint_lists.insert(number, rows);
+            HostMessage::StoreEndpointList { list_number, rows } => {
+                self.endpoint_lists.insert(list_number, rows);
                 Ok(())
             }
-            HostMessage::StartInstance { instance, seed, facts } => {
-                self.instances.insert(instance, Instance::new(instance, seed, &facts)?);
+            HostMessage::StartInstance { instance, seed, settings } => {
+                self.instances.insert(instance, Instance::new(instance, seed, &settings)?);
                 Ok(())
             }
             HostMessage::StopInstance(instance) => {
@@ -89,7 +90,9 @@
         let Some(instance) = self.instances.get_mut(&instance) else { return Ok(()) };
         let message = InstanceMessage::try_from(raw)?;
         let rows = match &message {
-            InstanceMessage::EndpointList { number: Some(number), .. } => self.endpoint_lists.get(number),
+            InstanceMessage::EndpointList { list_number: Some(number), .. } => {
+                self.endpoint_lists.get(number)
+            }
             _ => None,
         };
         let rows = rows.map_or(&[][..], Vec::as_slice);
--- a/src/balancer/simulator_protocol/names.rs
+++ b/src/balancer/simulator_protocol/name_interner.rs
@@ -1,16 +1,16 @@
-//! Names of the protocol, numbered in the order in which they come.
+//! Maps the protocol's names to the consecutive numbers that the balancer uses as ids.
 
 use std::collections::HashMap;
 
-/// Names and their numbers, from 0.
+/// NameInterner with their numbers, assigned from 0 in order of first use.
 #[derive(Default)]
-pub struct Names {
+pub struct NameInterner {
     numbers: HashMap<String, u64>,
     names: Vec<String>,
 }
 
-impl Names {
-    /// The number of a name; a new name gets the next one.
+impl NameInterner {
+    /// Returns the number of a name; a new name gets the next free number.
     pub fn intern(&mut self, name: &str) -> u64 {
         if let Some(number) = self.numbers.get(name) {
             return *number;
@@ -21,12 +21,12 @@
         number
     }
 
-    /// The number of a name that has come before.
-    pub fn number(&self, name: &str) -> Option<u64> {
+    /// Returns the number of a name, or `None` if it has never been interned.
+    pub fn lookup(&self, name: &str) -> Option<u64> {
         self.numbers.get(name).copied()
     }
 
-    /// The name of a number that [`Names::intern`] has given.
+    /// Returns the name of a number assigned by [`NameInterner::intern`]; panics on any other number.
     pub fn name(&self, number: u64) -> &str {
         &self.names[number as usize]
     }
--- a/src/balancer/simulator_protocol/reply.rs
+++ b/src/balancer/simulator_protocol/reply.rs
@@ -1,22 +1,24 @@
-//! The adapter's replies: JSON lines with the protocol's names, made from the balancer's actions. The order of a
-//! struct's fields is their order on the line.
+//! Converts the balancer's actions to the adapter's output: JSON lines with the protocol's field names. Fields are
+//! written in the order in which the struct declares them; a recorded run is compared byte for byte.
 
 use super::error::ProtocolError;
 use super::message::InstanceId;
-use super::names::Names;
+use super::name_interner::NameInterner;
 use miniserde::{Serialize, json};
 use sailmux::balancer::{Action, LogEvent};
 use std::io::Write;
 
-/// The one timer that the balancer sets; the protocol asks for a name.
+/// Name of the balancer's only timer; the protocol requires one.
 const TIMER_NAME: &str = "sweep";
 
 /// Sends an attempt of a part.
 #[derive(Serialize)]
 struct SendAttempt<'a> {
     cmd: &'static str,
-    who: InstanceId,
-    corr: &'a str,
+    #[serde(rename = "who")]
+    instance: InstanceId,
+    #[serde(rename = "corr")]
+    part: &'a str,
     #[serde(rename = "tryForMs")]
     timeout_ms: f64,
     #[serde(rename = "searcher")]
@@ -27,8 +29,10 @@
 #[derive(Serialize)]
 struct CancelAttempt<'a> {
     cmd: &'static str,
-    who: InstanceId,
-    corr: &'a str,
+    #[serde(rename = "who")]
+    instance: InstanceId,
+    #[serde(rename = "corr")]
+    part: &'a str,
     #[serde(rename = "sendNo")]
     attempt: u32,
 }
@@ -37,8 +41,10 @@
 #[derive(Serialize)]
 struct AnswerQuery<'a> {
     cmd: &'static str,
-    who: InstanceId,
-    corr: &'a str,
+    #[serde(rename = "who")]
+    instance: InstanceId,
+    #[serde(rename = "corr")]
+    query: &'a str,
     #[serde(rename = "whole")]
     complete: bool,
 }
@@ -47,8 +53,10 @@
 #[derive(Serialize)]
 struct RejectQuery<'a> {
     cmd: &'static str,
-    who: InstanceId,
-    corr: &'a str,
+    #[serde(rename = "who")]
+    instance: InstanceId,
+    #[serde(rename = "corr")]
+    query: &'a str,
     #[serde(rename = "coolDownMs")]
     retry_after_ms: Option<f64>,
 }
@@ -57,15 +65,18 @@
 #[derive(Serialize)]
 struct FailQuery<'a> {
     cmd: &'static str,
-    who: InstanceId,
-    corr: &'a str,
+    #[serde(rename = "who")]
+    instance: InstanceId,
+    #[serde(rename = "corr")]
+    query: &'a str,
 }
 
 /// Starts a health check.
 #[derive(Serialize)]
 struct CheckHealth<'a> {
     cmd: &'static str,
-    who: InstanceId,
+    #[serde(rename = "who")]
+    instance: InstanceId,
     #[serde(rename = "searcher")]
     replica: &'a str,
 }
@@ -74,7 +85,8 @@
 #[derive(Serialize)]
 struct WatchEndpoints {
     cmd: &'static str,
-    who: InstanceId,
+    #[serde(rename = "who")]
+    instance: InstanceId,
     #[serde(rename = "whole")]
     complete: bool,
 }
@@ -83,18 +95,20 @@
 #[derive(Serialize)]
 struct SetTimer {
     cmd: &'static str,
-    who: InstanceId,
+    #[serde(rename = "who")]
+    instance: InstanceId,
     #[serde(rename = "timeMs")]
     at_ms: f64,
     #[serde(rename = "cookie")]
     name: &'static str,
 }
 
-/// Writes to the simulator's journal, or reports a panic.
+/// A line for the simulator's journal, or the report of a panic.
 #[derive(Serialize)]
-struct Note<'a> {
+struct TextMessage<'a> {
     cmd: &'static str,
-    who: InstanceId,
+    #[serde(rename = "who")]
+    instance: InstanceId,
     #[serde(rename = "what")]
     text: &'a str,
 }
@@ -106,63 +120,66 @@
     batch: u64,
 }
 
-/// Where one instance's replies go, and the names that they need.
+/// Writes one instance's actions as replies, with the names that belong to the ids in them.
 pub struct ActionWriter<'a, W: Write> {
-    /// The output.
+    /// Receives the JSON lines.
     pub output: &'a mut W,
-    /// The instance.
+    /// The instance whose actions are written.
     pub instance: InstanceId,
-    /// Names of queries and parts.
-    pub requests: &'a Names,
-    /// Names of replicas.
-    pub replicas: &'a Names,
+    /// Names of queries and parts, by their ids.
+    pub requests: &'a NameInterner,
+    /// Names of replicas, by their ids.
+    pub replicas: &'a NameInterner,
 }
 
 impl<W: Write> ActionWriter<'_, W> {
-    /// Writes the reply for an action.
+    /// Writes an action as one line.
     ///
     /// # Errors
-    /// The output cannot be written.
+    /// Writing the output fails.
     pub fn write(&mut self, action: &Action) -> Result<(), ProtocolError> {
-        let who = self.instance;
+        let instance = self.instance;
         let requests = self.requests;
         let replicas = self.replicas;
         let output = &mut *self.output;
         match action {
             Action::Send { part, replica, timeout, .. } => {
-                let corr = requests.name(part.0);
+                let part = requests.name(part.0);
                 let replica = replicas.name(u64::from(replica.0));
-                write_line(output, &SendAttempt { cmd: "callOut", who, corr, timeout_ms: *timeout, replica })
+                write_line(
+                    output,
+                    &SendAttempt { cmd: "callOut", instance, part, timeout_ms: *timeout, replica },
+                )
             }
             Action::Cancel { part, attempt } => {
-                let corr = requests.name(part.0);
-                write_line(output, &CancelAttempt { cmd: "dropAttempt", who, corr, attempt: *attempt })
+                let part = requests.name(part.0);
+                write_line(output, &CancelAttempt { cmd: "dropAttempt", instance, part, attempt: *attempt })
             }
             Action::Answer { query, complete } => {
-                let corr = requests.name(query.0);
-                write_line(output, &AnswerQuery { cmd: "replyNow", who, corr, complete: *complete })
+                let query = requests.name(query.0);
+                write_line(output, &AnswerQuery { cmd: "replyNow", instance, query, complete: *complete })
             }
             Action::Reject { query, retry_after, .. } => {
-                let corr = requests.name(query.0);
+                let query = requests.name(query.0);
                 let retry_after_ms = *retry_after;
-                write_line(output, &RejectQuery { cmd: "bounce", who, corr, retry_after_ms })
+                write_line(output, &RejectQuery { cmd: "bounce", instance, query, retry_after_ms })
             }
             Action::Fail { query } => {
-                let corr = requests.name(query.0);
-                write_line(output, &FailQuery { cmd: "dropRequest", who, corr })
+                let query = requests.name(query.0);
+                write_line(output, &FailQuery { cmd: "dropRequest", instance, query })
             }
             Action::HealthCheck { replica } => {
                 let replica = replicas.name(u64::from(replica.0));
-                write_line(output, &CheckHealth { cmd: "ping", who, replica })
+                write_line(output, &CheckHealth { cmd: "ping", instance, replica })
             }
             Action::WatchEndpoints => {
-                write_line(output, &WatchEndpoints { cmd: "follow", who, complete: true })
+                write_line(output, &WatchEndpoints { cmd: "follow", instance, complete: true })
             }
             Action::SetTimer { at } => {
-                write_line(output, &SetTimer { cmd: "setTimer", who, at_ms: *at, name: TIMER_NAME })
+                write_line(output, &SetTimer { cmd: "setTimer", instance, at_ms: *at, name: TIMER_NAME })
             }
             Action::Log(event) => {
-                write_line(output, &Note { cmd: "journalLine", who, text: &journal_text(*event) })
+                write_line(output, &TextMessage { cmd: "journalLine", instance, text: &journal_text(*event) })
             }
         }
     }
@@ -171,19 +188,19 @@
 /// Reports that the balancer of an instance has panicked.
 ///
 /// # Errors
-/// The output cannot be written.
+/// Writing the output fails.
 pub fn write_panic(
     output: &mut impl Write,
     instance: InstanceId,
     message: &str,
 ) -> Result<(), ProtocolError> {
-    write_line(output, &Note { cmd: "bug", who: instance, text: message })
+    write_line(output, &TextMessage { cmd: "bug", instance, text: message })
 }
 
-/// Acknowledges a batch, and sends all replies on their way.
+/// Acknowledges a batch and flushes the output.
 ///
 /// # Errors
-/// The output cannot be written.
+/// Writing the output fails.
 pub fn write_batch_done(output: &mut impl Write, batch: u64) -> Result<(), ProtocolError> {
     write_line(output, &BatchDone { cmd: "yield", batch })?;
     output.flush()?;
--- a/src/bin/sailmux-simhost.rs
+++ b/src/bin/sailmux-simhost.rs
@@ -1,5 +1,5 @@
-//! Connects the simulator, on standard input and output, with the balancer: one [`sailmux::Balancer`] for each
-//! simulated aggregator.
+//! Runs the balancer under the simulator, which sends messages on standard input and reads replies from standard output.
+//! Each simulated aggregator has a [`sailmux::Balancer`] of its own.
 
 #[path = "../balancer/simulator_protocol/mod.rs"]
 mod simulator_protocol;
