--- a/src/gossip/detector.rs
+++ b/src/gossip/detector.rs
@@ -1,4 +1,4 @@
-//! The failure detector of one member: wires probing, suspicion, dissemination and the member table.
+//! The failure detector of one member: combines probing, suspicion, dissemination and the member table.
 
 use super::counters::DetectorCounters;
 use super::dissemination::UpdateQueue;
@@ -17,7 +17,7 @@
 /// An input of [`Detector::handle`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// Time has passed. Expected several times in each probe interval.
+    /// Time has passed. Must be handled several times per probe interval for timeouts to be accurate.
     Tick,
     /// A message has arrived.
     Received {
@@ -28,26 +28,26 @@
     },
 }
 
-/// An output of the detector, to be carried out in order.
+/// An output of [`Detector::handle`]. Outputs must be executed in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Send a message to a member.
     Send {
-        /// The receiver.
+        /// Id of the receiver.
         to: MemberId,
-        /// Its address.
+        /// Address of the receiver.
         address: Arc<str>,
         /// The message.
         message: Message,
     },
-    /// Send a message to whichever member listens at an address, to join through it.
+    /// Send a message to whichever member listens at an address, to join the fleet through it.
     SendToAddress {
-        /// The address.
+        /// Address to send to.
         address: Arc<str>,
         /// The message.
         message: Message,
     },
-    /// This update is in force now.
+    /// The table has applied this update, or the local member has refuted one and this is its own new update.
     Changed(MemberUpdate),
 }
 
@@ -63,7 +63,7 @@
     }
 }
 
-/// The failure detector of one member.
+/// The failure detector of one member. Owns the member table and the state of probes and suspicions.
 #[derive(Debug)]
 pub struct Detector {
     settings: DetectorSettings,
@@ -78,20 +78,21 @@
 }
 
 impl Detector {
-    /// A detector for the member `local` that knows the members `known`. Its random choices come from `seed`.
+    /// Creates a detector for the member `local` whose table initially contains `initial_members`. Its random choices
+    /// are determined by `seed`.
     pub fn new(
         settings: DetectorSettings,
         local: MemberUpdate,
-        known: Vec<MemberUpdate>,
+        initial_members: Vec<MemberUpdate>,
         seed: u64,
         now: Millis,
     ) -> Self {
         let mut table = MemberTable::new(settings.table, local, now);
-        for update in known {
+        for update in initial_members {
             table.apply(now, update);
         }
         let mut random = Pcg64Mcg::seed_from_u64(seed.rotate_left(29));
-        // Spread over an interval, so that members started together do not probe at the same times.
+        // The first probe is at a random time in the interval, so that members started together do not probe in step.
         let first_probe_at = now + uniform(&mut random) * settings.probe_interval;
         let sync_intervals = f64::from(settings.sync_interval_factor);
         let next_sync_at = now + jittered(settings.probe_interval, &mut random) * sync_intervals;
@@ -108,13 +109,14 @@
         }
     }
 
-    /// Joins through members known by their addresses alone: a full exchange with each.
+    /// Joins the fleet through the members at these addresses, by a full exchange of tables with each. The local
+    /// member's own address is skipped.
     pub fn join(&mut self, addresses: &[Arc<str>], outputs: &mut Vec<Output>) {
         for address in addresses {
             if *address == self.table.local().address {
                 continue;
             }
-            // The first part makes this member known; the reply brings the whole table.
+            // The first part contains the local member, which is enough to join; the reply has the complete table.
             let Some(members) = self.table_parts().into_iter().next() else { continue };
             let message = Message::Sync { reply_requested: true, members };
             self.counters.messages_sent += 1;
@@ -122,32 +124,33 @@
         }
     }
 
-    /// Leaves the fleet: tells all live members.
+    /// Leaves the fleet: marks the local member as left and sends that update to all live members.
     pub fn leave(&mut self, now: Millis, outputs: &mut Vec<Output>) {
         let update = self.table.leave(now);
         self.updates.push(update.clone());
-        let peers: Vec<Peer> = self.table.live_others().map(Peer::of).collect();
+        let peers: Vec<Peer> = self.table.live_peers().map(Peer::of).collect();
         for peer in peers {
             self.send(peer, Message::Gossip { updates: vec![update.clone()] }, outputs);
         }
     }
 
-    /// The members as this one knows them.
+    /// Returns the member table.
     pub fn table(&self) -> &MemberTable {
         &self.table
     }
 
-    /// The local health score: 0 while this member's probes are answered and nobody suspects it.
+    /// Returns the local health score, from 0 (healthy) to [`DetectorSettings::max_local_health`]. It rises whenever this
+    /// member refutes an update and falls whenever one of its probes is answered.
     pub fn local_health(&self) -> u32 {
         self.local_health.score()
     }
 
-    /// The counters.
+    /// Returns the counters since the detector was created.
     pub fn counters(&self) -> DetectorCounters {
         self.counters
     }
 
-    /// Handles an input; appends its outputs.
+    /// Handles an input; appends the resulting outputs to `outputs`.
     pub fn handle(&mut self, now: Millis, input: Input, outputs: &mut Vec<Output>) {
         match input {
             Input::Tick => self.on_tick(now, outputs),
@@ -160,12 +163,12 @@
         if self.probing.in_flight.is_none() && now >= self.probing.next_probe_at {
             self.probe_next(now, outputs);
         }
-        self.declare_expired_dead(now, outputs);
+        self.declare_expired_suspects_dead(now, outputs);
         if now >= self.next_sync_at && self.settings.sync_interval_factor > 0 {
             self.sync_with_random_member(now, outputs);
         }
         self.probing.expire_relayed(now, self.settings.probe_interval);
-        self.table.forget_dead(now);
+        self.table.remove_dead(now);
     }
 
     fn check_probe_in_flight(&mut self, now: Millis, outputs: &mut Vec<Output>) {
@@ -195,7 +198,7 @@
     fn probe_indirectly(&mut self, target: MemberId, sequence: u64, outputs: &mut Vec<Output>) {
         self.probing.mark_indirect();
         let is_helper = |update: &&MemberUpdate| update.id != target && update.status == MemberStatus::Alive;
-        let mut helpers: Vec<Peer> = self.table.live_others().filter(is_helper).map(Peer::of).collect();
+        let mut helpers: Vec<Peer> = self.table.live_peers().filter(is_helper).map(Peer::of).collect();
         helpers.sort_by_key(|helper| helper.id);
         shuffle(&mut helpers, &mut self.random);
         helpers.truncate(self.settings.indirect_probes);
@@ -205,7 +208,7 @@
         }
     }
 
-    /// A probe was not answered: raises a suspicion, or confirms one.
+    /// Handles a probe that was not answered: starts a suspicion of the target, or confirms one.
     fn suspect(&mut self, now: Millis, target: MemberId, outputs: &mut Vec<Output>) {
         let Some(known) = self.table.update(target) else { return };
         if !known.status.is_live() {
@@ -217,7 +220,7 @@
         self.apply(now, update, outputs);
     }
 
-    fn declare_expired_dead(&mut self, now: Millis, outputs: &mut Vec<Output>) {
+    fn declare_expired_suspects_dead(&mut self, now: Millis, outputs: &mut Vec<Output>) {
         let live_members = self.table.live_count();
         for expired in self.suspicions.take_expired(now, &self.settings, live_members) {
             let Some(known) = self.table.update(expired.member) else { continue };
@@ -234,7 +237,7 @@
     fn sync_with_random_member(&mut self, now: Millis, outputs: &mut Vec<Output>) {
         let sync_interval = self.settings.probe_interval * f64::from(self.settings.sync_interval_factor);
         self.next_sync_at = now + jittered(sync_interval, &mut self.random);
-        let peers: Vec<Peer> = self.table.live_others().map(Peer::of).collect();
+        let peers: Vec<Peer> = self.table.live_peers().map(Peer::of).collect();
         if peers.is_empty() {
             return;
         }
@@ -245,7 +248,7 @@
         }
     }
 
-    /// The table in parts of at most `max_sync_members`, the local member first.
+    /// Returns the table in parts of at most `max_sync_members` members each, with the local member first.
     fn table_parts(&self) -> Vec<Vec<MemberUpdate>> {
         let local = self.table.local();
         let mut all = vec![local.clone()];
@@ -310,7 +313,7 @@
                 self.updates.push(update);
             }
             ApplyResult::Stale => {
-                // A confirmation is passed on, so that the others' timeouts become shorter too.
+                // Confirmations are disseminated too, so that they shorten the suspicion timeout at other members.
                 if self.suspicions.confirm(&update, self.settings.indirect_probes.max(1)) {
                     self.updates.push(update);
                 }
@@ -326,7 +329,7 @@
         }
     }
 
-    /// Updates for a message to any member.
+    /// Returns updates to piggyback on a message to any member.
     fn piggyback(&mut self) -> Vec<MemberUpdate> {
         let members = self.table.live_count() as f64;
         let rounds = (members + 1.0).log10().ceil().max(1.0) as u32;
@@ -334,8 +337,8 @@
         self.updates.next_batch(self.settings.max_piggybacked_updates, max_times_sent)
     }
 
-    /// Updates for a probe. A suspected target is told of its suspicion first, so that it can refute it at once
-    /// (Lifeguard's buddy system).
+    /// Returns updates to piggyback on a probe. If the target is suspected, the suspicion comes first, so that the target
+    /// can refute it at once (Lifeguard's buddy system).
     fn piggyback_for(&mut self, target: MemberId) -> Vec<MemberUpdate> {
         let mut updates = self.piggyback();
         if let Some(known) = self.table.update(target)
@@ -358,7 +361,7 @@
     }
 }
 
-/// An interval of 0.5 to 1.5 times the mean.
+/// Returns a random interval, uniform between 0.5 and 1.5 times the mean.
 fn jittered(mean: Millis, random: &mut Pcg64Mcg) -> Millis {
     (0.5 + uniform(random)) * mean
 }
--- a/src/gossip/dissemination.rs
+++ b/src/gossip/dissemination.rs
@@ -1,4 +1,4 @@
-//! Dissemination: the updates that are piggybacked on messages, each a limited number of times.
+//! The queue of updates that are piggybacked on messages, each a limited number of times.
 
 use super::member::{MemberId, MemberUpdate};
 
@@ -8,21 +8,21 @@
     times_sent: u32,
 }
 
-/// The updates to disseminate, at most one for each member.
+/// Updates to disseminate, at most one per member.
 #[derive(Debug, Default)]
 pub(super) struct UpdateQueue {
     queue: Vec<QueuedUpdate>,
 }
 
 impl UpdateQueue {
-    /// Adds an update, in place of an older one about the same member.
+    /// Adds an update; replaces a queued one about the same member.
     pub fn push(&mut self, update: MemberUpdate) {
         self.remove(update.id);
         self.queue.push(QueuedUpdate { update, times_sent: 0 });
     }
 
-    /// The updates for the next message: those sent least, up to `max_updates`. An update sent `max_times_sent` times
-    /// is dropped.
+    /// Returns the updates for the next message: those sent the fewest times, at most `max_updates`. An update that has
+    /// been sent `max_times_sent` times is removed from the queue.
     pub fn next_batch(&mut self, max_updates: usize, max_times_sent: u32) -> Vec<MemberUpdate> {
         self.queue.sort_by_key(|queued| queued.times_sent);
         let mut batch = Vec::new();
--- a/src/gossip/local_health.rs
+++ b/src/gossip/local_health.rs
@@ -1,9 +1,9 @@
-//! Lifeguard's local health: a member whose own probes fail, or that others suspect, may be slow itself and allows
-//! more time.
+//! Local health (Lifeguard): a member that had to refute an update may itself be slow, so it extends its timeouts and
+//! probe intervals until its probes are answered again.
 
 use crate::clock::Millis;
 
-/// The local health score: 0 is healthy.
+/// The local health score: 0 is healthy, `max_score` the least healthy.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LocalHealth {
     score: u32,
@@ -27,8 +27,8 @@
         self.score = (self.score + 1).min(self.max_score);
     }
 
-    /// A timeout or interval, extended by the score.
-    pub fn extended(self, span: Millis) -> Millis {
-        span * f64::from(1 + self.score)
+    /// Returns a timeout or interval multiplied by one plus the score.
+    pub fn extended(self, duration: Millis) -> Millis {
+        duration * f64::from(1 + self.score)
     }
 }
--- a/src/gossip/member.rs
+++ b/src/gossip/member.rs
@@ -1,52 +1,52 @@
-//! What members say about each other.
+//! Members, their status, and the updates that members exchange about each other.
 
 use std::sync::Arc;
 
-/// A member, by the id it draws at its start: a restarted process is a new member.
+/// The id of a member. Each process chooses a new id when it starts, so a restarted process is a new member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MemberId(pub u64);
 
 /// The status of a member. At equal incarnation a later status in this order takes precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum MemberStatus {
-    /// Answers, as far as is known.
+    /// Answers probes, as far as is known.
     Alive,
-    /// Has not answered a probe; it may refute that with a higher incarnation.
+    /// Has not answered a probe. The member can refute the suspicion with a higher incarnation.
     Suspect,
-    /// Declared dead; alive again only with a higher incarnation.
+    /// Declared dead. The member becomes alive again only with a higher incarnation.
     Dead,
-    /// Left by a graceful shutdown; alive again only with a higher incarnation.
+    /// Left in a graceful shutdown. The member becomes alive again only with a higher incarnation.
     Left,
 }
 
 impl MemberStatus {
-    /// Whether the member takes part: alive or suspect.
+    /// Returns whether the member takes part in the fleet, that is, is alive or suspect.
     pub fn is_live(self) -> bool {
         self <= MemberStatus::Suspect
     }
 }
 
-/// An update about a member, as members exchange it.
+/// An update about a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberUpdate {
-    /// The member it is about.
+    /// The member that the update is about.
     pub id: MemberId,
-    /// The address at which the member receives messages.
+    /// Address at which the member receives messages.
     pub address: Arc<str>,
-    /// The member's zone, as its own settings name it.
+    /// The member's zone, from its own settings.
     pub zone: Arc<str>,
-    /// The member's incarnation: a counter that only the member itself raises, to refute an update about it.
+    /// Incarnation of the member: a counter that only the member itself increments, to refute an update about it.
     pub incarnation: u64,
-    /// The member's status.
+    /// Status that the update reports.
     pub status: MemberStatus,
-    /// Who first stated this: the member itself, or for a suspicion the prober. Suspicions of one incarnation by
-    /// different reporters confirm each other.
+    /// The member that first reported this status: the member itself, or the one that suspects it or declares it dead.
+    /// Suspicions of the same incarnation by different reporters confirm each other.
     pub reporter: MemberId,
 }
 
 impl MemberUpdate {
-    /// Whether this update takes precedence over what is known: by a higher incarnation or, at an equal one, a later
-    /// status. The reporter does not count.
+    /// Returns whether this update takes precedence over `known`: by a higher incarnation or, at equal incarnation, by a
+    /// later status. The reporter is not compared.
     pub fn supersedes(&self, known: &MemberUpdate) -> bool {
         (self.incarnation, self.status) > (known.incarnation, known.status)
     }
--- a/src/gossip/message.rs
+++ b/src/gossip/message.rs
@@ -1,4 +1,4 @@
-//! Messages between members.
+//! Messages that members exchange.
 
 use super::member::{MemberId, MemberUpdate};
 
@@ -7,33 +7,34 @@
 pub enum Message {
     /// A probe, answered by [`Message::Ack`] with the same sequence number.
     Ping {
-        /// The prober's sequence number.
+        /// Sequence number of the probe, chosen by the sender.
         sequence: u64,
         /// Piggybacked updates.
         updates: Vec<MemberUpdate>,
     },
-    /// The answer to a probe.
+    /// The response to a probe.
     Ack {
-        /// The sequence number of the probe.
+        /// Sequence number of the probe that it answers.
         sequence: u64,
         /// Piggybacked updates.
         updates: Vec<MemberUpdate>,
     },
-    /// Updates alone, not answered; sent by a member that leaves.
+    /// Updates without a probe; needs no response. Sent by a member that leaves.
     Gossip {
-        /// The updates.
+        /// Updates to disseminate.
         updates: Vec<MemberUpdate>,
     },
-    /// A part of the sender's table, for a full exchange (push-pull): on a join, and at intervals against lost updates.
+    /// A part of the sender's table, for a full exchange (push-pull) when a member joins, and at intervals to repair lost
+    /// updates.
     Sync {
-        /// The receiver is asked to send its own table back.
+        /// Whether the receiver must send its own table back.
         reply_requested: bool,
         /// Updates about the members in this part.
         members: Vec<MemberUpdate>,
     },
-    /// Asks the receiver to probe a member for the sender and to relay the answer.
+    /// Asks the receiver to probe a member on the sender's behalf and to relay its response.
     PingRequest {
-        /// The sender's sequence number, for the relayed answer.
+        /// The sender's sequence number, which the relayed response carries.
         sequence: u64,
         /// The member to probe.
         target: MemberId,
@@ -43,7 +44,7 @@
 }
 
 impl Message {
-    /// All updates that the message carries.
+    /// Returns all updates that the message carries.
     pub(super) fn updates(&self) -> &[MemberUpdate] {
         match self {
             Message::Ping { updates, .. }
--- a/src/gossip/mod.rs
+++ b/src/gossip/mod.rs
@@ -1,14 +1,14 @@
-//! Membership of the aggregators' own fleet, after SWIM and Lifeguard (see `docs/design/gossip.md`). Sans-IO: times
-//! are arguments, randomness comes from a seed, messages are values.
+//! Membership of the fleet of aggregators, based on SWIM and Lifeguard (see `docs/design/gossip.md`). Sans-IO: times are
+//! arguments, random choices come from a seed, and messages are values.
 //!
-//! - [`MemberTable`] keeps what is known of each member: alive, suspect, dead or left, ordered by incarnation. It
-//!   refutes updates about the local member, and its size is bounded.
-//! - [`Detector`] probes members, directly and then through others, suspects those that do not answer, declares them
-//!   dead when a suspicion times out, and disseminates updates on its messages.
-//! - [`DatagramCodec`] encodes and authenticates what travels.
+//! - [`MemberTable`] stores the latest update about each member: alive, suspect, dead or left, ordered by incarnation.
+//!   It refutes updates that report the local member as not alive, and its size is bounded.
+//! - [`Detector`] probes members, first directly and then through other members. It suspects a member that does not
+//!   answer, declares it dead when the suspicion times out, and piggybacks updates on its messages.
+//! - [`DatagramCodec`] encodes, decodes and authenticates datagrams.
 //!
-//! The transport over UDP does not exist yet; its place is `net::gossip`. Terms are those of the SWIM and Lifeguard
-//! papers: "probe" here is the probe of a fellow member, not the health check of a leaf server.
+//! The UDP transport is not implemented yet; it belongs in `net::gossip`. Terms are those of the SWIM and Lifeguard
+//! papers: a "probe" in this module is sent to another aggregator; it is not the health check of a leaf server.
 
 mod counters;
 mod detector;
--- a/src/gossip/probing.rs
+++ b/src/gossip/probing.rs
@@ -1,4 +1,4 @@
-//! Probes: which member is next, the probe in flight, and the probes relayed for others.
+//! Probe state: the order of targets, the probe in flight, and probes relayed for other members.
 
 use super::member::MemberId;
 use super::table::MemberTable;
@@ -14,7 +14,7 @@
     pub sequence: u64,
     pub sent_at: Millis,
     pub acknowledged: bool,
-    /// Other members were asked to probe the target too.
+    /// Whether other members have been asked to probe the target.
     pub indirect: bool,
 }
 
@@ -27,15 +27,15 @@
     sent_at: Millis,
 }
 
-/// State of this member's probes.
+/// State of the probes that the local member sends.
 #[derive(Debug)]
 pub(super) struct Probing {
     pub in_flight: Option<Probe>,
     pub next_probe_at: Millis,
     last_sequence: u64,
-    /// The targets that are left in this round, last first.
-    round: Vec<MemberId>,
-    /// By the sequence number of the relayed probe.
+    /// Targets left to probe in the current round, in reverse order.
+    remaining_targets: Vec<MemberId>,
+    /// Relayed probes by their own sequence number.
     relayed: HashMap<u64, RelayedProbe>,
 }
 
@@ -45,7 +45,7 @@
             in_flight: None,
             next_probe_at,
             last_sequence: 0,
-            round: Vec::new(),
+            remaining_targets: Vec::new(),
             relayed: HashMap::new(),
         }
     }
@@ -57,7 +57,7 @@
         sequence
     }
 
-    /// Starts a probe for another member; returns its sequence number.
+    /// Starts a probe on behalf of another member; returns its sequence number.
     pub fn start_relayed(&mut self, now: Millis, requester: MemberId, requester_sequence: u64) -> u64 {
         let sequence = self.next_sequence();
         self.relayed.insert(sequence, RelayedProbe { requester, requester_sequence, sent_at: now });
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Takes an answer to the probe in flight; returns whether it is the first one to that probe.
+    /// Records a response; returns whether it is the first response to the probe in flight.
     pub fn acknowledge(&mut self, sequence: u64) -> bool {
         match &mut self.in_flight {
             Some(probe) if probe.sequence == sequence && !probe.acknowledged => {
@@ -82,31 +82,32 @@
         }
     }
 
-    /// Ends the relayed probe of this sequence number, if there is one.
+    /// Removes and returns the relayed probe with this sequence number, if there is one.
     pub fn take_relayed(&mut self, sequence: u64) -> Option<RelayedProbe> {
         self.relayed.remove(&sequence)
     }
 
-    /// Drops relayed probes without an answer after this time.
+    /// Removes relayed probes that have not been answered within `timeout`.
     pub fn expire_relayed(&mut self, now: Millis, timeout: Millis) {
         self.relayed.retain(|_, probe| now - probe.sent_at < timeout);
     }
 
-    /// The next member to probe: round robin over the live members, in a new random order for each round (SWIM).
+    /// Returns the next member to probe: round-robin over the live members, in a new random order in each round (SWIM).
+    /// `None` if there is no other live member.
     pub fn next_target(&mut self, table: &MemberTable, random: &mut Pcg64Mcg) -> Option<MemberId> {
         loop {
-            while let Some(id) = self.round.pop() {
+            while let Some(id) = self.remaining_targets.pop() {
                 if table.update(id).is_some_and(|update| update.status.is_live()) {
                     return Some(id);
                 }
             }
-            let mut ids: Vec<MemberId> = table.live_others().map(|update| update.id).collect();
+            let mut ids: Vec<MemberId> = table.live_peers().map(|update| update.id).collect();
             if ids.is_empty() {
                 return None;
             }
             ids.sort();
             shuffle(&mut ids, random);
-            self.round = ids;
+            self.remaining_targets = ids;
         }
     }
 
@@ -116,19 +117,19 @@
     }
 }
 
-/// Fisher-Yates shuffle.
+/// Shuffles the items (Fisher-Yates).
 pub(super) fn shuffle<T>(items: &mut [T], random: &mut Pcg64Mcg) {
     for last in (1..items.len()).rev() {
         items.swap(last, random_index(last + 1, random));
     }
 }
 
-/// A random index below `length`, which is not 0.
+/// Returns a random index below `length`, which must not be 0.
 pub(super) fn random_index(length: usize, random: &mut Pcg64Mcg) -> usize {
     (random.next_u64() % length as u64) as usize
 }
 
-/// A random number, uniform in 0..1.
+/// Returns a random number, uniform in 0..1.
 pub(super) fn uniform(random: &mut Pcg64Mcg) -> f64 {
     (random.next_u64() >> 11) as f64 / (1u64 << 53) as f64
 }
--- a/src/gossip/suspicion.rs
+++ b/src/gossip/suspicion.rs
@@ -1,4 +1,4 @@
-//! Suspicions that have not timed out. Each independent confirmation shortens the timeout (Lifeguard).
+//! Suspicions that have not timed out. Each confirmation by another member shortens the timeout (Lifeguard).
 
 use super::member::{MemberId, MemberStatus, MemberUpdate};
 use super::settings::DetectorSettings;
@@ -7,9 +7,9 @@
 
 #[derive(Debug)]
 struct Suspicion {
-    since: Millis,
+    started_at: Millis,
     incarnation: u64,
-    /// Who reported it, the first reporter included.
+    /// Members that have reported it, including the first.
     reporters: BTreeSet<MemberId>,
 }
 
@@ -20,26 +20,27 @@
     pub incarnation: u64,
 }
 
-/// The suspicions, by suspected member.
+/// The current suspicions, by suspected member.
 #[derive(Debug, Default)]
 pub(super) struct Suspicions {
     by_member: HashMap<MemberId, Suspicion>,
 }
 
 impl Suspicions {
-    /// Starts the suspicion that an update states, or ends the one that it contradicts. The update is in force.
+    /// Follows an update that the table has applied: a suspicion starts a new timeout, any other status ends the
+    /// suspicion of that member.
     pub fn on_applied(&mut self, now: Millis, update: &MemberUpdate) {
         if update.status != MemberStatus::Suspect {
             self.by_member.remove(&update.id);
             return;
         }
         let reporters = BTreeSet::from([update.reporter]);
-        let suspicion = Suspicion { since: now, incarnation: update.incarnation, reporters };
+        let suspicion = Suspicion { started_at: now, incarnation: update.incarnation, reporters };
         self.by_member.insert(update.id, suspicion);
     }
 
-    /// Takes an update that is not new; returns whether it confirms a suspicion by a new reporter. Confirmations beyond
-    /// `max_confirmations` do not count.
+    /// Handles an update that the table already had; returns whether it confirms a suspicion by a new reporter.
+    /// Confirmations beyond `max_confirmations` are ignored.
     pub fn confirm(&mut self, update: &MemberUpdate, max_confirmations: usize) -> bool {
         if update.status != MemberStatus::Suspect {
             return false;
@@ -50,7 +51,7 @@
             && suspicion.reporters.insert(update.reporter)
     }
 
-    /// Removes and returns the suspicions that have timed out, with this number of live members.
+    /// Removes and returns the suspicions that have timed out. The timeout depends on the number of live members.
     pub fn take_expired(
         &mut self,
         now: Millis,
@@ -60,7 +61,7 @@
         let mut expired = Vec::new();
         self.by_member.retain(|member, suspicion| {
             let timeout = suspicion_timeout(settings, live_members, suspicion.reporters.len());
-            let is_expired = now - suspicion.since >= timeout;
+            let is_expired = now - suspicion.started_at >= timeout;
             if is_expired {
                 expired.push(ExpiredSuspicion { member: *member, incarnation: suspicion.incarnation });
             }
@@ -70,7 +71,8 @@
     }
 }
 
-/// The suspicion timeout: from the longest down to the shortest, by the logarithm of the number of reporters.
+/// Returns the suspicion timeout, which falls from the longest to the shortest with the logarithm of the number of
+/// reporters.
 fn suspicion_timeout(settings: &DetectorSettings, live_members: usize, reporters: usize) -> Millis {
     let members = live_members.max(1) as f64;
     let shortest = settings.min_suspicion_factor * members.log10().max(1.0) * settings.probe_interval;
--- a/src/gossip/table.rs
+++ b/src/gossip/table.rs
@@ -1,43 +1,43 @@
-//! The table of members: the latest update about each, and when dead members are forgotten.
+//! The member table: stores the latest update about each member and removes dead members after a retention period.
 
 use super::member::{MemberId, MemberStatus, MemberUpdate};
 use crate::clock::Millis;
 use std::collections::HashMap;
 
-/// A member in the table.
+/// An entry of the member table.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
-    /// The update in force.
+    /// The latest update about the member.
     pub update: MemberUpdate,
-    /// When it came into force.
+    /// When that update was applied.
     pub since: Millis,
 }
 
-/// Bounds of the table.
+/// Limits of the member table.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MemberTableSettings {
-    /// Most members in the table, the local one included. Updates about further members are dropped.
+    /// Maximum number of members in the table, including the local one. Updates about further members are dropped.
     pub max_members: usize,
-    /// How long a dead or left member is remembered. Longer than an update travels, so that a late one does not bring
-    /// the member back.
-    pub forget_after: Millis,
+    /// Time for which a dead or left member stays in the table. It must exceed the time that an update takes to reach all
+    /// members; otherwise a late update adds the member again.
+    pub dead_retention: Millis,
 }
 
-/// What became of an update.
+/// The result of [`MemberTable::apply`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ApplyResult {
-    /// It is in force now and must be disseminated.
+    /// The update was applied and must be disseminated.
     Applied,
-    /// It is already known, or superseded.
+    /// The update was ignored because it is already known or superseded.
     Stale,
-    /// It stated that the local member is not alive. The local member has raised its incarnation; its own update
+    /// The update reported the local member as not alive. The local member has raised its incarnation, and its own update
     /// ([`MemberTable::local`]) must be disseminated.
     Refuted,
-    /// It is about a new member, and the table is full.
+    /// The update is about a new member and was dropped because the table is full.
     TableFull,
 }
 
-/// The members that one aggregator knows, itself included.
+/// The members that one aggregator has received updates about, and the aggregator itself.
 #[derive(Debug)]
 pub struct MemberTable {
     settings: MemberTableSettings,
@@ -46,7 +46,7 @@
 }
 
 impl MemberTable {
-    /// A table with the local member alone, which is alive.
+    /// Creates a table that contains only the local member, with status alive.
     pub fn new(settings: MemberTableSettings, local: MemberUpdate, now: Millis) -> Self {
         let local_id = local.id;
         let update = MemberUpdate { status: MemberStatus::Alive, ..local };
@@ -54,52 +54,52 @@
         MemberTable { settings, local_id, members }
     }
 
-    /// The update in force about the local member.
+    /// Returns the latest update about the local member.
     pub fn local(&self) -> &MemberUpdate {
         &self.members[&self.local_id].update
     }
 
-    /// A member.
+    /// Returns a member's entry, or `None` if the member is not in the table.
     pub fn get(&self, id: MemberId) -> Option<&Member> {
         self.members.get(&id)
     }
 
-    /// The update in force about a member.
+    /// Returns the latest update about a member, or `None` if the member is not in the table.
     pub fn update(&self, id: MemberId) -> Option<&MemberUpdate> {
         self.members.get(&id).map(|member| &member.update)
     }
 
-    /// All members, including the dead and left ones that are not forgotten yet.
+    /// Returns all members, including dead and left ones within the retention period, in no particular order.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// The updates about the live members other than the local one.
-    pub fn live_others(&self) -> impl Iterator<Item = &MemberUpdate> {
+    /// Returns the latest updates about live members other than the local one.
+    pub fn live_peers(&self) -> impl Iterator<Item = &MemberUpdate> {
         self.members().map(|member| &member.update).filter(|update| {
             let is_local = update.id == self.local_id;
             !is_local && update.status.is_live()
         })
     }
 
-    /// Number of live members, the local one included.
+    /// Returns the number of live members, including the local one.
     pub fn live_count(&self) -> usize {
         self.members.values().filter(|member| member.update.status.is_live()).count()
     }
 
-    /// Applies an update if it supersedes what is known.
+    /// Applies an update if it supersedes the latest one about the same member.
     pub fn apply(&mut self, now: Millis, update: MemberUpdate) -> ApplyResult {
         if update.id == self.local_id {
             return self.apply_to_local(now, &update);
         }
-        let full = self.members.len() >= self.settings.max_members;
+        let is_full = self.members.len() >= self.settings.max_members;
         match self.members.get_mut(&update.id) {
             Some(known) if update.supersedes(&known.update) => {
                 *known = Member { update, since: now };
                 ApplyResult::Applied
             }
             Some(_) => ApplyResult::Stale,
-            None if full => ApplyResult::TableFull,
+            None if is_full => ApplyResult::TableFull,
             None => {
                 self.members.insert(update.id, Member { update, since: now });
                 ApplyResult::Applied
@@ -128,13 +128,13 @@
         local.update.clone()
     }
 
-    /// Removes the members that have been dead or left for long; returns how many.
-    pub fn forget_dead(&mut self, now: Millis) -> usize {
+    /// Removes members that have been dead or left for the retention period; returns their number.
+    pub fn remove_dead(&mut self, now: Millis) -> usize {
         let before = self.members.len();
         let local_id = self.local_id;
-        let forget_after = self.settings.forget_after;
+        let dead_retention = self.settings.dead_retention;
         self.members.retain(|id, member| {
-            *id == local_id || member.update.status.is_live() || now - member.since < forget_after
+            *id == local_id || member.update.status.is_live() || now - member.since < dead_retention
         });
         before - self.members.len()
     }
--- a/src/gossip/wire/decode.rs
+++ b/src/gossip/wire/decode.rs
@@ -1,10 +1,10 @@
-//! Bytes to datagrams.
+//! Decodes datagrams from bytes.
 
 use super::{Datagram, Message, Packet, WireError, kind};
 use crate::gossip::member::{MemberId, MemberStatus, MemberUpdate};
 use std::sync::Arc;
 
-/// Decodes what stands between the header and the tag.
+/// Decodes the bytes between the header and the tag.
 pub(super) fn decode_body(kind: u8, bytes: &[u8]) -> Result<Datagram, WireError> {
     let mut reader = Reader { remaining: bytes };
     let recipient = MemberId(reader.u64()?);
@@ -49,10 +49,10 @@
         self.array().map(u64::from_be_bytes)
     }
 
-    fn text(&mut self) -> Result<Arc<str>, WireError> {
+    fn string(&mut self) -> Result<Arc<str>, WireError> {
         let length = usize::from(self.u8()?);
-        let text = std::str::from_utf8(self.bytes(length)?).map_err(|_| WireError::InvalidUtf8)?;
-        Ok(text.into())
+        let string = std::str::from_utf8(self.bytes(length)?).map_err(|_| WireError::InvalidUtf8)?;
+        Ok(string.into())
     }
 
     fn status(&mut self) -> Result<MemberStatus, WireError> {
@@ -65,44 +65,47 @@
         }
     }
 
-    /// The fields are read in the order in which they are written here.
+    /// Struct fields are evaluated, and so read, in the order in which they are listed here.
     fn update(&mut self) -> Result<MemberUpdate, WireError> {
         Ok(MemberUpdate {
             id: MemberId(self.u64()?),
             incarnation: self.u64()?,
             status: self.status()?,
             reporter: MemberId(self.u64()?),
-            address: self.text()?,
-            zone: self.text()?,
+            address: self.string()?,
+            zone: self.string()?,
         })
     }
 
-    fn list(&mut self) -> Result<Vec<MemberUpdate>, WireError> {
+    fn update_list(&mut self) -> Result<Vec<MemberUpdate>, WireError> {
         let count = self.u8()?;
         (0..count).map(|_| self.update()).collect()
     }
 
-    /// The fields of each kind are read in the order in which they are written here.
+    /// The fields of each kind are evaluated, and so read, in the order in which they are listed here.
     fn packet(&mut self, kind: u8) -> Result<Packet, WireError> {
         let packet = match kind {
-            kind::PING => Packet::Member(Message::Ping { sequence: self.u64()?, updates: self.list()? }),
-            kind::ACK => Packet::Member(Message::Ack { sequence: self.u64()?, updates: self.list()? }),
-            kind::GOSSIP => Packet::Member(Message::Gossip { updates: self.list()? }),
+            kind::PING => {
+                Packet::Member(Message::Ping { sequence: self.u64()?, updates: self.update_list()? })
+            }
+            kind::ACK => Packet::Member(Message::Ack { sequence: self.u64()?, updates: self.update_list()? }),
+            kind::GOSSIP => Packet::Member(Message::Gossip { updates: self.update_list()? }),
             kind::PING_REQUEST => Packet::Member(Message::PingRequest {
                 sequence: self.u64()?,
                 target: MemberId(self.u64()?),
-                updates: self.list()?,
+                updates: self.update_list()?,
+            }),
+            kind::SYNC => Packet::Member(Message::Sync {
+                reply_requested: self.u8()? != 0,
+                members: self.update_list()?,
             }),
-            kind::SYNC => {
-                Packet::Member(Message::Sync { reply_requested: self.u8()? != 0, members: self.list()? })
-            }
             kind::TABLE_REQUEST => Packet::TableRequest { sequence: self.u64()? },
             kind::TABLE_REPLY => Packet::TableReply {
                 sequence: self.u64()?,
                 part: self.u16()?,
                 parts: self.u16()?,
                 local_health: self.u32()?,
-                members: self.list()?,
+                members: self.update_list()?,
             },
             unknown => return Err(WireError::UnknownKind(unknown)),
         };
--- a/src/gossip/wire/encode.rs
+++ b/src/gossip/wire/encode.rs
@@ -1,12 +1,12 @@
-//! Datagrams to bytes.
+//! Encodes datagrams to bytes.
 
 use super::{Datagram, MAGIC, Message, Packet, VERSION, WireError, kind};
 use crate::gossip::member::{MemberStatus, MemberUpdate};
 
-/// Enough for most datagrams.
+/// Initial capacity of the buffer, in bytes; enough for most datagrams.
 const INITIAL_CAPACITY: usize = 256;
 
-/// All bytes of a datagram but the tag.
+/// Encodes a datagram without its tag.
 pub(super) fn encode_body(datagram: &Datagram) -> Result<Vec<u8>, WireError> {
     let mut writer = Writer { bytes: Vec::with_capacity(INITIAL_CAPACITY) };
     writer.bytes.extend_from_slice(MAGIC);
@@ -22,7 +22,7 @@
             writer.u16(*part);
             writer.u16(*parts);
             writer.u32(*local_health);
-            writer.list(members)?;
+            writer.update_list(members)?;
         }
     }
     Ok(writer.bytes)
@@ -61,9 +61,9 @@
         self.bytes.extend_from_slice(&value.to_be_bytes());
     }
 
-    fn text(&mut self, text: &str) -> Result<(), WireError> {
-        self.u8(u8::try_from(text.len()).map_err(|_| WireError::TooLarge(text.len()))?);
-        self.bytes.extend_from_slice(text.as_bytes());
+    fn string(&mut self, value: &str) -> Result<(), WireError> {
+        self.u8(u8::try_from(value.len()).map_err(|_| WireError::TooLarge(value.len()))?);
+        self.bytes.extend_from_slice(value.as_bytes());
         Ok(())
     }
 
@@ -77,11 +77,11 @@
             MemberStatus::Left => 3,
         });
         self.u64(update.reporter.0);
-        self.text(&update.address)?;
-        self.text(&update.zone)
+        self.string(&update.address)?;
+        self.string(&update.zone)
     }
 
-    fn list(&mut self, updates: &[MemberUpdate]) -> Result<(), WireError> {
+    fn update_list(&mut self, updates: &[MemberUpdate]) -> Result<(), WireError> {
         self.u8(u8::try_from(updates.len()).map_err(|_| WireError::TooLarge(updates.len()))?);
         for update in updates {
             self.update(update)?;
@@ -93,17 +93,17 @@
         match message {
             Message::Ping { sequence, updates } | Message::Ack { sequence, updates } => {
                 self.u64(*sequence);
-                self.list(updates)
+                self.update_list(updates)
             }
-            Message::Gossip { updates } => self.list(updates),
+            Message::Gossip { updates } => self.update_list(updates),
             Message::PingRequest { sequence, target, updates } => {
                 self.u64(*sequence);
                 self.u64(target.0);
-                self.list(updates)
+                self.update_list(updates)
             }
             Message::Sync { reply_requested, members } => {
                 self.u8(u8::from(*reply_requested));
-                self.list(members)
+                self.update_list(members)
             }
         }
     }
--- a/src/gossip/wire/mod.rs
+++ b/src/gossip/wire/mod.rs
@@ -1,14 +1,14 @@
-//! Datagrams between members: a binary form, bounded in size, authenticated with the fleet's key.
+//! The binary format of datagrams between members, bounded in size and authenticated with the fleet's key.
 //!
 //! ```text
 //! "SMG" version:u8 kind:u8 recipient:u64 sender:Update body... tag:[u8; 16]
-//! Update = id:u64 incarnation:u64 status:u8 reporter:u64 address:Text zone:Text
-//! Text   = length:u8 bytes (UTF-8)
+//! Update = id:u64 incarnation:u64 status:u8 reporter:u64 address:String zone:String
+//! String = length:u8 bytes (UTF-8)
 //! List   = count:u8 Update...
 //! ```
 //!
-//! Integers are big-endian. The tag is the first 16 bytes of an HMAC-SHA256 over all bytes before it. Sans-IO: bytes
-//! in, values out.
+//! Integers are big-endian. The tag is the first 16 bytes of an HMAC-SHA256 over all bytes before it. Sans-IO: the
+//! codec converts between bytes and values and does no input or output.
 
 mod authentication;
 mod decode;
@@ -23,14 +23,14 @@
 
 const MAGIC: &[u8; 3] = b"SMG";
 const VERSION: u8 = 1;
-/// Bytes before the body: magic, version and kind.
+/// Length of the header: magic bytes, version and kind.
 const HEADER_BYTES: usize = MAGIC.len() + 2;
-/// The shortest update: two empty texts.
+/// Length of the shortest update, with an empty address and an empty zone.
 const MIN_UPDATE_BYTES: usize = 8 + 8 + 1 + 8 + 1 + 1;
-/// The shortest datagram: header, recipient, the shortest update, tag.
+/// Length of the shortest datagram: header, recipient, the shortest update and the tag.
 const MIN_DATAGRAM_BYTES: usize = HEADER_BYTES + 8 + MIN_UPDATE_BYTES + TAG_BYTES;
 
-/// The kind of a packet, as the byte in the header.
+/// Packet kinds, as encoded in the header.
 mod kind {
     pub const PING: u8 = 1;
     pub const ACK: u8 = 2;
@@ -46,22 +46,23 @@
 pub enum Packet {
     /// A message between members.
     Member(Message),
-    /// An operator's tool asks for the table. The sender's update is a placeholder, since the tool is no member.
+    /// A request for the member table by an operator's tool. The sender's update is a placeholder, because the tool is
+    /// not a member.
     TableRequest {
-        /// The tool's sequence number, returned in the reply.
+        /// Sequence number chosen by the tool, returned in the reply.
         sequence: u64,
     },
     /// A part of the reply to a table request.
     TableReply {
-        /// The sequence number of the request.
+        /// Sequence number of the request.
         sequence: u64,
-        /// The number of this part, from 0.
+        /// Index of this part, from 0.
         part: u16,
-        /// Number of parts.
+        /// Total number of parts of the reply.
         parts: u16,
         /// The sender's local health score.
         local_health: u32,
-        /// Members as the sender knows them, itself included.
+        /// Members in the sender's table, including the sender.
         members: Vec<MemberUpdate>,
     },
 }
@@ -69,55 +70,55 @@
 /// A decoded datagram.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Datagram {
-    /// The intended receiver; 0 for whoever listens at the address, as for a join. A process restarted at an old
-    /// address thus does not answer for the old one.
+    /// Id of the intended receiver; 0 addresses whichever member listens at the address, as in a join. The id keeps a
+    /// process restarted at the same address from answering for its predecessor.
     pub recipient: MemberId,
     /// The sender's update about itself.
     pub sender: MemberUpdate,
-    /// The content.
+    /// Content of the datagram.
     pub packet: Packet,
 }
 
-/// Why a datagram could not be decoded or encoded.
+/// The reason why a datagram cannot be encoded or decoded, or a codec cannot be created.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WireError {
-    /// The key has less than [`MIN_KEY_BYTES`] bytes.
+    /// The key is shorter than [`MIN_KEY_BYTES`].
     KeyTooShort,
-    /// It ends within a field.
+    /// The datagram ends within a field, or is shorter than the shortest valid one.
     Truncated,
-    /// It does not begin with the magic bytes.
+    /// The datagram does not begin with the magic bytes.
     WrongMagic,
-    /// It has a version that this program does not read.
+    /// The datagram's version is not supported; holds that version.
     UnsupportedVersion(u8),
-    /// Its kind does not exist.
+    /// The packet kind is not defined; holds its byte.
     UnknownKind(u8),
-    /// A member's status does not exist.
+    /// A member's status is not defined; holds its byte.
     UnknownStatus(u8),
-    /// A text is not UTF-8.
+    /// A string is not valid UTF-8.
     InvalidUtf8,
-    /// Bytes follow its last field.
+    /// Bytes follow the last field.
     TrailingBytes,
-    /// The tag does not match: another key, or changed bytes.
+    /// The tag does not match: the sender uses another key, or the bytes were changed.
     AuthenticationFailed,
-    /// It is longer than the bound, or a list or text is longer than its length field allows; the length.
+    /// The datagram exceeds the size limit, or a list or string is longer than its length field allows; holds the length.
     TooLarge(usize),
 }
 
 impl fmt::Display for WireError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::KeyTooShort => write!(f, "the key has less than {MIN_KEY_BYTES} bytes"),
-            Self::Truncated => write!(f, "the datagram ends within a field"),
-            Self::WrongMagic => write!(f, "the datagram is not a member's"),
+            Self::KeyTooShort => write!(f, "the key is shorter than {MIN_KEY_BYTES} bytes"),
+            Self::Truncated => write!(f, "the datagram is truncated"),
+            Self::WrongMagic => write!(f, "the datagram does not begin with the magic bytes"),
             Self::UnsupportedVersion(version) => {
-                write!(f, "version {version} is not read here (only {VERSION})")
+                write!(f, "unsupported version {version} (supported: {VERSION})")
             }
-            Self::UnknownKind(kind) => write!(f, "there is no kind {kind}"),
-            Self::UnknownStatus(status) => write!(f, "there is no status {status}"),
-            Self::InvalidUtf8 => write!(f, "a name is not UTF-8"),
-            Self::TrailingBytes => write!(f, "bytes follow the last field"),
-            Self::AuthenticationFailed => write!(f, "the tag does not match the key"),
-            Self::TooLarge(length) => write!(f, "{length} bytes or items are beyond the bound"),
+            Self::UnknownKind(kind) => write!(f, "unknown packet kind {kind}"),
+            Self::UnknownStatus(status) => write!(f, "unknown member status {status}"),
+            Self::InvalidUtf8 => write!(f, "a string is not valid UTF-8"),
+            Self::TrailingBytes => write!(f, "unexpected bytes after the last field"),
+            Self::AuthenticationFailed => write!(f, "authentication failed: the tag does not match"),
+            Self::TooLarge(length) => write!(f, "too large: {length} bytes or items exceed the limit"),
         }
     }
 }
@@ -133,7 +134,7 @@
 
 impl fmt::Debug for DatagramCodec {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        // Without the key.
+        // The key is left out, so that it cannot reach a log.
         f.debug_struct("DatagramCodec")
             .field("max_datagram_bytes", &self.max_datagram_bytes)
             .finish_non_exhaustive()
@@ -141,10 +142,11 @@
 }
 
 impl DatagramCodec {
-    /// A codec for datagrams of at most `max_datagram_bytes`, or of the least possible bound if that is larger.
+    /// Creates a codec for datagrams of at most `max_datagram_bytes`. A value below the length of the shortest datagram is
+    /// raised to that length.
     ///
     /// # Errors
-    /// [`WireError::KeyTooShort`].
+    /// [`WireError::KeyTooShort`] if the key has fewer than [`MIN_KEY_BYTES`] bytes.
     pub fn new(key: &[u8], max_datagram_bytes: usize) -> Result<Self, WireError> {
         Ok(DatagramCodec {
             authenticator: Authenticator::new(key)?,
@@ -152,15 +154,15 @@
         })
     }
 
-    /// Most bytes of a datagram.
+    /// Returns the maximum length of a datagram, in bytes, including the tag.
     pub fn max_datagram_bytes(&self) -> usize {
         self.max_datagram_bytes
     }
 
-    /// Encodes a datagram.
+    /// Encodes a datagram and appends its tag.
     ///
     /// # Errors
-    /// [`WireError::TooLarge`].
+    /// [`WireError::TooLarge`] if the datagram, a list or a string exceeds its limit.
     pub fn encode(&self, datagram: &Datagram) -> Result<Vec<u8>, WireError> {
         let mut bytes = encode::encode_body(datagram)?;
         let tag = self.authenticator.tag(&bytes);
@@ -174,7 +176,7 @@
     /// Authenticates and decodes a datagram.
     ///
     /// # Errors
-    /// What is wrong with it; nothing of it is returned then.
+    /// The datagram is malformed, not authentic or too large.
     pub fn decode(&self, bytes: &[u8]) -> Result<Datagram, WireError> {
         if bytes.len() > self.max_datagram_bytes {
             return Err(WireError::TooLarge(bytes.len()));
--- a/tests/gossip.rs
+++ b/tests/gossip.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use sailmux::gossip::{ApplyResult, MemberId, MemberStatus, MemberTable, MemberTableSettings, MemberUpdate};
 
-const SETTINGS: MemberTableSettings = MemberTableSettings { max_members: 64, forget_after: 30_000.0 };
+const SETTINGS: MemberTableSettings = MemberTableSettings { max_members: 64, dead_retention: 30_000.0 };
 
 fn update(id: u64, incarnation: u64, status: MemberStatus) -> MemberUpdate {
     MemberUpdate {
@@ -16,13 +16,13 @@
     }
 }
 
-/// A table whose local member is 0.
+/// A table whose local member has id 0.
 fn new_table() -> MemberTable {
     MemberTable::new(SETTINGS, update(0, 0, MemberStatus::Alive), 0.0)
 }
 
-/// Incarnation and status of a member.
-fn held(table: &MemberTable, id: u64) -> Option<(u64, MemberStatus)> {
+/// The incarnation and status that the table has for a member.
+fn incarnation_and_status(table: &MemberTable, id: u64) -> Option<(u64, MemberStatus)> {
     table.update(MemberId(id)).map(|update| (update.incarnation, update.status))
 }
 
@@ -54,8 +54,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, ..ProptestConfig::default() })]
 
-    /// Tables that receive the same updates in any order agree on every other member: the highest incarnation and, at
-    /// equal incarnation, the latest status.
+    /// Tables that receive the same updates in any order agree on every member but the local one: the highest
+    /// incarnation wins and, at equal incarnation, the later status.
     #[test]
     fn any_order_of_the_same_updates_gives_the_same_table(updates in updates(), seed in any::<u64>()) {
         let mut in_order = new_table();
@@ -69,36 +69,36 @@
         for id in 1..6 {
             let about_member = updates.iter().filter(|update| update.id == MemberId(id));
             let expected = about_member.map(|update| (update.incarnation, update.status)).max();
-            prop_assert_eq!(held(&in_order, id), expected);
-            prop_assert_eq!(held(&out_of_order, id), expected);
+            prop_assert_eq!(incarnation_and_status(&in_order, id), expected);
+            prop_assert_eq!(incarnation_and_status(&out_of_order, id), expected);
         }
     }
 
-    /// A dead or left member is not brought back by updates of its incarnation or an older one.
+    /// Updates of the same or an older incarnation do not make a dead or left member live again.
     #[test]
-    fn no_old_update_brings_back_the_dead(
+    fn no_old_update_revives_a_dead_member(
         incarnation in 0u64..10,
         final_status in prop_oneof![Just(MemberStatus::Dead), Just(MemberStatus::Left)],
         late_updates in prop::collection::vec((0u64..10, status()), 0..30),
     ) {
         let mut table = new_table();
         table.apply(0.0, update(1, incarnation, final_status));
-        let mut seen_newer = false;
+        let mut received_newer = false;
         for (late_incarnation, status) in late_updates {
             let result = table.apply(1.0, update(1, late_incarnation, status));
-            seen_newer |= late_incarnation > incarnation;
-            let now = table.update(MemberId(1)).expect("in the table").status;
+            received_newer |= late_incarnation > incarnation;
+            let current = table.update(MemberId(1)).expect("in the table").status;
             prop_assert!(
-                seen_newer || now >= MemberStatus::Dead,
-                "{:?} at {} brought it back: {:?}", status, late_incarnation, result
+                received_newer || current >= MemberStatus::Dead,
+                "{:?} at incarnation {} revived the member: {:?}", status, late_incarnation, result
             );
         }
     }
 
-    /// Whatever is said about the local member, it stays alive, with an incarnation above that of every suspicion or
-    /// death it has received.
+    /// Whatever updates arrive about the local member, it stays alive, with an incarnation above that of every update
+    /// that reported it as suspect, dead or left.
     #[test]
-    fn the_local_member_refutes_updates_about_it(
+    fn the_local_member_refutes_updates_about_itself(
         received in prop::collection::vec((0u64..8, status()), 1..30),
     ) {
         let mut table = new_table();
@@ -124,7 +124,7 @@
     assert_eq!(table.apply(5.0, suspicion.clone()), ApplyResult::Refuted);
     assert_eq!(table.local().incarnation, 1);
     assert_eq!(table.local().status, MemberStatus::Alive);
-    // The refutation supersedes the suspicion at every member.
+    // The refutation supersedes the suspicion at all members.
     assert!(table.local().supersedes(&suspicion));
     // An old suspicion that arrives late changes nothing.
     assert_eq!(table.apply(6.0, suspicion), ApplyResult::Stale);
@@ -139,31 +139,31 @@
     assert_eq!(table.apply(0.0, old), ApplyResult::Applied);
     assert_eq!(table.apply(1.0, update(1, 3, MemberStatus::Dead)), ApplyResult::Applied);
     assert_eq!(table.apply(2.0, new), ApplyResult::Applied);
-    assert_eq!(held(&table, 1), Some((3, MemberStatus::Dead)));
-    assert_eq!(held(&table, 2), Some((0, MemberStatus::Alive)));
+    assert_eq!(incarnation_and_status(&table, 1), Some((3, MemberStatus::Dead)));
+    assert_eq!(incarnation_and_status(&table, 2), Some((0, MemberStatus::Alive)));
     assert_eq!(table.live_count(), 2);
 }
 
-/// Ten thousand members join, die and are forgotten: the table never exceeds its bound, and keeps only live and
-/// recently dead members.
+/// Ten thousand members join and are declared dead: the table never exceeds its limit, and keeps only live and recently
+/// dead members.
 #[test]
-fn the_table_is_bounded_whatever_the_number_of_ids_ever_seen() {
+fn the_table_stays_within_its_limit_for_any_number_of_ids() {
     let mut table = new_table();
     let mut rejected = 0;
-    let mut most_members = 0;
+    let mut max_member_count = 0;
     for id in 1..10_000u64 {
         let now = id as f64 * 100.0;
         if table.apply(now, update(id, 0, MemberStatus::Alive)) == ApplyResult::TableFull {
             rejected += 1;
         }
         table.apply(now, update(id, 0, MemberStatus::Dead));
-        table.forget_dead(now);
-        most_members = most_members.max(table.members().count());
+        table.remove_dead(now);
+        max_member_count = max_member_count.max(table.members().count());
     }
-    // The dead of 30 s, one in 100 ms, would be 300: the table rejects what exceeds its bound.
+    // One death per 100 ms and a retention of 30 s would need 300 entries; the table rejects those beyond its limit.
     assert!(rejected > 0);
-    assert_eq!(most_members, SETTINGS.max_members);
-    table.forget_dead(1e9);
+    assert_eq!(max_member_count, SETTINGS.max_members);
+    table.remove_dead(1e9);
     assert_eq!(table.members().count(), 1);
     assert_eq!(table.live_count(), 1);
 }
@@ -171,8 +171,8 @@
 #[test]
 fn a_member_that_left_does_not_refute() {
     let mut table = new_table();
-    let update_to_send = table.leave(3.0);
-    assert_eq!(update_to_send.status, MemberStatus::Left);
+    let leave_update = table.leave(3.0);
+    assert_eq!(leave_update.status, MemberStatus::Left);
     assert_eq!(table.apply(4.0, update(0, 5, MemberStatus::Dead)), ApplyResult::Stale);
     assert_eq!(table.local().status, MemberStatus::Left);
 }
--- a/tests/gossip_model.rs
+++ b/tests/gossip_model.rs
@@ -1,19 +1,19 @@
-//! The rules of suspicion and refutation, checked over every interleaving by the very table that runs
-//! (`sailmux::gossip::MemberTable`): one subject, two others that may suspect it and declare it dead, and a network that
-//! loses, repeats and reorders news as it likes.
+//! Model check of suspicion and refutation over every interleaving, on the production member table
+//! (`sailmux::gossip::MemberTable`): one subject, two observers that may suspect it and declare it dead, and a network
+//! that may lose, duplicate and reorder any update.
 
 use sailmux::gossip::{MemberId, MemberStatus, MemberTable, MemberTableSettings, MemberUpdate};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
-const SETTINGS: MemberTableSettings = MemberTableSettings { max_members: 8, forget_after: 1e12 };
-/// Incarnations are bounded, so that the number of states is finite.
+const SETTINGS: MemberTableSettings = MemberTableSettings { max_members: 8, dead_retention: 1e12 };
+/// Limit on incarnations that keeps the number of states finite.
 const MAX_INCARNATION: u64 = 2;
 const OBSERVERS: usize = 2;
 
-/// What an update states about the subject, as far as precedence counts.
+/// The fields of an update about the subject that determine precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-struct Statement {
+struct SubjectState {
     incarnation: u64,
     status: MemberStatus,
 }
@@ -22,46 +22,46 @@
 struct State {
     /// The subject's own incarnation.
     subject_incarnation: u64,
-    /// What each observer holds of the subject.
-    views: [Statement; OBSERVERS],
-    /// All updates about the subject ever sent: each may arrive repeatedly and in any order, or never.
-    sent: BTreeSet<Statement>,
+    /// The subject's state in each observer's table.
+    views: [SubjectState; OBSERVERS],
+    /// All updates about the subject sent so far; each may arrive never, once or repeatedly, in any order.
+    sent: BTreeSet<SubjectState>,
     declared_dead: bool,
-    a_view_went_back: bool,
+    a_view_regressed: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Step {
-    /// The subject does not answer a probe of an observer.
+    /// The subject does not answer an observer's probe.
     Suspect(usize),
     /// An observer's suspicion times out.
     DeclareDead(usize),
     /// The subject sends its own update.
     Publish,
     /// An update arrives at an observer.
-    DeliverToObserver(Statement, usize),
+    DeliverToObserver(SubjectState, usize),
     /// An update arrives at the subject.
-    DeliverToSubject(Statement),
+    DeliverToSubject(SubjectState),
 }
 
-struct Rules {
-    /// The subject publishes the incarnation by which it refutes; otherwise the one it began with.
+struct SuspicionModel {
+    /// Whether the subject publishes the incarnation raised by refutation; otherwise it publishes its initial one.
     refutes: bool,
 }
 
-fn update(statement: Statement, reporter: u64) -> MemberUpdate {
+fn update(subject: SubjectState, reporter: u64) -> MemberUpdate {
     MemberUpdate {
         id: MemberId(0),
         address: "127.0.0.1:7000".into(),
         zone: "a".into(),
-        incarnation: statement.incarnation,
-        status: statement.status,
+        incarnation: subject.incarnation,
+        status: subject.status,
         reporter: MemberId(reporter),
     }
 }
 
-fn alive(incarnation: u64) -> Statement {
-    Statement { incarnation, status: MemberStatus::Alive }
+fn alive(incarnation: u64) -> SubjectState {
+    SubjectState { incarnation, status: MemberStatus::Alive }
 }
 
 fn observer_update(observer: usize) -> MemberUpdate {
@@ -69,23 +69,23 @@
     MemberUpdate { id: MemberId(id), ..update(alive(0), id) }
 }
 
-/// What the table of an observer holds of the subject after an update.
-fn view_after(view: Statement, observer: usize, received: Statement) -> Statement {
+/// Returns the subject's state in an observer's table after an update.
+fn view_after(view: SubjectState, observer: usize, received: SubjectState) -> SubjectState {
     let mut table = MemberTable::new(SETTINGS, observer_update(observer), 0.0);
     table.apply(0.0, update(view, 0));
     table.apply(1.0, update(received, 0));
-    let held = table.update(MemberId(0)).expect("in the table");
-    Statement { incarnation: held.incarnation, status: held.status }
+    let current = table.update(MemberId(0)).expect("in the table");
+    SubjectState { incarnation: current.incarnation, status: current.status }
 }
 
-/// The subject's incarnation after an update.
-fn incarnation_after(incarnation: u64, received: Statement) -> u64 {
+/// Returns the subject's incarnation after it has received an update.
+fn incarnation_after(incarnation: u64, received: SubjectState) -> u64 {
     let mut table = MemberTable::new(SETTINGS, update(alive(incarnation), 0), 0.0);
     table.apply(1.0, update(received, 1));
     table.local().incarnation.min(MAX_INCARNATION + 1)
 }
 
-impl Model for Rules {
+impl Model for SuspicionModel {
     type State = State;
     type Action = Step;
 
@@ -95,7 +95,7 @@
             views: [alive(0); OBSERVERS],
             sent: BTreeSet::new(),
             declared_dead: false,
-            a_view_went_back: false,
+            a_view_regressed: false,
         }]
     }
 
@@ -110,11 +110,11 @@
             }
         }
         actions.push(Step::Publish);
-        for statement in &state.sent {
+        for update in &state.sent {
             for observer in 0..OBSERVERS {
-                actions.push(Step::DeliverToObserver(*statement, observer));
+                actions.push(Step::DeliverToObserver(*update, observer));
             }
-            actions.push(Step::DeliverToSubject(*statement));
+            actions.push(Step::DeliverToSubject(*update));
         }
     }
 
@@ -130,12 +130,12 @@
                 let incarnation = if self.refutes { state.subject_incarnation } else { 0 };
                 state.sent.insert(alive(incarnation));
             }
-            Step::DeliverToSubject(statement) => {
-                state.subject_incarnation = incarnation_after(state.subject_incarnation, statement);
+            Step::DeliverToSubject(received) => {
+                state.subject_incarnation = incarnation_after(state.subject_incarnation, received);
             }
-            Step::DeliverToObserver(statement, observer) => {
-                let after = view_after(state.views[observer], observer, statement);
-                state.a_view_went_back |= after < state.views[observer];
+            Step::DeliverToObserver(received, observer) => {
+                let after = view_after(state.views[observer], observer, received);
+                state.a_view_regressed |= after < state.views[observer];
                 state.views[observer] = after;
             }
         }
@@ -144,13 +144,13 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always(VIEWS_NEVER_GO_BACK, |_, state: &State| !state.a_view_went_back),
+            Property::always(VIEWS_NEVER_REGRESS, |_, state: &State| !state.a_view_regressed),
             Property::always(ALIVE_ONLY_AS_PUBLISHED, |_, state: &State| {
                 state.views.iter().all(|view| {
                     view.status != MemberStatus::Alive || view.incarnation == 0 || state.sent.contains(view)
                 })
             }),
-            Property::sometimes(DEAD_IS_ALIVE_AGAIN, |_, state: &State| {
+            Property::sometimes(DEAD_SUBJECT_IS_ALIVE_AGAIN, |_, state: &State| {
                 state.declared_dead && state.views.iter().all(|view| view.status == MemberStatus::Alive)
             }),
         ]
@@ -158,30 +158,31 @@
 }
 
 impl State {
-    /// An observer applies and sends a report of its own about the subject.
+    /// An observer applies and sends its own update about the subject.
     fn report(&mut self, observer: usize, status: MemberStatus) {
-        let report = Statement { incarnation: self.views[observer].incarnation, status };
+        let report = SubjectState { incarnation: self.views[observer].incarnation, status };
         self.views[observer] = view_after(self.views[observer], observer, report);
         self.sent.insert(report);
     }
 }
 
-const VIEWS_NEVER_GO_BACK: &str = "what an observer holds of the subject never goes back in precedence";
+const VIEWS_NEVER_REGRESS: &str = "the subject's state in an observer's table never decreases in precedence";
 const ALIVE_ONLY_AS_PUBLISHED: &str =
-    "an observer holds the subject alive only at an incarnation that the subject published";
-const DEAD_IS_ALIVE_AGAIN: &str = "a subject declared dead is held alive by all observers again";
+    "an observer has the subject as alive only at an incarnation that the subject published";
+const DEAD_SUBJECT_IS_ALIVE_AGAIN: &str =
+    "all observers have a subject that was declared dead as alive again";
 
 #[test]
-fn suspicions_and_deaths_are_refuted_and_never_undone_by_old_updates() {
-    let checker = Rules { refutes: true }.checker().spawn_bfs().join();
-    println!("{} states, {} of them distinct", checker.state_count(), checker.unique_state_count());
+fn refuted_suspicions_and_deaths_are_not_restored_by_old_updates() {
+    let checker = SuspicionModel { refutes: true }.checker().spawn_bfs().join();
+    println!("{} states, {} of them unique", checker.state_count(), checker.unique_state_count());
     checker.assert_properties();
 }
 
 #[test]
-fn without_refutation_the_dead_stay_dead() {
-    let checker = Rules { refutes: false }.checker().spawn_bfs().join();
-    println!("{} states, {} of them distinct", checker.state_count(), checker.unique_state_count());
-    assert!(checker.discovery(DEAD_IS_ALIVE_AGAIN).is_none());
-    assert!(checker.discovery(VIEWS_NEVER_GO_BACK).is_none());
+fn without_refutation_a_dead_subject_stays_dead() {
+    let checker = SuspicionModel { refutes: false }.checker().spawn_bfs().join();
+    println!("{} states, {} of them unique", checker.state_count(), checker.unique_state_count());
+    assert!(checker.discovery(DEAD_SUBJECT_IS_ALIVE_AGAIN).is_none());
+    assert!(checker.discovery(VIEWS_NEVER_REGRESS).is_none());
 }
--- a/tests/gossip_wire.rs
+++ b/tests/gossip_wire.rs
@@ -1,5 +1,5 @@
-//! Datagrams between members: they decode to what was encoded, and their bytes are fixed. One that is changed,
-//! truncated or of another key is rejected with a typed error, and none causes a panic.
+//! Datagrams between members: decoding returns the encoded value, and the encoding is stable across versions. Datagrams
+//! that are modified, truncated or authenticated with another key give a typed error, and no bytes cause a panic.
 
 use proptest::prelude::*;
 use sailmux::gossip::{
@@ -17,7 +17,7 @@
     }
 }
 
-/// The recipient of [`datagrams`], in hex.
+/// The recipient of all [`datagrams`], in hexadecimal.
 const RECIPIENT: &str = "0000000000000009";
 
 fn codec() -> DatagramCodec {
@@ -44,16 +44,16 @@
 }
 
 #[test]
-fn each_kind_decodes_to_what_was_encoded() {
+fn each_kind_decodes_to_the_encoded_value() {
     for datagram in datagrams() {
         let bytes = codec().encode(&datagram).unwrap();
         assert_eq!(codec().decode(&bytes), Ok(datagram));
     }
 }
 
-/// The bytes as version 0.1.0 encoded them, in hex.
+/// Compares with the bytes that version 0.1.0 encoded, in hexadecimal.
 #[test]
-fn the_bytes_of_each_kind_are_fixed() {
+fn the_encoding_of_each_kind_is_stable() {
     let sender =
         "000000000000000100000000000000050000000000000000000e3132372e302e302e313a37393436057470652d61";
     let updates = concat!(
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn another_key_a_changed_byte_and_too_many_bytes_are_rejected() {
+fn another_key_a_modified_byte_and_excess_length_are_rejected() {
     let datagram = Datagram {
         recipient: MemberId(0),
         sender: update(1, 0, MemberStatus::Alive),
@@ -91,9 +91,9 @@
     let bytes = codec().encode(&datagram).unwrap();
     let other_codec = DatagramCodec::new(b"another fleet's key, as long", 1400).unwrap();
     assert_eq!(other_codec.decode(&bytes), Err(WireError::AuthenticationFailed));
-    let mut changed = bytes.clone();
-    changed[20] ^= 1;
-    assert_eq!(codec().decode(&changed), Err(WireError::AuthenticationFailed));
+    let mut modified = bytes.clone();
+    modified[20] ^= 1;
+    assert_eq!(codec().decode(&modified), Err(WireError::AuthenticationFailed));
     assert!(matches!(DatagramCodec::new(b"short", 1400), Err(WireError::KeyTooShort)));
     let updates = (0..40).map(|id| update(id, 0, MemberStatus::Alive)).collect();
     let too_large = Datagram { packet: Packet::Member(Message::Gossip { updates }), ..datagram };
