--- a/examples/inventory_scale.rs
+++ b/examples/inventory_scale.rs
@@ -73,11 +73,14 @@
     let site = Config::at(&config);
     std::fs::remove_file(&config)?;
     let mut state =
-        State::new(site?.settings, Limits::of_max_descriptors(1024), 1, GuardSettings::default())?;
+        State::new(site?.settings, Limits::from_max_descriptors(1024), 1, GuardSettings::default())?;
     let mut now = 1e6;
     let mut step = |what: &str, input: Input| {
         now += 5.0;
-        timed(what, || reduce(&mut state, now, Event::EndpointSource { input, wall_clock_offset: 0.0 })).len()
+        timed(what, || {
+            reduce(&mut state, now, Event::EndpointSourceChanged { input, wall_clock_offset: 0.0 })
+        })
+        .len()
     };
     step(
         "the aggregator applies all, at the start",
--- a/src/aggregator/attempts.rs
+++ b/src/aggregator/attempts.rs
@@ -21,7 +21,7 @@
         let id = AttemptId(self.state.fresh_id());
         let Some(record) = self.state.parts.get_mut(&part) else { return };
         let Some(query) = self.state.queries.get(&record.query) else { return };
-        let part_key = PartKey { query: query.name.clone(), shard: record.shard };
+        let part_key = PartKey { request_id: query.request_id.clone(), shard: record.shard };
         let number = record.attempts_started;
         record.attempts_started += 1;
         record.open_attempts.insert(number, id);
@@ -91,7 +91,7 @@
                     attempt.stage = AttemptStage::Submitted { connection: *id, message };
                     call.push(CallPart {
                         attempt: *attempt_id,
-                        query: query.name.clone(),
+                        request_id: query.request_id.clone(),
                         shard: part.shard,
                         timeout: attempt.timeout_at - self.now,
                         payload: query.payload.clone(),
--- a/src/aggregator/effect.rs
+++ b/src/aggregator/effect.rs
@@ -70,7 +70,7 @@
     /// The attempt.
     pub attempt: AttemptId,
     /// The client's identifier of the query.
-    pub query: Arc<str>,
+    pub request_id: Arc<str>,
     /// The shard that the part is for.
     pub shard: u32,
     /// How long the aggregator will wait for the answer.
@@ -89,7 +89,7 @@
     /// A query was rejected.
     QueryRejected {
         /// The client's identifier for it.
-        name: Arc<str>,
+        request_id: Arc<str>,
         /// Its class.
         class: Arc<str>,
         /// Why.
--- a/src/aggregator/endpoint_updates.rs
+++ b/src/aggregator/endpoint_updates.rs
@@ -44,10 +44,10 @@
         }
     }
 
-    pub(super) fn discovery_watch_lost(&mut self, unreadable: bool) {
+    pub(super) fn discovery_watch_lost(&mut self, malformed_response: bool) {
         let counters = &mut self.state.counters;
         counters.discovery_watches_lost += 1;
-        counters.discovery_answers_malformed += u64::from(unreadable);
+        counters.discovery_answers_malformed += u64::from(malformed_response);
         self.balancer_events.push_back(balancer::Event::EndpointListFailed);
     }
 
--- a/src/aggregator/event.rs
+++ b/src/aggregator/event.rs
@@ -72,7 +72,7 @@
         wall_clock_offset: Millis,
     },
     /// Inventory files or the settings have changed what is known of the endpoints.
-    EndpointSource {
+    EndpointSourceChanged {
         /// The change.
         input: Input,
         /// How far the wall clock is ahead of the aggregator's clock.
@@ -83,7 +83,7 @@
     /// The watch of the endpoint list has ended or timed out.
     DiscoveryWatchLost {
         /// It ended because of an answer that could not be read; the last good list stays in force.
-        unreadable: bool,
+        malformed_response: bool,
     },
     /// The ledger's writer reports a change of its state.
     Ledger(LedgerEvent),
--- a/src/aggregator/ledger_entries.rs
+++ b/src/aggregator/ledger_entries.rs
@@ -42,7 +42,7 @@
             tenant: query.tenant.clone().unwrap_or_default(),
             tenant_is_known: query.tenant_is_known,
             class: query.class.to_string(),
-            query: query.name.to_string(),
+            query: query.request_id.to_string(),
             parts: query.parts.len() as u32,
             parts_served: served,
             attempts: parts_of_query().map(|part| part.attempts_started).sum(),
--- a/src/aggregator/limits.rs
+++ b/src/aggregator/limits.rs
@@ -18,7 +18,7 @@
     /// Divides the descriptors that the process may open: a quarter for leaf servers, a few in reserve, and of the
     /// rest nine tenths for clients; the last tenth allows for connections that are being closed. Idle clients may
     /// take a sixth of all, or clients that ask only once would leave no capacity for the next ones.
-    pub fn of_max_descriptors(descriptors: usize) -> Self {
+    pub fn from_max_descriptors(descriptors: usize) -> Self {
         let leaf_connections = descriptors / 4;
         let client_connections =
             (descriptors - leaf_connections).saturating_sub(RESERVED_DESCRIPTORS) * 9 / 10;
--- a/src/aggregator/queries.rs
+++ b/src/aggregator/queries.rs
@@ -28,8 +28,8 @@
         let indices = validate_query(new, &self.state.settings)?;
         let client_is_busy = self.state.clients.get(&client).is_some_and(|client| client.query.is_some());
         // Leaf servers identify a part by the query's name and the shard.
-        if client_is_busy || self.state.query_names.contains(&new.name) {
-            return Err(QueryError::NameInUse);
+        if client_is_busy || self.state.request_ids.contains(&new.request_id) {
+            return Err(QueryError::RequestIdInUse);
         }
         Ok(indices)
     }
@@ -45,14 +45,14 @@
         let parts: Vec<PartSpec> = new.parts.iter().map(|part| self.add_part(query, part)).collect();
 
         let state = &mut *self.state;
-        state.query_names.insert(new.name.clone());
+        state.request_ids.insert(new.request_id.clone());
         let record = Query {
             client,
             class: new.class.into(),
             tenant: new.tenant,
             tenant_is_known: indices.tenant.is_some(),
             share: QuotaShare::WithinQuota,
-            name: new.name,
+            request_id: new.request_id,
             payload: new.payload,
             idempotency_key: new.idempotency_key,
             parts: parts.iter().map(|part| part.part).collect(),
@@ -140,7 +140,7 @@
     /// them or they end.
     pub(super) fn forget_query(&mut self, query: QueryId) {
         let Some(query) = self.state.queries.remove(&query) else { return };
-        self.state.query_names.remove(&query.name);
+        self.state.request_ids.remove(&query.request_id);
         for part in query.parts {
             let Some(record) = self.state.parts.get(&part) else { continue };
             let open_attempts: Vec<AttemptId> = record.open_attempts.values().copied().collect();
--- a/src/aggregator/query.rs
+++ b/src/aggregator/query.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Debug)]
 pub struct NewQuery {
     /// The client's identifier for it, fresh with every retry by the client.
-    pub name: Arc<str>,
+    pub request_id: Arc<str>,
     /// The name of its class.
     pub class: String,
     /// The name of its tenant, if any.
--- a/src/aggregator/query_validation.rs
+++ b/src/aggregator/query_validation.rs
@@ -26,7 +26,7 @@
     /// A weight is zero, or the weights do not sum to one.
     InvalidWeights,
     /// The client has a query in flight, or the query's identifier is in use.
-    NameInUse,
+    RequestIdInUse,
 }
 
 impl fmt::Display for QueryError {
@@ -39,7 +39,7 @@
             QueryError::UnknownShard => "no such shard",
             QueryError::InvalidNumber => "a figure makes no sense",
             QueryError::InvalidWeights => "the weights are no shares of one",
-            QueryError::NameInUse => "the id is in use",
+            QueryError::RequestIdInUse => "the id is in use",
         })
     }
 }
--- a/src/aggregator/records.rs
+++ b/src/aggregator/records.rs
@@ -32,7 +32,7 @@
     /// Whether it was within its tenant's quota.
     pub share: QuotaShare,
     /// The client's identifier for it.
-    pub name: Arc<str>,
+    pub request_id: Arc<str>,
     pub payload: Arc<str>,
     pub idempotency_key: Option<Arc<str>>,
     pub parts: Vec<PartId>,
@@ -58,7 +58,7 @@
 #[derive(Clone, PartialEq, Eq)]
 pub(super) struct PartKey {
     /// The client's identifier of the query.
-    pub query: Arc<str>,
+    pub request_id: Arc<str>,
     pub shard: u32,
 }
 
--- a/src/aggregator/reduce.rs
+++ b/src/aggregator/reduce.rs
@@ -54,11 +54,11 @@
             Event::EndpointList { list, wall_clock_offset } => {
                 self.discovery_answered(list, wall_clock_offset);
             }
-            Event::EndpointSource { input, wall_clock_offset } => {
+            Event::EndpointSourceChanged { input, wall_clock_offset } => {
                 self.endpoint_source_changed(input, wall_clock_offset);
             }
             Event::DiscoveryPolled => self.state.counters.discovery_polls += 1,
-            Event::DiscoveryWatchLost { unreadable } => self.discovery_watch_lost(unreadable),
+            Event::DiscoveryWatchLost { malformed_response } => self.discovery_watch_lost(malformed_response),
             Event::Ledger(event) => self.count_ledger_event(&event),
             Event::SettingsReloaded(settings, limits) => self.reload_settings(*settings, limits),
             Event::ReloadRejected => self.state.counters.reloads_rejected += 1,
--- a/src/aggregator/rejections.rs
+++ b/src/aggregator/rejections.rs
@@ -29,7 +29,7 @@
         *self.state.rejections.0.entry(reason).or_default() += 1;
         let Some(record) = self.state.queries.get(&query) else { return };
         let class = record.class.clone();
-        let name = record.name.clone();
-        self.effects.push(Effect::Log(LogEvent::QueryRejected { name, class, reason }));
+        let request_id = record.request_id.clone();
+        self.effects.push(Effect::Log(LogEvent::QueryRejected { request_id, class, reason }));
     }
 }
--- a/src/aggregator/state.rs
+++ b/src/aggregator/state.rs
@@ -25,7 +25,7 @@
     pub(super) clients: BTreeMap<ClientId, Client>,
     pub(super) queries: BTreeMap<QueryId, Query>,
     /// Names of the queries in flight: leaf servers identify parts by them.
-    pub(super) query_names: BTreeSet<Arc<str>>,
+    pub(super) request_ids: BTreeSet<Arc<str>>,
     pub(super) parts: BTreeMap<PartId, Part>,
     pub(super) attempts: BTreeMap<AttemptId, Attempt>,
 
@@ -78,7 +78,7 @@
             rejections: RejectionCounters::default(),
             clients: BTreeMap::new(),
             queries: BTreeMap::new(),
-            query_names: BTreeSet::new(),
+            request_ids: BTreeSet::new(),
             parts: BTreeMap::new(),
             attempts: BTreeMap::new(),
             leaf_servers: BTreeMap::new(),
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -122,8 +122,8 @@
 pub fn aggregator_event(event: &LogEvent) {
     match event {
         LogEvent::Balancer(event) => balancer_event(*event),
-        LogEvent::QueryRejected { name, class, reason } => {
-            debug!(query = &**name, class = &**class, reason = reason.label(), "query rejected");
+        LogEvent::QueryRejected { request_id, class, reason } => {
+            debug!(query = &**request_id, class = &**class, reason = reason.label(), "query rejected");
         }
         LogEvent::ShutdownRequested => info!("graceful shutdown: answering the queries in flight"),
         LogEvent::LeafConnectionEnded { replica, reason } => {
--- a/src/net/discovery_watch/mod.rs
+++ b/src/net/discovery_watch/mod.rs
@@ -170,7 +170,7 @@
             self.events.send(Event::DiscoveryPolled).await?;
             let mut has_answered = false;
             let result = self.watch_once(&mut has_answered).await;
-            let unreadable = matches!(result, Err(WatchError::Malformed(_)));
+            let malformed_response = matches!(result, Err(WatchError::Malformed(_)));
             let reason = match result {
                 Ok(()) => "the watch has ended".to_owned(),
                 Err(error) => error.to_string(),
@@ -180,7 +180,7 @@
                 warn!("discovery: {reason}");
                 last_logged = Some(LoggedFailure { reason, at: now });
             }
-            self.events.send(Event::DiscoveryWatchLost { unreadable }).await?;
+            self.events.send(Event::DiscoveryWatchLost { malformed_response }).await?;
             sleep(duration(self.timing.next_delay(has_answered))).await;
         }
     }
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -190,7 +190,7 @@
             watch.follow(config.discovery, self.state.settings());
         }
         info!("sailmux {name}: configuration reloaded");
-        let limits = Limits::of_max_descriptors(config.max_descriptors);
+        let limits = Limits::from_max_descriptors(config.max_descriptors);
         Event::SettingsReloaded(Box::new(config.settings), limits)
     }
 
--- a/src/net/flight/leaf_call.rs
+++ b/src/net/flight/leaf_call.rs
@@ -74,7 +74,7 @@
 /// Rows are given once the stream has ended well: none of a cut one may reach a client.
 async fn fetch_rows(mut client: Client, part: &CallPart) -> Result<Vec<Bytes>, CallError> {
     let ticket = PartTicket {
-        id: format!("{}.{}", part.query, part.shard),
+        id: format!("{}.{}", part.request_id, part.shard),
         shard: part.shard,
         timeout_ms: part.timeout,
         payload: part.payload.to_string(),
--- a/src/net/flight/ticket.rs
+++ b/src/net/flight/ticket.rs
@@ -75,7 +75,7 @@
     /// The query as the aggregator takes it.
     pub fn into_query(self, time_left: Option<Millis>) -> NewQuery {
         NewQuery {
-            name: self.name.into(),
+            request_id: self.name.into(),
             class: self.class,
             tenant: self.tenant,
             time_left,
--- a/src/net/http/request.rs
+++ b/src/net/http/request.rs
@@ -273,7 +273,7 @@
         return Err(RequestError::InvalidName("Idempotency-Key"));
     }
     Ok(NewQuery {
-        name: name.into(),
+        request_id: name.into(),
         class,
         tenant,
         time_left: Some(time_left),
--- a/src/net/inventory_watch/mod.rs
+++ b/src/net/inventory_watch/mod.rs
@@ -227,7 +227,7 @@
 
     fn send(&self, input: endpoints::Input) -> Result<(), AggregatorStopped> {
         let wall_clock_offset = self.clock.wall_clock_offset();
-        self.events.blocking_send(Event::EndpointSource { input, wall_clock_offset })
+        self.events.blocking_send(Event::EndpointSourceChanged { input, wall_clock_offset })
     }
 }
 
--- a/src/net/leaf_connection/mod.rs
+++ b/src/net/leaf_connection/mod.rs
@@ -173,7 +173,7 @@
     }
 
     fn encode_part(&mut self, body: &mut BytesMut, part: CallPart) {
-        let name = format!("{}.{}", part.query, part.shard);
+        let name = format!("{}.{}", part.request_id, part.shard);
         let timeout_ms = part.timeout.max(1.0).ceil();
         let key = part.idempotency_key.map(|key| format!(",k={key}")).unwrap_or_default();
         let payload = part.payload.as_bytes();
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -54,7 +54,7 @@
 async fn start(listener: TcpListener, config: Config) -> io::Result<EventLoop> {
     let clock = Rc::new(Clock::system());
     let signals = Signals::install()?;
-    let limits = Limits::of_max_descriptors(config.max_descriptors);
+    let limits = Limits::from_max_descriptors(config.max_descriptors);
     let (events, inputs) = event_queue();
     let InitialOverrides { hot_restart, overrides } = load_overrides(&config, &events, &clock);
     debug!("{limits:?} {:?}", config.settings);
@@ -174,7 +174,7 @@
         files: inventory.as_ref().map(inventory_watch::initial_lists).unwrap_or_default(),
     };
     let wall_clock_offset = event_loop.clock.wall_clock_offset();
-    let _ = event_loop.handle(Event::EndpointSource { input, wall_clock_offset });
+    let _ = event_loop.handle(Event::EndpointSourceChanged { input, wall_clock_offset });
     if let Some(inventory) = inventory {
         inventory_watch::start(inventory, events.clone(), (*event_loop.clock).clone())?;
     }
--- a/tests/aggregator.rs
+++ b/tests/aggregator.rs
@@ -27,7 +27,7 @@
 }
 
 fn change_endpoints(state: &mut State, now: f64, input: Input) -> Vec<Effect> {
-    reduce(state, now, Event::EndpointSource { input, wall_clock_offset: 0.0 })
+    reduce(state, now, Event::EndpointSourceChanged { input, wall_clock_offset: 0.0 })
 }
 
 /// An aggregator with these leaf servers and a configuration.
@@ -35,7 +35,7 @@
     let path = scratch_dir("aggregator").join("config.json");
     std::fs::write(&path, config).expect("written");
     let settings = Config::at(&path).expect("a valid configuration").settings;
-    let limits = Limits::of_max_descriptors(1024);
+    let limits = Limits::from_max_descriptors(1024);
     let mut state = State::new(settings, limits, 7, GuardSettings::default()).expect("valid settings");
     let files = vec![inventory(servers)];
     change_endpoints(&mut state, START, Input::Started { known: None, files });
@@ -54,9 +54,9 @@
 }
 
 /// A valid query with one part, for shard 0.
-fn query(name: &str) -> NewQuery {
+fn query(request_id: &str) -> NewQuery {
     NewQuery {
-        name: name.into(),
+        request_id: request_id.into(),
         class: "c".into(),
         tenant: None,
         time_left: Some(9000.0),
--- a/tests/lifecycle.rs
+++ b/tests/lifecycle.rs
@@ -84,7 +84,7 @@
         let path = scratch_dir("lifecycle").join("config.json");
         std::fs::write(&path, Setup::new(&[]).config()).expect("written");
         let settings = Config::at(&path).expect("a valid configuration").settings;
-        let limits = Limits::of_max_descriptors(256);
+        let limits = Limits::from_max_descriptors(256);
         let state = State::new(settings, limits, 7, GuardSettings::default()).expect("valid settings");
         self.processes.push(Process { name, state, is_running: true, is_ready: false });
         self.note(name, "starts");
@@ -96,7 +96,7 @@
         let entries = vec![endpoint("a"), endpoint("b")];
         let known = Some(EndpointList { generation: 1, complete: true, entries });
         let input = Input::Started { known, files: Vec::new() };
-        self.deliver(name, Event::EndpointSource { input, wall_clock_offset: 0.0 });
+        self.deliver(name, Event::EndpointSourceChanged { input, wall_clock_offset: 0.0 });
         self.update_siblings();
     }
 
