--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -1,5 +1,5 @@
-//! The admin server: one call of an operator to a connection. hyper reads and writes HTTP; what a call means is decided
-//! by the aggregator. The event loop serves its queue first, so that no load makes an operator wait.
+//! The admin server: HTTP with one admin call per connection. hyper reads and writes HTTP; the aggregator decides on the
+//! calls. The event loop polls the queue of admin calls before its other inputs, so that operators do not wait under load.
 
 use super::listener::ACCEPT_RETRY_DELAY;
 use crate::aggregator::{AdminCommand, AdminOutcome};
@@ -22,114 +22,114 @@
 use tokio::time::timeout;
 use tracing::{info, warn};
 
-/// Admin calls that wait for the event loop.
+/// Maximum number of admin calls that are queued for the event loop.
 pub(super) const ADMIN_QUEUE_LENGTH: usize = 64;
-/// Connections whose request is not in; beyond them the one that has waited longest is closed. Against callers that
-/// hold a connection and send nothing: descriptors are few.
-const MAX_SILENT_CONNECTIONS: usize = 16;
-/// Connections with those whose request is in: further ones wait in the listener's queue.
+/// Maximum number of connections without a complete request head; beyond it the oldest one is closed. Protects the
+/// limited number of file descriptors against callers that hold a connection and send nothing.
+const MAX_PENDING_CONNECTIONS: usize = 16;
+/// Maximum number of connections in any state; further ones wait in the listener's backlog.
 const MAX_CONNECTIONS: usize = 64;
-/// Rounds of the executor after which a request that has arrived has been read for sure.
-const READ_ROUNDS: usize = 3;
-/// A request is in so long after its connection.
+/// Number of yields to the executor after which every request that has arrived has been read.
+const READ_YIELDS: usize = 3;
+/// Time from accepting a connection within which its request head must arrive.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(900);
-/// And its response is taken so long after that.
+/// Time from the request head within which the response must have been sent.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Buffer for a request.
+/// Size limit of hyper's buffer for a request.
 const MAX_BUFFER_BYTES: usize = 16 << 10;
-/// Longest name of a leaf server, in its percent-encoded form.
+/// Maximum length of a leaf server's name in the path, in its percent-encoded form.
 const MAX_NAME_BYTES: usize = 512;
 
 /// An admin call for the event loop.
 pub(crate) struct AdminRequest {
-    /// What the operator wants.
+    /// The operator's command.
     pub command: AdminCommand,
-    /// Where the outcome goes.
+    /// Receives the command's outcome.
     pub reply: oneshot::Sender<AdminOutcome>,
 }
 
-/// Connections whose request is not in yet, the longest waiting first.
+/// Connections without a complete request head, the oldest first.
 #[derive(Clone, Default)]
-struct SilentConnections(Rc<RefCell<VecDeque<SilentConnection>>>);
+struct PendingConnections(Rc<RefCell<VecDeque<PendingConnection>>>);
 
-struct SilentConnection {
-    number: u64,
+struct PendingConnection {
+    id: u64,
     task: AbortHandle,
 }
 
-impl SilentConnections {
-    fn add(&self, number: u64, task: AbortHandle) {
-        self.0.borrow_mut().push_back(SilentConnection { number, task });
+impl PendingConnections {
+    fn add(&self, id: u64, task: AbortHandle) {
+        self.0.borrow_mut().push_back(PendingConnection { id, task });
     }
 
-    fn remove(&self, number: u64) {
-        self.0.borrow_mut().retain(|connection| connection.number != number);
+    fn remove(&self, id: u64) {
+        self.0.borrow_mut().retain(|connection| connection.id != id);
     }
 
-    fn are_too_many(&self) -> bool {
+    fn exceed_limit(&self) -> bool {
         let mut connections = self.0.borrow_mut();
         connections.retain(|connection| !connection.task.is_finished());
-        connections.len() > MAX_SILENT_CONNECTIONS
+        connections.len() > MAX_PENDING_CONNECTIONS
     }
 
-    /// Closes the connections that have waited longest, where there are too many.
-    async fn shed(&self) {
-        // Requests that have arrived are read first: a burst of calls is silent only until it has been read.
-        for _ in 0..READ_ROUNDS {
-            if !self.are_too_many() {
+    /// Closes the oldest connections while there are more than [`MAX_PENDING_CONNECTIONS`].
+    async fn close_oldest(&self) {
+        // Requests that have arrived are read first: the connections of a burst of calls are pending only until then.
+        for _ in 0..READ_YIELDS {
+            if !self.exceed_limit() {
                 return;
             }
             tokio::task::yield_now().await;
         }
-        while self.are_too_many() {
-            let longest = self.0.borrow_mut().pop_front();
-            if let Some(longest) = longest {
-                longest.task.abort();
+        while self.exceed_limit() {
+            let oldest = self.0.borrow_mut().pop_front();
+            if let Some(oldest) = oldest {
+                oldest.task.abort();
             }
         }
     }
 }
 
-/// Serves operators until aborted.
+/// Accepts admin connections until aborted.
 pub(super) async fn serve(listener: TcpListener, requests: mpsc::Sender<AdminRequest>) {
-    let silent = SilentConnections::default();
+    let pending = PendingConnections::default();
     let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
-    for number in 0.. {
+    for id in 0.. {
         let Ok(permit) = permits.clone().acquire_owned().await else { return };
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                warn!("accepting operators: {error}");
+                warn!("failed to accept an admin connection: {error}");
                 tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
         let connection =
-            Connection { number, requests: requests.clone(), silent: silent.clone(), _permit: permit };
+            Connection { id, requests: requests.clone(), pending: pending.clone(), _permit: permit };
         let task = tokio::task::spawn_local(connection.serve(stream));
-        silent.add(number, task.abort_handle());
-        silent.shed().await;
+        pending.add(id, task.abort_handle());
+        pending.close_oldest().await;
     }
 }
 
-/// One caller's connection.
+/// A connection to the admin server.
 struct Connection {
-    number: u64,
+    id: u64,
     requests: mpsc::Sender<AdminRequest>,
-    silent: SilentConnections,
-    /// Returned when the connection ends.
+    pending: PendingConnections,
+    /// Counts towards [`MAX_CONNECTIONS`] until the connection ends.
     _permit: OwnedSemaphorePermit,
 }
 
 impl Connection {
     async fn serve(self, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
-        let (request_read, request_in) = oneshot::channel();
-        let request_read = RefCell::new(Some(request_read));
+        let (request_read_sender, request_read) = oneshot::channel();
+        let request_read_sender = RefCell::new(Some(request_read_sender));
         let service = service_fn(|request: Request<Incoming>| {
-            self.silent.remove(self.number);
-            if let Some(request_read) = request_read.borrow_mut().take() {
-                let _ = request_read.send(());
+            self.pending.remove(self.id);
+            if let Some(sender) = request_read_sender.borrow_mut().take() {
+                let _ = sender.send(());
             }
             respond(request, self.requests.clone())
         });
@@ -139,7 +139,7 @@
         tokio::pin!(connection);
         tokio::select! {
             _ = &mut connection => {}
-            request = timeout(REQUEST_TIMEOUT, request_in) => if request.is_ok() {
+            request = timeout(REQUEST_TIMEOUT, request_read) => if request.is_ok() {
                 let _ = timeout(RESPONSE_TIMEOUT, connection).await;
             },
         }
@@ -165,16 +165,16 @@
     Ok(response)
 }
 
-/// Has the event loop carry out a command, and logs those that change something.
+/// Passes a command to the event loop and waits for its outcome. Commands that may change something are logged.
 async fn execute(command: AdminCommand, requests: &mpsc::Sender<AdminRequest>) -> AdminOutcome {
-    let is_question = command == AdminCommand::CheckReady;
+    let is_read_only = command == AdminCommand::CheckReady;
     let description = format!("{command:?}");
     let (reply, outcome) = oneshot::channel();
     let outcome = match requests.send(AdminRequest { command, reply }).await {
         Ok(()) => outcome.await.unwrap_or(AdminOutcome::Rejected),
         Err(_) => AdminOutcome::Rejected,
     };
-    if !is_question {
+    if !is_read_only {
         info!(command = description, outcome = ?outcome, "admin command");
     }
     outcome
@@ -193,7 +193,7 @@
     if *method == expected_method { Ok(command) } else { Err(StatusCode::METHOD_NOT_ALLOWED) }
 }
 
-/// A leaf server's name from its path segment.
+/// Decodes a leaf server's name from its path segment.
 fn leaf_name(segment: &str) -> Result<Arc<str>, StatusCode> {
     if segment.is_empty() || segment.len() > MAX_NAME_BYTES {
         return Err(StatusCode::NOT_FOUND);
--- a/src/net/discovery_watch/mod.rs
+++ b/src/net/discovery_watch/mod.rs
@@ -1,7 +1,7 @@
-//! Watches discovery's endpoint list: one chunked answer of JSON lines, requested again with backoff whenever it ends.
-//! The event loop starts it; each list becomes an event for the aggregator.
+//! Watches discovery's endpoint list: one chunked response of JSON lines, requested again with backoff whenever it ends.
+//! The server starts the watch at startup; each list becomes an event for the aggregator.
 
-mod answer;
+mod response;
 
 use super::chunked::{BodyState, ChunkDecoder};
 use super::messages::{AggregatorStopped, EventSender};
@@ -9,8 +9,8 @@
 use crate::clock::{Clock, Millis};
 use crate::config::SiteSettings;
 use crate::endpoints::{DiscoveryTiming, EndpointList};
-use answer::{BodyReader, MalformedAnswer};
 use bytes::BytesMut;
+use response::{BodyReader, MalformedResponse};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -22,45 +22,45 @@
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 use tracing::warn;
 
-/// The only status whose answer is read.
+/// The only status whose response body is read.
 const STATUS_OK: u16 = 200;
-/// A JSON line that has begun is in so long after: against an answer that trickles.
+/// Time within which a JSON line that has begun must be complete, against a response that trickles.
 const LINE_TIMEOUT: Duration = Duration::from_secs(3);
-/// The agent is on this machine: a connection that takes longer is lost.
+/// The discovery agent runs on this machine: a connection attempt that takes longer has failed.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Least time between two equal entries of the log on watches that had answered.
+/// Minimum interval between equal log entries on watches that had received data.
 const MIN_LOG_INTERVAL: Millis = 1000.0;
 
-/// What every watch of one program shares.
-pub(super) struct DiscoverySource {
-    /// The generation of the list that was taken last; a watch at another address goes on from it.
+/// State that is shared by successive watches at different addresses.
+pub(super) struct DiscoveryWatchContext {
+    /// The generation of the last list sent to the aggregator; a watch at another address requests newer ones.
     pub generation: Rc<Cell<u64>>,
-    /// For jitter.
+    /// Seed of the jitter.
     pub seed: u64,
     pub events: EventSender,
     pub clock: Rc<Clock>,
 }
 
-/// A running watch; it ends when this is dropped.
+/// Handle of a running watch, which ends when the handle is dropped.
 pub(super) struct DiscoveryWatchHandle {
     address: Arc<str>,
-    source: DiscoverySource,
+    context: DiscoveryWatchContext,
     task: JoinHandle<()>,
 }
 
 impl DiscoveryWatchHandle {
     /// Starts a watch of discovery at an address.
-    pub fn start(address: Arc<str>, source: DiscoverySource, settings: &SiteSettings) -> Self {
-        let task = source.spawn_watch(address.clone(), settings);
-        DiscoveryWatchHandle { address, source, task }
+    pub fn start(address: Arc<str>, context: DiscoveryWatchContext, settings: &SiteSettings) -> Self {
+        let task = context.spawn_watch(address.clone(), settings);
+        DiscoveryWatchHandle { address, context, task }
     }
 
-    /// Moves the watch to another address; one that stays where it is goes on undisturbed.
-    pub fn follow(&mut self, address: Arc<str>, settings: &SiteSettings) {
+    /// Replaces the watch by one at another address; has no effect if the address is unchanged.
+    pub fn set_address(&mut self, address: Arc<str>, settings: &SiteSettings) {
         if address == self.address {
             return;
         }
-        let task = self.source.spawn_watch(address.clone(), settings);
+        let task = self.context.spawn_watch(address.clone(), settings);
         let previous = std::mem::replace(&mut self.task, task);
         previous.abort();
         self.address = address;
@@ -73,7 +73,7 @@
     }
 }
 
-impl DiscoverySource {
+impl DiscoveryWatchContext {
     fn spawn_watch(&self, address: Arc<str>, settings: &SiteSettings) -> JoinHandle<()> {
         let balancer = &settings.balancer;
         let timing = if balancer.discovery_is_polled {
@@ -94,15 +94,15 @@
     }
 }
 
-/// Why a watch has ended before its answer did.
+/// The reason why a watch ended before its response was complete.
 #[derive(Debug)]
 enum WatchError {
     Io(io::Error),
     ConnectTimeout,
-    /// Nothing has arrived for too long, or a line did not end in time.
-    Silent,
+    /// No data arrived in time, or the head or a line was not complete in time.
+    ReadTimeout,
     Status(u16),
-    Malformed(MalformedAnswer),
+    Malformed(MalformedResponse),
     Stopped(AggregatorStopped),
 }
 
@@ -110,9 +110,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Io(error) => error.fmt(f),
-            Self::ConnectTimeout => f.write_str("the connection was not up in time"),
-            Self::Silent => f.write_str("the watch has fallen silent"),
-            Self::Status(code) => write!(f, "answered {code}"),
+            Self::ConnectTimeout => f.write_str("timed out connecting"),
+            Self::ReadTimeout => f.write_str("timed out waiting for data"),
+            Self::Status(code) => write!(f, "response status {code}"),
             Self::Malformed(problem) => problem.fmt(f),
             Self::Stopped(error) => error.fmt(f),
         }
@@ -127,8 +127,8 @@
     }
 }
 
-impl From<MalformedAnswer> for WatchError {
-    fn from(problem: MalformedAnswer) -> Self {
+impl From<MalformedResponse> for WatchError {
+    fn from(problem: MalformedResponse) -> Self {
         Self::Malformed(problem)
     }
 }
@@ -139,17 +139,17 @@
     }
 }
 
-/// The failure of a watch that was logged last.
+/// The watch failure that was logged last.
 struct LoggedFailure {
     reason: String,
     at: Millis,
 }
 
 impl LoggedFailure {
-    /// Whether a failure is the same one still: an equal one of a watch that never answered, or one so soon that a
-    /// discovery that ends every watch would fill the log.
-    fn covers(&self, reason: &str, has_answered: bool, now: Millis) -> bool {
-        self.reason == reason && (!has_answered || now - self.at < MIN_LOG_INTERVAL)
+    /// Whether a failure is not logged again: it has the same reason and the watch received no data, or it follows within
+    /// [`MIN_LOG_INTERVAL`], as a discovery service that ends every watch would flood the log otherwise.
+    fn suppresses(&self, reason: &str, received_data: bool, now: Millis) -> bool {
+        self.reason == reason && (!received_data || now - self.at < MIN_LOG_INTERVAL)
     }
 }
 
@@ -162,59 +162,60 @@
 }
 
 impl DiscoveryWatch {
-    /// Watches for as long as the program runs.
+    /// Watches until the aggregator stops.
     async fn run(mut self) -> Result<std::convert::Infallible, AggregatorStopped> {
         let mut last_logged: Option<LoggedFailure> = None;
-        sleep(duration(self.timing.initial_delay())).await;
+        sleep(to_duration(self.timing.initial_delay())).await;
         loop {
             self.events.send(Event::DiscoveryPolled).await?;
-            let mut has_answered = false;
-            let result = self.watch_once(&mut has_answered).await;
+            let mut received_data = false;
+            let result = self.watch_once(&mut received_data).await;
             let unreadable = matches!(result, Err(WatchError::Malformed(_)));
             let reason = match result {
                 Ok(()) => "the watch has ended".to_owned(),
                 Err(error) => error.to_string(),
             };
             let now = self.clock.now();
-            if !last_logged.as_ref().is_some_and(|last| last.covers(&reason, has_answered, now)) {
+            if !last_logged.as_ref().is_some_and(|last| last.suppresses(&reason, received_data, now)) {
                 warn!("discovery: {reason}");
                 last_logged = Some(LoggedFailure { reason, at: now });
             }
             self.events.send(Event::DiscoveryWatchLost { unreadable }).await?;
-            sleep(duration(self.timing.next_delay(has_answered))).await;
+            sleep(to_duration(self.timing.next_delay(received_data))).await;
         }
     }
 
-    /// One request and its answer; `has_answered` is set once anything of the answer's body has arrived.
-    async fn watch_once(&self, has_answered: &mut bool) -> Result<(), WatchError> {
+    /// Sends one request and reads its response; sets `received_data` once a list or a heartbeat has arrived.
+    async fn watch_once(&self, received_data: &mut bool) -> Result<(), WatchError> {
         let mut stream = self.request().await?;
         let mut raw = BytesMut::new();
-        // One timeout for all of the head: an overloaded discovery may trickle.
-        let deadline = Instant::now() + duration(self.timing.response_timeout());
+        // One deadline for the complete head: an overloaded discovery service may trickle.
+        let deadline = Instant::now() + to_duration(self.timing.response_timeout());
         let decoder = read_head(&mut stream, &mut raw, deadline).await?;
         let mut body = BodyReader::new(decoder);
-        let mut line_begun: Option<Instant> = None;
+        let mut line_started_at: Option<Instant> = None;
         loop {
             let state = body.decode(&mut raw)?;
             while let Some(list) = body.next_list()? {
                 self.send_list(list).await?;
-                *has_answered = true;
+                *received_data = true;
             }
-            *has_answered |= body.skip_empty_lines();
+            *received_data |= body.skip_empty_lines();
             if state == BodyState::Complete {
                 return Ok(());
             }
             body.check_line_length()?;
             let now = Instant::now();
             if body.is_between_lines() && raw.is_empty() {
-                line_begun = None;
+                line_started_at = None;
             } else {
-                line_begun.get_or_insert(now);
+                line_started_at.get_or_insert(now);
             }
-            let silence =
-                if *has_answered { self.timing.watch_timeout() } else { self.timing.response_timeout() };
-            let silent_at = now + duration(silence);
-            let deadline = line_begun.map_or(silent_at, |begun| silent_at.min(begun + LINE_TIMEOUT));
+            let read_timeout =
+                if *received_data { self.timing.watch_timeout() } else { self.timing.response_timeout() };
+            let read_deadline = now + to_duration(read_timeout);
+            let deadline = line_started_at
+                .map_or(read_deadline, |started_at| read_deadline.min(started_at + LINE_TIMEOUT));
             read(&mut stream, &mut raw, deadline).await?;
         }
     }
@@ -231,7 +232,7 @@
         Ok(stream)
     }
 
-    /// The generation is kept for the next watch only once the aggregator has the list.
+    /// Sends a list to the aggregator. Its generation is stored for the next watch only after that.
     async fn send_list(&self, list: EndpointList) -> Result<(), AggregatorStopped> {
         let generation = list.generation;
         let wall_clock_offset = self.clock.wall_clock_offset();
@@ -241,7 +242,7 @@
     }
 }
 
-fn duration(time: Millis) -> Duration {
+fn to_duration(time: Millis) -> Duration {
     Duration::from_secs_f64(time / 1e3)
 }
 
@@ -250,18 +251,18 @@
         Ok(Ok(0)) => Err(io::Error::from(io::ErrorKind::UnexpectedEof).into()),
         Ok(Ok(_)) => Ok(()),
         Ok(Err(error)) => Err(error.into()),
-        Err(_) => Err(WatchError::Silent),
+        Err(_) => Err(WatchError::ReadTimeout),
     }
 }
 
-/// Reads the answer's head, and gives the decoder of its body where it comes in chunks.
+/// Reads the response head; returns a decoder for the body if it is chunked.
 async fn read_head(
     stream: &mut TcpStream,
     raw: &mut BytesMut,
     deadline: Instant,
 ) -> Result<Option<ChunkDecoder>, WatchError> {
     loop {
-        let Some(head) = answer::parse_head(raw)? else {
+        let Some(head) = response::parse_head(raw)? else {
             read(stream, raw, deadline).await?;
             continue;
         };
--- a/src/net/discovery_watch/answer.rs
+++ b/src/net/discovery_watch/response.rs
@@ -1,4 +1,4 @@
-//! Reads discovery's answer: its head, and the JSON lines of its body. Nothing here reads a socket.
+//! Parses discovery's response: its head, and the JSON lines of its body. Does no I/O.
 
 use crate::config::parse_endpoint_list;
 use crate::endpoints::EndpointList;
@@ -8,87 +8,89 @@
 use miniserde::json::Value;
 use std::fmt;
 
-/// Longest line: against an answer that never ends one.
+/// Maximum length of a line, against a response that never ends one.
 const MAX_LINE_BYTES: usize = 4 << 20;
-/// Longest head of an answer.
+/// Maximum length of a response head.
 const MAX_HEAD_BYTES: usize = 16 << 10;
-/// Most headers of an answer.
+/// Maximum number of headers of a response.
 const MAX_HEADERS: usize = 64;
 
-/// What in discovery's answer cannot be read; the last valid list stays in force.
+/// The error of a response that cannot be parsed; the last valid list stays in force.
 #[derive(Debug)]
-pub(super) enum MalformedAnswer {
+pub(super) enum MalformedResponse {
     Head(httparse::Error),
     HeadTooLong,
     Chunk(MalformedChunk),
     LineTooLong,
     Line(ScanError),
-    NotText(std::str::Utf8Error),
+    NotUtf8(std::str::Utf8Error),
     NotJson,
     List(FieldError),
 }
 
-impl fmt::Display for MalformedAnswer {
+impl fmt::Display for MalformedResponse {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Head(error) => error.fmt(f),
-            Self::HeadTooLong => f.write_str("a head without an end"),
+            Self::HeadTooLong => f.write_str("the response head is too long"),
             Self::Chunk(error) => error.fmt(f),
-            Self::LineTooLong => f.write_str("a line without an end"),
+            Self::LineTooLong => f.write_str("a line is too long"),
             Self::Line(error) => error.fmt(f),
-            Self::NotText(error) => error.fmt(f),
-            Self::NotJson => f.write_str("a line that is not JSON"),
+            Self::NotUtf8(error) => error.fmt(f),
+            Self::NotJson => f.write_str("a line is not JSON"),
             Self::List(error) => error.fmt(f),
         }
     }
 }
 
-impl std::error::Error for MalformedAnswer {}
+impl std::error::Error for MalformedResponse {}
 
-/// Takes lists out of the answer's body as it arrives.
+/// Extracts endpoint lists from the response body as it arrives.
 pub(super) struct BodyReader {
-    /// None where the body comes without chunks and ends with the connection.
+    /// `None` if the body is not chunked: it then ends with the connection.
     decoder: Option<ChunkDecoder>,
     body: BytesMut,
     object: ObjectScanner,
 }
 
 impl BodyReader {
-    /// Reads a body; `decoder` is none where it comes without chunks.
+    /// Creates a reader; `decoder` is `None` if the body is not chunked.
     pub fn new(decoder: Option<ChunkDecoder>) -> Self {
         BodyReader { decoder, body: BytesMut::new(), object: ObjectScanner::default() }
     }
 
-    /// Whether what has arrived of the body ends between two lists.
+    /// Whether the body received so far ends between two lists.
     pub fn is_between_lines(&self) -> bool {
         self.object.is_before_object()
     }
 
+    /// Checks the length of the line that has begun.
+    ///
     /// # Errors
-    /// The line that has begun is too long.
-    pub fn check_line_length(&self) -> Result<(), MalformedAnswer> {
-        if self.body.len() > MAX_LINE_BYTES { Err(MalformedAnswer::LineTooLong) } else { Ok(()) }
+    /// The line is longer than [`MAX_LINE_BYTES`].
+    pub fn check_line_length(&self) -> Result<(), MalformedResponse> {
+        if self.body.len() > MAX_LINE_BYTES { Err(MalformedResponse::LineTooLong) } else { Ok(()) }
     }
 
-    /// Moves what has arrived into the body.
+    /// Decodes received bytes and appends them to the body.
     ///
     /// # Errors
     /// The chunked encoding is violated.
-    pub fn decode(&mut self, raw: &mut BytesMut) -> Result<BodyState, MalformedAnswer> {
+    pub fn decode(&mut self, raw: &mut BytesMut) -> Result<BodyState, MalformedResponse> {
         if let Some(decoder) = &mut self.decoder {
-            decoder.decode(raw, &mut self.body).map_err(MalformedAnswer::Chunk)
+            decoder.decode(raw, &mut self.body).map_err(MalformedResponse::Chunk)
         } else {
             self.body.unsplit(raw.split());
             Ok(BodyState::Incomplete)
         }
     }
 
-    /// Takes the next list that has arrived completely.
+    /// Removes the next complete list from the body; `None` if it has not arrived yet.
     ///
     /// # Errors
-    /// It cannot be read.
-    pub fn next_list(&mut self) -> Result<Option<EndpointList>, MalformedAnswer> {
-        let Some(end) = self.object.find_end(&self.body).map_err(MalformedAnswer::Line)? else {
+    /// The list is malformed.
+    pub fn next_list(&mut self) -> Result<Option<EndpointList>, MalformedResponse> {
+        let Some(end) = self.object.find_end(&self.body).map_err(MalformedResponse::Line)? else {
             return Ok(None);
         };
         let list = parse_list(&self.body.split_to(end))?;
@@ -96,36 +98,36 @@
         Ok(Some(list))
     }
 
-    /// Drops what is outside of objects; whether there was any. Discovery sends empty lines as a heartbeat.
+    /// Drops the bytes between two objects; whether there were any. Discovery sends empty lines as a heartbeat.
     pub fn skip_empty_lines(&mut self) -> bool {
         if !self.object.is_before_object() {
             return false;
         }
-        let has_skipped = !self.body.is_empty();
+        let skipped_any = !self.body.is_empty();
         self.object = ObjectScanner::default();
         self.body = BytesMut::new();
-        has_skipped
+        skipped_any
     }
 }
 
-/// The head of an answer.
-pub(super) struct AnswerHead {
+/// The head of a response.
+pub(super) struct ResponseHead {
     pub status: u16,
-    /// Whether the body comes in chunks.
+    /// Whether the body has the chunked transfer coding.
     pub is_chunked: bool,
 }
 
-/// Takes the answer's head off the input once it is in.
+/// Removes the response head from the input once it is complete; `None` until then.
 ///
 /// # Errors
-/// It is no HTTP, or too long.
-pub(super) fn parse_head(raw: &mut BytesMut) -> Result<Option<AnswerHead>, MalformedAnswer> {
+/// The head is not valid HTTP, or is longer than [`MAX_HEAD_BYTES`].
+pub(super) fn parse_head(raw: &mut BytesMut) -> Result<Option<ResponseHead>, MalformedResponse> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
-    let head_bytes = match response.parse(raw).map_err(MalformedAnswer::Head)? {
+    let head_bytes = match response.parse(raw).map_err(MalformedResponse::Head)? {
         httparse::Status::Complete(head_bytes) => head_bytes,
         httparse::Status::Partial if raw.len() > MAX_HEAD_BYTES => {
-            return Err(MalformedAnswer::HeadTooLong);
+            return Err(MalformedResponse::HeadTooLong);
         }
         httparse::Status::Partial => return Ok(None),
     };
@@ -134,11 +136,11 @@
         header.name.eq_ignore_ascii_case("transfer-encoding") && header.value.eq_ignore_ascii_case(b"chunked")
     });
     drop(raw.split_to(head_bytes));
-    Ok(Some(AnswerHead { status, is_chunked }))
+    Ok(Some(ResponseHead { status, is_chunked }))
 }
 
-fn parse_list(line: &[u8]) -> Result<EndpointList, MalformedAnswer> {
-    let text = std::str::from_utf8(line).map_err(MalformedAnswer::NotText)?;
-    let value: Value = miniserde::json::from_str(text).map_err(|_| MalformedAnswer::NotJson)?;
-    parse_endpoint_list(&Field::root(&value)).map_err(MalformedAnswer::List)
+fn parse_list(line: &[u8]) -> Result<EndpointList, MalformedResponse> {
+    let text = std::str::from_utf8(line).map_err(MalformedResponse::NotUtf8)?;
+    let value: Value = miniserde::json::from_str(text).map_err(|_| MalformedResponse::NotJson)?;
+    parse_endpoint_list(&Field::root(&value)).map_err(MalformedResponse::List)
 }
--- a/src/net/effects.rs
+++ b/src/net/effects.rs
@@ -1,5 +1,5 @@
-//! Carries out the aggregator's effects: sends replies to clients, messages to leaf connections, overrides to the
-//! store. It waits for nobody and decides nothing.
+//! Carries out the aggregator's effects: sends replies to clients, messages to leaf connections and overrides to the
+//! store. It never blocks and takes no decisions.
 
 use super::flight;
 use super::hot_restart::HotRestartHandle;
@@ -18,26 +18,26 @@
 use tokio::sync::{mpsc, oneshot};
 use tracing::info;
 
-/// Where effects go. The event loop owns it.
+/// Carries out effects. Owned by the event loop.
 pub(super) struct EffectDispatcher {
     events: EventSender,
     clients: HashMap<ClientId, mpsc::Sender<ClientMessage>>,
     leaf_connections: HashMap<ConnectionId, mpsc::Sender<LeafMessage>>,
     /// Dropped to stop accepting clients.
     stop_accepting: Option<oneshot::Sender<()>>,
-    /// Dropped to stop the Flight server, where there is one.
+    /// Dropped to stop the Flight server, if there is one.
     stop_flight: Option<oneshot::Sender<()>>,
     client_capacity: ClientCapacity,
-    /// Admin calls that wait for their answer.
+    /// Admin calls that have not been answered yet.
     admin_calls: HashMap<AdminCallId, oneshot::Sender<AdminOutcome>>,
     next_admin_call: u64,
     hot_restart: Option<HotRestartHandle>,
     ledger: Option<LedgerWriter>,
-    /// Paths of the inventories, for the log.
+    /// Paths of the inventory files, for log lines.
     inventory_paths: Vec<Arc<str>>,
 }
 
-/// What an [`EffectDispatcher`] is made of.
+/// The channels and handles through which an [`EffectDispatcher`] carries out effects.
 pub(super) struct EffectTargets {
     pub events: EventSender,
     pub stop_accepting: oneshot::Sender<()>,
@@ -97,53 +97,53 @@
         ControlFlow::Continue(())
     }
 
-    /// Registers a client; its replies go to `messages`.
-    pub fn client_opened(&mut self, client: ClientId, messages: mpsc::Sender<ClientMessage>) {
+    /// Registers a client; its replies are sent to `messages`.
+    pub fn add_client(&mut self, client: ClientId, messages: mpsc::Sender<ClientMessage>) {
         self.clients.insert(client, messages);
     }
 
-    /// Forgets a client whose connection has ended.
-    pub fn client_closed(&mut self, client: ClientId) {
+    /// Removes a client whose connection has ended.
+    pub fn remove_client(&mut self, client: ClientId) {
         self.clients.remove(&client);
     }
 
-    /// Drops the connection's message queue, at which its task closes the connection and reports its end.
+    /// Drops a connection's message queue, upon which its task closes the connection and reports the end.
     pub fn remove_leaf_connection(&mut self, connection: ConnectionId) {
         self.leaf_connections.remove(&connection);
     }
 
-    /// Registers an admin call that waits for its answer.
-    pub fn admin_called(&mut self, reply: oneshot::Sender<AdminOutcome>) -> AdminCallId {
+    /// Registers an admin call; its outcome is sent to `reply`.
+    pub fn register_admin_call(&mut self, reply: oneshot::Sender<AdminOutcome>) -> AdminCallId {
         let call = AdminCallId(self.next_admin_call);
         self.next_admin_call += 1;
         self.admin_calls.insert(call, reply);
         call
     }
 
-    /// Has the Flight server stop when the clients' listener does.
+    /// Sets the sender that is dropped to stop the Flight server, together with the clients' listener.
     pub fn set_flight_stop(&mut self, stop: oneshot::Sender<()>) {
         self.stop_flight = Some(stop);
     }
 
-    /// The other processes of this aggregator at this moment; none where no directory is shared with any.
+    /// Reads the current state of the sibling processes; `None` if this process shares no directory with siblings.
     pub fn current_siblings(&self) -> Option<Siblings> {
         self.hot_restart.as_ref().map(HotRestartHandle::current_siblings)
     }
 
-    /// Takes note of what the ledger has made durable, and sends the replies that waited for it.
-    pub fn ledger_event(&mut self, event: &LedgerEvent, now: Millis) {
+    /// Records which ledger entries are durable, and sends the replies that waited for them.
+    pub fn handle_ledger_event(&mut self, event: &LedgerEvent, now: Millis) {
         if let Some(ledger) = &mut self.ledger {
-            ledger.record_event(event);
+            ledger.update_durable_entry(event);
         }
         self.release_replies(now);
     }
 
-    /// When the next reply has waited for the ledger long enough.
-    pub fn next_reply_due(&self) -> Option<Millis> {
-        self.ledger.as_ref().and_then(LedgerWriter::next_due)
+    /// Deadline of the oldest reply that waits for the ledger.
+    pub fn next_reply_deadline(&self) -> Option<Millis> {
+        self.ledger.as_ref().and_then(LedgerWriter::next_deadline)
     }
 
-    /// Sends the replies whose ledger entries are durable, or that have waited long enough.
+    /// Sends the replies whose ledger entries are durable or whose deadlines have passed.
     pub fn release_replies(&mut self, now: Millis) {
         let Some(ledger) = &mut self.ledger else { return };
         for reply in ledger.release(now) {
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Lets the ledger's thread write what it holds, for a bounded time.
+    /// Waits until the ledger's thread has written its entries, for a bounded time.
     pub fn finish_ledger(&mut self) {
         if let Some(ledger) = self.ledger.take() {
             ledger.finish();
@@ -170,7 +170,7 @@
 
     fn send_reply(&self, PendingReply { client, reply, close }: PendingReply) {
         if let Some(messages) = self.clients.get(&client) {
-            // A client awaits one reply at a time: its queue has a place for it, or its task has ended.
+            // A client awaits one reply at a time, so its queue has room for it unless its task has ended.
             let _ = messages.try_send(ClientMessage::Reply { reply, close });
         }
     }
@@ -201,7 +201,8 @@
         }
     }
 
-    /// A task that takes no more messages has ended or is about to; the aggregator gets an event when it ends.
+    /// Drops the queue of a connection whose task accepts no more messages: the task has ended or will end now, and the
+    /// aggregator gets an event when it ends.
     fn send_to_leaf(&mut self, connection: ConnectionId, message: LeafMessage) {
         let Some(messages) = self.leaf_connections.get(&connection) else { return };
         if messages.try_send(message).is_err() {
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -1,5 +1,5 @@
-//! The event loop: waits for events, timers, admin calls and signals, reduces each event to effects and has them
-//! carried out. The only holder of the aggregator's state.
+//! The event loop: waits for events, timers, admin calls and signals, reduces each event to effects and dispatches
+//! these. It is the only owner of the aggregator's state.
 
 use super::admin::AdminRequest;
 use super::discovery_watch::DiscoveryWatchHandle;
@@ -17,7 +17,7 @@
 use tokio::time::{Instant, sleep_until};
 use tracing::{error, info, trace};
 
-/// Longest wait without an event, for times at which the aggregator has no timer set.
+/// Maximum wait for an event while the aggregator has no timer set.
 const MAX_WAIT: Millis = 1000.0;
 
 /// The signals that the program handles.
@@ -29,10 +29,10 @@
 }
 
 impl Signals {
-    /// Installs the handlers; a signal without a handler would end the program.
+    /// Installs the handlers; a signal without a handler would terminate the process.
     ///
     /// # Errors
-    /// The system refuses a handler.
+    /// A handler cannot be installed.
     pub fn install() -> io::Result<Self> {
         Ok(Signals {
             terminate: signal(SignalKind::terminate())?,
@@ -43,24 +43,24 @@
     }
 }
 
-/// What the loop holds.
+/// The aggregator's state, the inputs of the event loop, and the dispatcher of its effects.
 pub(super) struct EventLoop {
-    /// The aggregator's name, for the log.
+    /// The aggregator's name, for log lines.
     pub name: String,
     pub clock: Rc<Clock>,
     pub state: State,
     pub effects: EffectDispatcher,
     pub inputs: mpsc::Receiver<LoopInput>,
-    /// Admin calls; closed where there is no admin address.
+    /// Admin calls; closed if there is no admin address.
     pub admin_requests: mpsc::Receiver<AdminRequest>,
     pub signals: Signals,
-    /// The keys of the configuration in force, which a reload must have too.
+    /// Keys of the configuration in force, all of which a reloaded configuration must have.
     pub config_keys: KeyPaths,
-    /// The watch of discovery, unless inventory files take its place.
+    /// `None` if inventory files replace discovery.
     pub discovery_watch: Option<DiscoveryWatchHandle>,
 }
 
-/// Why the loop has woken up.
+/// The reason for an iteration of the event loop.
 enum Wakeup {
     AdminRequest(AdminRequest),
     ShutdownSignal,
@@ -81,26 +81,26 @@
                     eprint!("{}", self.state.counters_text());
                     continue;
                 }
-                wakeup => self.event_of(wakeup),
+                wakeup => self.event_for(wakeup),
             };
             let Some(event) = event else { continue };
-            self.forget_ended(&event);
+            self.remove_ended(&event);
             if self.handle(event).is_break() {
                 return;
             }
         }
     }
 
-    /// Reduces an event to effects and carries them out; breaks once the aggregator exits.
+    /// Reduces an event to effects and dispatches them; breaks once the aggregator exits.
     pub fn handle(&mut self, event: Event) -> ControlFlow<()> {
-        // These lines of the trace are all that is needed to follow what the aggregator did and why.
+        // The trace of events and effects suffices to reconstruct what the aggregator did and why.
         trace!("event {event:?}");
         let effects = reduce(&mut self.state, self.clock.now(), event);
         trace_effects(&effects);
         self.effects.dispatch(effects)
     }
 
-    /// Prints the counters and lets the ledger's thread finish.
+    /// Waits until the ledger's thread has written its entries, for a bounded time, and prints the counters.
     pub fn finish(&mut self) {
         self.effects.finish_ledger();
         eprint!("{}", self.state.counters_text());
@@ -109,7 +109,7 @@
     async fn next_wakeup(&mut self) -> Wakeup {
         let wake_at = self.next_wake_time();
         tokio::select! {
-            // Admin calls first: they are owed an answer within a second whatever the load.
+            // Admin calls first: they must be answered within a second under any load.
             biased;
             Some(request) = self.admin_requests.recv() => Wakeup::AdminRequest(request),
             _ = self.signals.terminate.recv() => Wakeup::ShutdownSignal,
@@ -124,21 +124,21 @@
         }
     }
 
-    /// The aggregator's next timer, or the time at which a reply has waited for the ledger long enough.
+    /// The time of the aggregator's next timer or of the next held reply's deadline, whichever is earlier.
     fn next_wake_time(&self) -> Instant {
         let timer = self.state.next_timer().unwrap_or_else(|| self.clock.now() + MAX_WAIT);
-        let wake_at = match self.effects.next_reply_due() {
-            Some(due) => timer.min(due),
+        let wake_at = match self.effects.next_reply_deadline() {
+            Some(deadline) => timer.min(deadline),
             None => timer,
         };
         Instant::from_std(self.clock.instant(wake_at))
     }
 
-    /// The aggregator's event for a wakeup, if it has one.
-    fn event_of(&mut self, wakeup: Wakeup) -> Option<Event> {
+    /// The event that a wakeup causes, if any.
+    fn event_for(&mut self, wakeup: Wakeup) -> Option<Event> {
         match wakeup {
             Wakeup::AdminRequest(request) => {
-                let call = self.effects.admin_called(request.reply);
+                let call = self.effects.register_admin_call(request.reply);
                 Some(Event::AdminCommand(call, request.command))
             }
             Wakeup::ShutdownSignal => Some(self.shutdown_requested()),
@@ -146,27 +146,28 @@
                 self.effects.release_replies(self.clock.now());
                 Some(Event::TimerFired)
             }
-            Wakeup::Input(input) => Some(self.event_of_input(input)),
+            Wakeup::Input(input) => Some(self.event_for_input(input)),
             Wakeup::ReloadSignal => Some(self.reload()),
             Wakeup::InputsClosed | Wakeup::PrintCountersSignal => None,
         }
     }
 
-    fn event_of_input(&mut self, input: LoopInput) -> Event {
+    fn event_for_input(&mut self, input: LoopInput) -> Event {
         match input {
             LoopInput::Event(event) => event,
             LoopInput::Ledger(event) => {
-                self.effects.ledger_event(&event, self.clock.now());
+                self.effects.handle_ledger_event(&event, self.clock.now());
                 Event::Ledger(event)
             }
             LoopInput::ClientOpened { client, messages } => {
-                self.effects.client_opened(client, messages);
+                self.effects.add_client(client, messages);
                 Event::ClientOpened(client)
             }
         }
     }
 
-    /// Reads at this moment whether a sibling process takes over: the signal may follow close on its readiness.
+    /// Refreshes the state of the sibling processes before the shutdown: the signal may arrive directly after a sibling
+    /// has become ready, which decides whether this is a hot restart.
     fn shutdown_requested(&mut self) -> Event {
         if let Some(siblings) = self.effects.current_siblings() {
             let effects = reduce(&mut self.state, self.clock.now(), Event::SiblingsChanged(siblings));
@@ -175,7 +176,7 @@
         Event::ShutdownRequested
     }
 
-    /// Reads the configuration again; where it is invalid the settings in force stay.
+    /// Reads the configuration again; if it is invalid, the settings in force stay.
     fn reload(&mut self) -> Event {
         let name = &self.name;
         let config = match Config::reload(&self.config_keys) {
@@ -187,17 +188,17 @@
         };
         self.config_keys = config.setting_keys;
         if let Some(watch) = &mut self.discovery_watch {
-            watch.follow(config.discovery, self.state.settings());
+            watch.set_address(config.discovery, self.state.settings());
         }
         info!("sailmux {name}: configuration reloaded");
         let limits = Limits::of_max_descriptors(config.max_descriptors);
         Event::SettingsReloaded(Box::new(config.settings), limits)
     }
 
-    /// Drops the message queues of a client or connection that has ended.
-    fn forget_ended(&mut self, event: &Event) {
+    /// Drops the message queue of a client or leaf connection that has ended.
+    fn remove_ended(&mut self, event: &Event) {
         match event {
-            Event::ClientClosed(client) => self.effects.client_closed(*client),
+            Event::ClientClosed(client) => self.effects.remove_client(*client),
             Event::ConnectionEnded { connection, .. } => self.effects.remove_leaf_connection(*connection),
             _ => {}
         }
--- a/src/net/hot_restart.rs
+++ b/src/net/hot_restart.rs
@@ -1,5 +1,5 @@
-//! Shares overrides and readiness with the other processes of this aggregator, on a thread beside the event loop, which
-//! never waits for a disk. What is stored and shared, and how, is up to [`crate::hot_restart`].
+//! Shares overrides and readiness with the sibling processes of this aggregator, on a separate thread, so that the event
+//! loop is not blocked by disk I/O. [`crate::hot_restart`] defines what is stored and shared, and how.
 
 use super::messages::{AggregatorStopped, EventSender};
 use crate::aggregator::{AdminOutcome, Event, Siblings};
@@ -17,29 +17,30 @@
 use tokio::sync::oneshot;
 use tracing::{debug, error, info, warn};
 
-/// Mean interval between polls of the shared directory: one system call while nothing changes, and overrides hold in
-/// every process within a second.
+/// Mean interval between polls of the shared directory. A poll is one system call while nothing changes, and overrides
+/// take effect in every process within a second.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// Mean interval while there are other processes.
+/// Mean interval between polls while there are sibling processes.
 const POLL_INTERVAL_WITH_SIBLINGS: Duration = Duration::from_millis(40);
-/// Interval while an admin call waits for other processes.
+/// Interval between polls while an admin call waits for sibling processes.
 const POLL_INTERVAL_WITH_CALLS: Duration = Duration::from_millis(5);
-/// An admin call waits so long for the other processes, and is answered then: the override is stored already.
+/// Maximum time for which an admin call waits until its override is in force in the sibling processes. The call is
+/// accepted after that too, since the override is already stored.
 const SIBLINGS_TIMEOUT: Duration = Duration::from_millis(600);
-/// Overrides that were cancelled so long ago are dropped from the file; every process has read it by then.
+/// Time after which cancelled overrides are dropped from the file; every process has read the cancellation by then.
 const CANCELLED_RETENTION: Millis = 600_000.0;
 
 /// A command for the store's thread.
 enum StoreCommand {
-    /// Store these, then answer.
+    /// Store the overrides, then answer the admin call.
     Store { overrides: Overrides, reply: oneshot::Sender<AdminOutcome> },
-    /// The overrides of this digest are in force here.
+    /// The overrides with this digest are in force in this process.
     OverridesApplied { digest: u32 },
-    /// Whether this process could serve.
+    /// This process has become ready or unready.
     SetReady { ready: bool },
 }
 
-/// The event loop's end of the store.
+/// The event loop's handle to the override store's thread.
 pub(super) struct HotRestartHandle {
     commands: Sender<StoreCommand>,
     directory: SharedDirectory,
@@ -47,8 +48,8 @@
 }
 
 impl HotRestartHandle {
-    /// Starts the thread on a directory, and gives the overrides that are stored there: they are to be in force before
-    /// any client is served.
+    /// Starts the thread on a shared directory, and returns the overrides that are stored there, which must be in force
+    /// before any client is served.
     ///
     /// # Errors
     /// The directory cannot be read, or the thread cannot be started.
@@ -58,13 +59,13 @@
         events: EventSender,
         clock: Clock,
     ) -> io::Result<(Self, Overrides)> {
-        let overrides = overrides_of(directory.read_overrides()?);
+        let overrides = overrides_from(directory.read_overrides()?);
         let digest = snapshot::digest(&overrides);
         let slot = directory.acquire_slot()?;
         if slot.is_none() {
-            warn!("no process slot is free: other processes will not see this one");
+            warn!("no process slot is free: sibling processes will not detect this process");
         }
-        let (commands, inbox) = channel();
+        let (commands, command_receiver) = channel();
         let handle = HotRestartHandle {
             commands,
             directory: directory.clone(),
@@ -75,46 +76,46 @@
             slot,
             status: ProcessStatus { ready: false, overrides_digest: digest },
             change_marker: None,
-            known_digest: digest,
+            current_digest: digest,
             siblings: Siblings::default(),
             waiting_calls: Vec::new(),
             events,
             clock,
             random: Pcg64Mcg::seed_from_u64(seed.rotate_left(29)),
         };
-        thread::Builder::new().name("overrides".to_owned()).spawn(move || store.run(&inbox))?;
+        thread::Builder::new().name("overrides".to_owned()).spawn(move || store.run(&command_receiver))?;
         Ok((handle, overrides))
     }
 
-    /// Stores overrides. The reply comes once they are in force in every live process of this aggregator, or after
+    /// Stores overrides. The reply is sent once they are in force in every running process of this aggregator, or after
     /// [`SIBLINGS_TIMEOUT`].
     pub fn store(&self, overrides: Overrides, reply: oneshot::Sender<AdminOutcome>) {
         let _ = self.commands.send(StoreCommand::Store { overrides, reply });
     }
 
-    /// The other live processes at this moment.
+    /// Reads the current state of the sibling processes.
     pub fn current_siblings(&self) -> Siblings {
-        summary(&self.directory.siblings(self.slot))
+        summarize(&self.directory.siblings(self.slot))
     }
 
-    /// Publishes that the overrides of a digest are in force here.
+    /// Publishes that the overrides with a digest are in force in this process.
     pub fn overrides_applied(&self, digest: u32) {
         let _ = self.commands.send(StoreCommand::OverridesApplied { digest });
     }
 
-    /// Publishes whether this process could serve.
+    /// Publishes whether this process is ready to serve.
     pub fn set_ready(&self, ready: bool) {
         let _ = self.commands.send(StoreCommand::SetReady { ready });
     }
 }
 
-fn summary(siblings: &[Sibling]) -> Siblings {
+fn summarize(siblings: &[Sibling]) -> Siblings {
     let is_ready = |sibling: &Sibling| sibling.status.as_ref().is_some_and(|status| status.ready);
     Siblings { others: siblings.len(), any_ready: siblings.iter().any(is_ready) }
 }
 
-/// The overrides of a stored file; a damaged one is logged and counts as empty.
-fn overrides_of(stored: StoredOverrides) -> Overrides {
+/// The overrides in a stored file; a file that cannot be used is logged and counts as empty.
+fn overrides_from(stored: StoredOverrides) -> Overrides {
     match stored {
         StoredOverrides::Missing => Overrides::default(),
         StoredOverrides::Present(overrides) => {
@@ -123,28 +124,28 @@
             overrides
         }
         StoredOverrides::MovedAside { path, reason } => {
-            error!(path = %path.display(), "stored overrides: the file {reason}; moved aside, its overrides are not in force");
+            error!(path = %path.display(), "stored overrides: the file {reason}; it was moved aside, and its overrides are not in force");
             Overrides::default()
         }
     }
 }
 
-/// An admin call whose override is stored, until the other processes have it in force.
+/// An admin call whose override is stored, and that waits until it is in force in the sibling processes.
 struct WaitingCall {
     reply: oneshot::Sender<AdminOutcome>,
     deadline: Instant,
 }
 
-/// What the thread holds.
+/// The state of the override store's thread.
 struct OverrideStore {
     directory: SharedDirectory,
     slot: Option<ProcessSlot>,
-    /// What this process publishes in its slot.
+    /// The status that this process publishes in its slot.
     status: ProcessStatus,
-    /// The directory's marker when it was last read.
+    /// The directory's change marker when the overrides were last read.
     change_marker: Option<ChangeMarker>,
-    /// Digest of the stored overrides that the aggregator knows.
-    known_digest: u32,
+    /// Digest of the stored overrides that the event loop set or was sent last.
+    current_digest: u32,
     siblings: Siblings,
     waiting_calls: Vec<WaitingCall>,
     events: EventSender,
@@ -199,7 +200,7 @@
     fn publish_status(&mut self) {
         let Some(slot) = &mut self.slot else { return };
         if let Err(error) = slot.publish(&self.status) {
-            warn!("this process's slot: {error}");
+            warn!("the status in the process slot cannot be updated: {error}");
         }
     }
 
@@ -209,24 +210,24 @@
             match self.directory.merge_overrides(overrides, now - CANCELLED_RETENTION) {
                 Ok(merged) => merged,
                 Err(error) => {
-                    error!("overrides cannot be stored: {error}; they are in force in this process only");
+                    error!("overrides cannot be stored: {error}; they apply to this process only");
                     let _ = reply.send(AdminOutcome::Accepted);
                     return;
                 }
             };
         if let StoredOverrides::MovedAside { .. } = found {
-            overrides_of(found);
+            overrides_from(found);
         }
-        // These are in force here already: the aggregator gave them.
+        // These overrides came from the event loop, so they are already in force in this process.
         if merged == *overrides {
-            self.known_digest = snapshot::digest(&merged);
-            self.status.overrides_digest = self.known_digest;
+            self.current_digest = snapshot::digest(&merged);
+            self.status.overrides_digest = self.current_digest;
             self.publish_status();
         }
         self.waiting_calls.push(WaitingCall { reply, deadline: Instant::now() + SIBLINGS_TIMEOUT });
     }
 
-    /// Checks for other processes and for overrides that were given to them.
+    /// Checks for changes of the sibling processes and for overrides set in them.
     fn poll(&mut self) -> Result<(), AggregatorStopped> {
         let change_marker = self.directory.change_marker();
         let has_changed = change_marker != self.change_marker;
@@ -234,7 +235,7 @@
             return Ok(());
         }
         let siblings = self.directory.siblings(self.slot.as_ref().map(ProcessSlot::number));
-        self.update_siblings(summary(&siblings))?;
+        self.update_siblings(summarize(&siblings))?;
         if has_changed {
             self.read_overrides(change_marker)?;
         }
@@ -260,22 +261,22 @@
             }
         };
         self.change_marker = change_marker;
-        let overrides = overrides_of(stored);
+        let overrides = overrides_from(stored);
         let digest = snapshot::digest(&overrides);
-        if digest == self.known_digest {
+        if digest == self.current_digest {
             return Ok(());
         }
-        self.known_digest = digest;
+        self.current_digest = digest;
         self.events.blocking_send(Event::OverridesLoaded(overrides, digest))
     }
 
-    /// Answers the admin calls whose overrides are in force everywhere, or that have waited long enough.
+    /// Answers the admin calls whose overrides are in force in all processes or whose deadlines have passed.
     fn answer_calls(&mut self, siblings: &[Sibling]) {
-        let in_force_everywhere = self.status.overrides_digest == self.known_digest
-            && siblings.iter().all(|sibling| self.has_known_overrides(sibling));
+        let in_force_in_all = self.status.overrides_digest == self.current_digest
+            && siblings.iter().all(|sibling| self.has_current_overrides(sibling));
         let now = Instant::now();
         for call in std::mem::take(&mut self.waiting_calls) {
-            if in_force_everywhere || call.deadline <= now {
+            if in_force_in_all || call.deadline <= now {
                 let _ = call.reply.send(AdminOutcome::Accepted);
             } else {
                 self.waiting_calls.push(call);
@@ -283,7 +284,7 @@
         }
     }
 
-    fn has_known_overrides(&self, sibling: &Sibling) -> bool {
-        sibling.status.as_ref().is_some_and(|status| status.overrides_digest == self.known_digest)
+    fn has_current_overrides(&self, sibling: &Sibling) -> bool {
+        sibling.status.as_ref().is_some_and(|status| status.overrides_digest == self.current_digest)
     }
 }
--- a/src/net/inventory_watch/change_notifier.rs
+++ b/src/net/inventory_watch/change_notifier.rs
@@ -1,4 +1,4 @@
-//! Wakes the watcher when a directory changes that an inventory depends on, or after an interval.
+//! Wakes the inventory watcher when a directory that an inventory depends on changes, or after an interval.
 
 use crate::config::operator::WatchRecord;
 use notify::{RecommendedWatcher, RecursiveMode, Watcher};
@@ -11,21 +11,21 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// Interval between polls where notifications are relied upon: only to notice that the program has ended.
+/// Poll interval while notifications are relied upon; these polls only serve to notice that the event loop has ended.
 const INTERVAL_WITH_NOTIFICATIONS: Duration = Duration::from_hours(1);
-/// Directories watched below each of `group_vars` and `host_vars`.
+/// Maximum number of directories watched below each of `group_vars` and `host_vars`.
 const MAX_VARIABLE_DIRECTORIES: usize = 256;
 
-/// A directory that is watched. One that was replaced has another inode.
+/// A watched directory. The inode tells a replaced directory from the former one at the same path.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct WatchedDirectory {
     path: PathBuf,
     inode: u64,
 }
 
-/// Waits for changes of inventories.
+/// Waits for changes to inventories.
 pub(super) struct ChangeNotifier {
-    /// None where files are polled alone.
+    /// `None` if files are only polled.
     watcher: Option<RecommendedWatcher>,
     notifications: Receiver<()>,
     watched: BTreeSet<WatchedDirectory>,
@@ -33,19 +33,19 @@
 }
 
 impl ChangeNotifier {
-    /// Starts the system's notifications, where the mode uses them and the system has them.
+    /// Starts file system notifications if the mode uses them and the operating system provides them.
     pub fn start(mode: WatchRecord, poll_interval: Duration) -> Self {
         let (sender, notifications) = channel();
         let watcher = match mode {
             WatchRecord::Poll => None,
             WatchRecord::Auto | WatchRecord::Notify => {
-                // Whatever a notification says, the files themselves are polled.
+                // A notification only triggers a poll; its content is ignored.
                 let watcher = notify::recommended_watcher(move |_: notify::Result<notify::Event>| {
                     let _ = sender.send(());
                 });
                 watcher
                     .inspect_err(|error| {
-                        warn!(problem = %error, "no notifications of changed files; they are polled");
+                        warn!(problem = %error, "file system notifications are not available; inventory files are polled");
                     })
                     .ok()
             }
@@ -55,35 +55,36 @@
         ChangeNotifier { watcher, notifications, watched: BTreeSet::new(), max_interval }
     }
 
-    /// The longest time between two polls.
+    /// Maximum interval between two polls.
     pub fn max_interval(&self) -> Duration {
         self.max_interval
     }
 
-    /// Watches all directories that matter now for these inventories: links may lead elsewhere than before.
+    /// Updates the watched directories to those that the inventories depend on now: the target of a symbolic link may
+    /// have changed.
     pub fn watch<'p>(&mut self, inventories: impl Iterator<Item = &'p Path>) {
         let Some(watcher) = &mut self.watcher else { return };
-        let mut wanted = BTreeSet::new();
-        for path in inventories.flat_map(directories_of) {
+        let mut required = BTreeSet::new();
+        for path in inventories.flat_map(directories_to_watch) {
             if let Ok(metadata) = fs::metadata(&path) {
-                wanted.insert(WatchedDirectory { path, inode: metadata.ino() });
+                required.insert(WatchedDirectory { path, inode: metadata.ino() });
             }
         }
-        if wanted == self.watched {
+        if required == self.watched {
             return;
         }
-        for directory in self.watched.difference(&wanted) {
+        for directory in self.watched.difference(&required) {
             let _ = watcher.unwatch(&directory.path);
         }
-        for WatchedDirectory { path, .. } in wanted.difference(&self.watched) {
+        for WatchedDirectory { path, .. } in required.difference(&self.watched) {
             if let Err(error) = watcher.watch(path, RecursiveMode::NonRecursive) {
-                warn!(place = %path.display(), problem = %error, "no notifications of changes there");
+                warn!(directory = %path.display(), problem = %error, "directory cannot be watched for changes");
             }
         }
-        self.watched = wanted;
+        self.watched = required;
     }
 
-    /// Waits for a notification, or for an interval; takes all notifications that have arrived.
+    /// Waits for a notification, for at most `interval`; consumes all notifications that have arrived.
     pub fn wait(&self, interval: Duration) {
         if self.watcher.is_none() {
             thread::sleep(interval);
@@ -92,32 +93,32 @@
         match self.notifications.recv_timeout(interval) {
             Ok(()) => while self.notifications.try_recv().is_ok() {},
             Err(RecvTimeoutError::Timeout) => {}
-            // The system's notifications have ended: polling must do.
+            // The source of notifications has ended: only polling is left.
             Err(RecvTimeoutError::Disconnected) => thread::sleep(interval),
         }
     }
 }
 
-/// The directories in which a change of an inventory can show.
-fn directories_of(inventory: &Path) -> Vec<PathBuf> {
-    let mut directories = vec![parent_of(inventory)];
-    // Where the path is a link, the file that it leads to may be written in place.
+/// The directories whose entries change when an inventory changes.
+fn directories_to_watch(inventory: &Path) -> Vec<PathBuf> {
+    let mut directories = vec![parent_directory(inventory)];
+    // If the path is a symbolic link, its target may be written in place.
     if let Ok(target) = fs::canonicalize(inventory) {
-        directories.push(parent_of(&target));
+        directories.push(parent_directory(&target));
     }
-    let base = if inventory.is_dir() { inventory.to_owned() } else { parent_of(inventory) };
+    let base = if inventory.is_dir() { inventory.to_owned() } else { parent_directory(inventory) };
     directories.push(base.clone());
     for name in ["group_vars", "host_vars"] {
         let variables = base.join(name);
         let entries = fs::read_dir(&variables).into_iter().flatten().flatten();
-        let below = entries.map(|entry| entry.path()).filter(|path| path.is_dir());
-        directories.extend(below.take(MAX_VARIABLE_DIRECTORIES));
+        let subdirectories = entries.map(|entry| entry.path()).filter(|path| path.is_dir());
+        directories.extend(subdirectories.take(MAX_VARIABLE_DIRECTORIES));
         directories.push(variables);
     }
     directories
 }
 
-fn parent_of(path: &Path) -> PathBuf {
+fn parent_directory(path: &Path) -> PathBuf {
     let parent = path.parent().filter(|parent| !parent.as_os_str().is_empty());
     parent.unwrap_or(Path::new(".")).to_owned()
 }
--- a/src/net/inventory_watch/mod.rs
+++ b/src/net/inventory_watch/mod.rs
@@ -1,6 +1,6 @@
-//! Watches inventory files on a thread of its own: notices changes, waits until a file is stable, reads it, and sends its
-//! endpoint list to the event loop, which never waits for a disk or a parser. When a file is opened, read or rejected is
-//! decided by [`FilePoller`].
+//! Watches inventory files on a separate thread: detects changes, waits until a file is stable, reads it, and sends its
+//! endpoint list to the event loop, which is never blocked by disk I/O or parsing. [`FilePoller`] decides when a file is
+//! opened, read or rejected.
 
 mod change_notifier;
 
@@ -20,25 +20,26 @@
 use std::time::Duration;
 use tracing::{debug, info, warn};
 
-/// Lists of a file that stay in memory: the one in force, one held back, and the newest.
-const RETAINED_LISTS: usize = 3;
+/// Maximum number of lists of a file that stay in memory: the one in force, one held back, and the newest.
+const MAX_RETAINED_LISTS: usize = 3;
 
-/// What one poll of a file finds; none where the inventory is not there.
+/// Metadata of an inventory's files as found by one poll; `None` if the inventory does not exist.
 type Signature = Option<Vec<SeenFile>>;
 
-/// The lists of all files as they were found at the start.
+/// The lists of all files as they were read at startup.
 pub(super) fn initial_lists(inventory: &Inventory) -> Vec<Arc<FileList>> {
     inventory.files.iter().map(|file| file.list.clone()).collect()
 }
 
-/// Where an operator leaves the confirmation of an inventory's list; the command line writes it too.
+/// Path of the file in which an operator confirms an inventory's held-back list, for example through
+/// `sailmux inventory confirm`.
 pub fn confirmation_path(inventory: &Path) -> PathBuf {
     let mut path = inventory.as_os_str().to_owned();
     path.push(".confirm");
     path.into()
 }
 
-/// Starts the thread; it ends with the event loop.
+/// Starts the watcher's thread, which ends after the event loop has ended.
 ///
 /// # Errors
 /// The thread cannot be started.
@@ -52,19 +53,19 @@
     let poll_interval = inventory.poll;
     let run = move || {
         let notifier = ChangeNotifier::start(mode, poll_interval);
-        // It ends when the event loop has.
+        // Returns only after the event loop has ended.
         let Err(AggregatorStopped) = watcher.run(notifier);
     };
     thread::Builder::new().name("inventory".to_owned()).spawn(run)?;
     Ok(())
 }
 
-/// One inventory and what is known of it.
+/// An inventory with its polling state and its last lists.
 struct WatchedFile {
     number: u16,
     file: InventoryFile,
     poller: FilePoller<Signature>,
-    /// The last lists. The event loop drops its references first, so that this thread frees what may be large.
+    /// The last lists. The event loop drops its references first, so that this thread frees lists that may be large.
     retained_lists: VecDeque<Arc<FileList>>,
 }
 
@@ -80,32 +81,32 @@
 
     fn retain(&mut self, list: Arc<FileList>) {
         self.retained_lists.push_back(list);
-        if self.retained_lists.len() > RETAINED_LISTS {
+        if self.retained_lists.len() > MAX_RETAINED_LISTS {
             self.retained_lists.pop_front();
         }
     }
 }
 
-/// A file that was opened because its signature has changed, or may hide a change.
+/// A file that was opened because its signature changed, or because an unchanged signature may hide a change.
 struct OpenedFile {
-    /// Its place in the watcher's list.
+    /// Index into [`InventoryWatcher::files`].
     index: usize,
     signature: Signature,
     content: Result<Gathered, Diagnostics>,
 }
 
-/// Whether all files are stable.
+/// Whether all files that were opened are stable.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Stability {
     Stable,
-    /// A file is to be opened again at once.
+    /// A file is being written and must be opened again without waiting for the next interval.
     Unstable,
 }
 
 struct InventoryWatcher {
     events: EventSender,
     clock: Clock,
-    /// How long a file must stay unchanged before it is read.
+    /// Time for which a file must stay unchanged before it is read.
     settle_time: Duration,
     files: Vec<WatchedFile>,
 }
@@ -120,7 +121,7 @@
         }
     }
 
-    /// How long until the next poll, at most `max`.
+    /// Time until the next poll, at most `max`.
     fn next_interval(&self, max: Duration) -> Duration {
         let max_millis = max.as_secs_f64() * 1e3;
         let intervals = self.files.iter().map(|watched| watched.poller.next_poll_after(max_millis));
@@ -162,7 +163,7 @@
         opened_files
     }
 
-    /// Carries out what follows from a file that was opened.
+    /// Reads an opened file if it is stable and has changed, and sends its list or its problem to the event loop.
     fn process_opened(&mut self, opened: OpenedFile) -> Result<Stability, AggregatorStopped> {
         let OpenedFile { index, signature, content } = opened;
         let watched = &mut self.files[index];
@@ -179,7 +180,7 @@
                     return Ok(Stability::Stable);
                 }
                 Err(problems) => {
-                    decision = watched.poller.on_rejected(self.clock.now(), summary(&problems));
+                    decision = watched.poller.on_rejected(self.clock.now(), summarize(&problems));
                 }
             }
         }
@@ -196,7 +197,7 @@
         }
     }
 
-    /// Passes on problems whose reports had to wait.
+    /// Sends the delayed problem reports that are due.
     fn send_due_problems(&mut self) -> Result<(), AggregatorStopped> {
         for index in 0..self.files.len() {
             let watched = &mut self.files[index];
@@ -208,16 +209,16 @@
         Ok(())
     }
 
-    /// Passes on confirmations that are due.
+    /// Sends the confirmations that are due, and removes their files.
     fn send_confirmations(&mut self) -> Result<(), AggregatorStopped> {
         for index in 0..self.files.len() {
             let watched = &mut self.files[index];
             let Some(digest) = watched.poller.take_due_confirmation(self.clock.now()) else { continue };
             let number = watched.number;
             let path = confirmation_path(&watched.file.path);
-            // One that cannot be removed is passed on again, which changes nothing.
+            // A confirmation whose file cannot be removed is sent again, which has no effect.
             if let Err(error) = fs::remove_file(&path) {
-                warn!(file = %path.display(), problem = %error, "confirmation cannot be removed");
+                warn!(file = %path.display(), problem = %error, "confirmation file cannot be removed");
             }
             info!(file = %watched.file.path.display(), digest = &*digest, "confirmation read");
             self.send(endpoints::Input::FileConfirmed(number, digest))?;
@@ -231,11 +232,11 @@
     }
 }
 
-/// What opening a file has shown, and its content where it is stable.
+/// The result of opening a file, and its content if it is stable.
 fn check(content: Result<Gathered, Diagnostics>) -> (FileCheck, Option<Bundle>) {
     let mut gathered = match content {
         Ok(gathered) => gathered,
-        Err(problems) => return (FileCheck::Unreadable(summary(&problems)), None),
+        Err(problems) => return (FileCheck::Unreadable(summarize(&problems)), None),
     };
     let is_stable = gathered.is_stable();
     let granularity = Duration::from_secs_f64(FilePoller::<Signature>::timestamp_granularity() / 1e3);
@@ -247,8 +248,8 @@
     (FileCheck::Stable { digest, recently_modified }, Some(gathered.bundle))
 }
 
-/// The first problem, and how many more there are.
-fn summary(problems: &Diagnostics) -> String {
+/// The first problem, and the number of further ones.
+fn summarize(problems: &Diagnostics) -> String {
     let first = problems.0.first().map(ToString::to_string).unwrap_or_default();
     match problems.0.len() {
         0 | 1 => first,
--- a/src/net/ledger_writer.rs
+++ b/src/net/ledger_writer.rs
@@ -1,5 +1,5 @@
-//! Starts the ledger's thread and passes entries to it. In strict mode replies wait here until their entry is durable,
-//! or for a bounded time. The effect dispatcher owns it.
+//! Starts the ledger's thread and sends entries to it. In strict mode, replies are held here until their entries are
+//! durable, for a bounded time. The effect dispatcher owns the [`LedgerWriter`].
 
 use super::messages::EventSender;
 use crate::aggregator::{ClientId, Reply};
@@ -12,38 +12,38 @@
 use std::time::{Duration, Instant};
 use tracing::{error, info, warn};
 
-/// How long the program's end waits for the thread to write what it holds.
+/// Maximum time for which the shutdown waits until the ledger's thread has written its entries.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(2);
-/// How often it checks that.
+/// Interval at which the shutdown checks whether the thread has ended.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A reply on its way to a client.
+/// A reply that has not been sent to its client yet.
 pub(super) struct PendingReply {
     pub client: ClientId,
     pub reply: Reply,
-    /// The connection ends after it.
+    /// Whether the connection is closed after the reply.
     pub close: bool,
 }
 
-/// A reply that waits for its entry.
+/// A reply that waits until its ledger entry is durable.
 struct HeldReply {
     entry_number: u64,
-    due: Millis,
+    deadline: Millis,
     reply: PendingReply,
 }
 
-/// The event loop's end of the ledger.
+/// The event loop's handle to the ledger's thread.
 pub(super) struct LedgerWriter {
     entries: LedgerHandle,
     thread: JoinHandle<()>,
     clock: Clock,
-    /// How long a reply waits for its entry at most; none where it does not wait.
+    /// Maximum time for which a reply waits for its entry; `None` if replies do not wait.
     max_reply_wait: Option<Millis>,
-    /// The last entry known to be durable.
+    /// Number of the last entry known to be durable.
     durable_entry: u64,
-    /// The entry of each client whose reply is yet to come.
+    /// Number of the last entry of each client whose reply is still to come.
     entry_numbers: HashMap<ClientId, u64>,
-    /// In the order of their entries, and of their due times.
+    /// In the order of their entries, which is also that of their deadlines.
     held_replies: VecDeque<HeldReply>,
 }
 
@@ -92,7 +92,7 @@
         })
     }
 
-    /// Records the end of a client's query; its reply follows.
+    /// Sends the entry of a finished query to the ledger's thread; the client's reply follows.
     pub fn record(&mut self, client: ClientId, mut entry: Entry) {
         entry.at += self.clock.wall_clock_offset() as i64;
         let number = self.entries.enqueue(entry);
@@ -101,48 +101,48 @@
         }
     }
 
-    /// Holds a reply that must wait for its entry; gives back one that need not.
+    /// Holds a reply that must wait for its entry; returns one that need not wait.
     pub fn hold(&mut self, reply: PendingReply) -> Option<PendingReply> {
         let entry_number = self.entry_numbers.remove(&reply.client);
         let Some(entry_number) = entry_number.filter(|number| *number > self.durable_entry) else {
             return Some(reply);
         };
         let Some(max_wait) = self.max_reply_wait else { return Some(reply) };
-        let due = self.clock.now() + max_wait;
-        self.held_replies.push_back(HeldReply { entry_number, due, reply });
+        let deadline = self.clock.now() + max_wait;
+        self.held_replies.push_back(HeldReply { entry_number, deadline, reply });
         None
     }
 
-    /// Takes note of an event of the ledger's thread.
-    pub fn record_event(&mut self, event: &LedgerEvent) {
+    /// Records which entries are durable, from an event of the ledger's thread.
+    pub fn update_durable_entry(&mut self, event: &LedgerEvent) {
         if let LedgerEvent::Durable(number) = event {
             self.durable_entry = self.durable_entry.max(*number);
         }
     }
 
-    /// When the oldest held reply has waited long enough.
-    pub fn next_due(&self) -> Option<Millis> {
-        self.held_replies.front().map(|held| held.due)
+    /// Deadline of the oldest held reply.
+    pub fn next_deadline(&self) -> Option<Millis> {
+        self.held_replies.front().map(|held| held.deadline)
     }
 
-    /// The replies that need not wait any longer.
+    /// Removes and returns the held replies whose entries are durable or whose deadlines have passed.
     pub fn release(&mut self, now: Millis) -> Vec<PendingReply> {
         let mut released = Vec::new();
         while let Some(oldest) = self.held_replies.pop_front() {
             let is_durable = oldest.entry_number <= self.durable_entry;
-            if !is_durable && oldest.due > now {
+            if !is_durable && oldest.deadline > now {
                 self.held_replies.push_front(oldest);
                 break;
             }
             if !is_durable {
-                warn!(entry = oldest.entry_number, "an answer went out before its ledger entry was durable");
+                warn!(entry = oldest.entry_number, "reply sent before its ledger entry was durable");
             }
             released.push(oldest.reply);
         }
         released
     }
 
-    /// Lets the thread write what it holds, for [`SHUTDOWN_TIMEOUT`] at most.
+    /// Waits until the thread has written its entries, for at most [`SHUTDOWN_TIMEOUT`].
     pub fn finish(self) {
         drop(self.entries);
         let deadline = Instant::now() + SHUTDOWN_TIMEOUT;
@@ -155,18 +155,24 @@
 fn log_event(event: &LedgerEvent) {
     match event {
         LedgerEvent::Durable(_) => {}
-        LedgerEvent::WriteFailed(problem) => error!(problem, "ledger fails; answers go on, entries wait"),
-        LedgerEvent::Recovered => info!("ledger works again"),
+        LedgerEvent::WriteFailed(problem) => error!(problem, "ledger failed; still serving, entries queued"),
+        LedgerEvent::Recovered => info!("ledger writes succeed again"),
         LedgerEvent::EntriesLost(gap) => {
-            error!(entries = gap.entries, from = gap.from, to = gap.to, reason = gap.reason, "ledger gap");
+            error!(
+                entries = gap.entries,
+                from = gap.from,
+                to = gap.to,
+                reason = gap.reason,
+                "ledger entries lost"
+            );
         }
-        LedgerEvent::PeriodClosed(period) => info!(period, "period closed"),
-        LedgerEvent::ExportFinished(name) => info!(name, "period exported"),
+        LedgerEvent::PeriodClosed(period) => info!(period, "billing period closed"),
+        LedgerEvent::ExportFinished(name) => info!(name, "billing period exported"),
     }
 }
 
-/// Passes an event to the event loop, which may have ended. A `Durable` that finds the queue full is dropped: the next
-/// commit covers it.
+/// Sends an event to the event loop, which may have ended. A `Durable` event is dropped if the queue is full: the event of
+/// the next commit covers it.
 fn forward_event(events: &EventSender, event: LedgerEvent) {
     match event {
         LedgerEvent::Durable(_) => events.try_send_ledger(event),
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -2,7 +2,7 @@
 //! event loop until the aggregator exits.
 
 use super::admin::{self, ADMIN_QUEUE_LENGTH, AdminRequest};
-use super::discovery_watch::{DiscoverySource, DiscoveryWatchHandle};
+use super::discovery_watch::{DiscoveryWatchContext, DiscoveryWatchHandle};
 use super::effects::{EffectDispatcher, EffectTargets};
 use super::event_loop::{EventLoop, Signals};
 use super::hot_restart::HotRestartHandle;
@@ -30,7 +30,7 @@
 /// Runs the aggregator until it has shut down gracefully. `sailmux run` calls it.
 ///
 /// # Errors
-/// What keeps the program from starting.
+/// Any error that prevents startup, for example an address that cannot be bound.
 pub async fn serve(config: Config) -> io::Result<()> {
     let sharing = match config.admin_address {
         Some(_) => AddressSharing::SharedWithSiblings,
@@ -39,10 +39,10 @@
     serve_on(listener::bind(config.listen, sharing)?, config).await
 }
 
-/// Runs the aggregator on a client listener that is bound already. `sailmux demo` calls it.
+/// Runs the aggregator on a client listener that is already bound. `sailmux demo` calls it.
 ///
 /// # Errors
-/// What keeps the program from starting.
+/// Any error that prevents startup, for example a ledger that cannot be opened.
 pub async fn serve_on(listener: TcpListener, config: Config) -> io::Result<()> {
     let mut event_loop = start(listener, config).await?;
     event_loop.run().await;
@@ -50,7 +50,7 @@
     Ok(())
 }
 
-/// Starts everything around the event loop, in the order in which the parts need each other.
+/// Starts the tasks and threads around the event loop, each after those that it depends on.
 async fn start(listener: TcpListener, config: Config) -> io::Result<EventLoop> {
     let clock = Rc::new(Clock::system());
     let signals = Signals::install()?;
@@ -111,20 +111,20 @@
     Ok(event_loop)
 }
 
-/// The stored overrides, and the handle that stores further ones.
+/// The overrides that were stored before this process started, and the handle that stores further ones.
 struct InitialOverrides {
-    /// None where there is no admin address to give overrides, or where they cannot be stored.
+    /// `None` without an admin address, through which overrides are set, or if overrides cannot be stored.
     hot_restart: Option<HotRestartHandle>,
     overrides: Overrides,
 }
 
-/// Opens the directory that all processes of this aggregator share.
+/// Opens the directory that all processes of this aggregator share, and reads the overrides stored there.
 fn load_overrides(config: &Config, events: &EventSender, clock: &Clock) -> InitialOverrides {
-    let none = InitialOverrides { hot_restart: None, overrides: Overrides::default() };
+    let not_stored = InitialOverrides { hot_restart: None, overrides: Overrides::default() };
     if config.admin_address.is_none() {
-        return none;
+        return not_stored;
     }
-    let Some(parent) = std::env::var_os("TMPDIR") else { return none };
+    let Some(parent) = std::env::var_os("TMPDIR") else { return not_stored };
     let parent = Path::new(&parent);
     let opened = SharedDirectory::open(parent, &config.name, &config.listen.to_string())
         .and_then(|directory| HotRestartHandle::start(directory, config.seed, events.clone(), clock.clone()));
@@ -132,35 +132,35 @@
         Ok((handle, overrides)) => InitialOverrides { hot_restart: Some(handle), overrides },
         Err(error) => {
             error!(
-                "overrides cannot be stored below {}: {error}; overrides hold in this process alone",
+                "overrides cannot be stored below {}: {error}; they apply to this process only",
                 parent.display()
             );
-            none
+            not_stored
         }
     }
 }
 
-/// Starts the admin server, where there is an address for it. Without one the returned queue is closed.
+/// Starts the admin server if it has an address. Without one the returned queue is closed.
 fn start_admin(address: Option<SocketAddr>, name: &str) -> io::Result<mpsc::Receiver<AdminRequest>> {
     let (sender, requests) = mpsc::channel(ADMIN_QUEUE_LENGTH);
     if let Some(address) = address {
         let listener = listener::bind(address, AddressSharing::Exclusive)?;
-        info!("sailmux {name}: operators on {}", listener.local_addr()?);
+        info!("sailmux {name}: admin interface on {}", listener.local_addr()?);
         tokio::task::spawn_local(admin::serve(listener, sender));
     }
     Ok(requests)
 }
 
-/// What the watch of discovery starts with.
+/// Parameters that the discovery watch starts with.
 struct DiscoveryStart {
     address: Arc<str>,
-    /// The endpoint list that this aggregator had last.
+    /// The last known endpoint list, from the configuration; in force until discovery sends a newer one.
     known: EndpointList,
     seed: u64,
 }
 
-/// Feeds the endpoints known at the start to the aggregator and watches their sources. Inventory files take
-/// discovery's place unless discovery is configured as a further source.
+/// Passes the initial endpoint lists to the aggregator and watches their sources. Inventory files replace discovery
+/// unless discovery is configured as an additional source.
 fn start_endpoint_sources(
     event_loop: &mut EventLoop,
     events: &EventSender,
@@ -179,13 +179,13 @@
         inventory_watch::start(inventory, events.clone(), (*event_loop.clock).clone())?;
     }
     if uses_discovery {
-        let source = DiscoverySource {
+        let context = DiscoveryWatchContext {
             generation: Rc::new(Cell::new(generation)),
             seed: discovery.seed,
             events: events.clone(),
             clock: event_loop.clock.clone(),
         };
-        let watch = DiscoveryWatchHandle::start(discovery.address, source, event_loop.state.settings());
+        let watch = DiscoveryWatchHandle::start(discovery.address, context, event_loop.state.settings());
         event_loop.discovery_watch = Some(watch);
     }
     Ok(())
@@ -199,13 +199,13 @@
     limits: Limits,
 ) -> io::Result<oneshot::Sender<()>> {
     let listener = TcpListener::bind(address).await?;
-    info!("sailmux {name}: flight on {}", listener.local_addr()?);
+    info!("sailmux {name}: Flight server on {}", listener.local_addr()?);
     let (stop, stopped) = oneshot::channel();
     tokio::task::spawn_local(flight::server::serve(listener, events, limits, stopped));
     Ok(stop)
 }
 
-/// The paths as the log names them.
+/// The inventory files' paths, for log lines.
 fn inventory_paths(inventory: Option<&operator::Inventory>) -> Vec<Arc<str>> {
     let files = inventory.into_iter().flat_map(|inventory| &inventory.files);
     files.map(|file| file.path.display().to_string().into()).collect()
--- a/tests/common/process/program.rs
+++ b/tests/common/process/program.rs
@@ -130,7 +130,7 @@
 
     /// An admin command on the admin address; the status of its response.
     pub fn send_admin_command(&mut self, call: &str) -> u16 {
-        let admin: SocketAddr = self.wait_for_log("operators on ").parse().expect("an address");
+        let admin: SocketAddr = self.wait_for_log("admin interface on ").parse().expect("an address");
         Client::connect(admin)
             .request(format!("{call} HTTP/1.1\r\nHost: m\r\nContent-Length: 0\r\n\r\n"))
             .status
@@ -143,7 +143,7 @@
 
     /// Where the aggregator serves Flight.
     pub fn flight_address(&mut self) -> String {
-        self.wait_for_log("flight on ")
+        self.wait_for_log("Flight server on ")
     }
 
     /// The counters as they stand.
--- a/tests/operate.rs
+++ b/tests/operate.rs
@@ -25,7 +25,7 @@
 fn the_admin_interface_answers_beside_60_idle_connections() {
     let server = AnsweringLeafServer::new();
     let mut aggregator = with_admin(&[listed("a", server.address, 0)]).start();
-    let at: SocketAddr = aggregator.wait_for_log("operators on ").parse().expect("an address");
+    let at: SocketAddr = aggregator.wait_for_log("admin interface on ").parse().expect("an address");
     wait_until("ready", || aggregator.send_admin_command("GET /-/ready") == 200);
     let idle: Vec<TcpStream> = (0..60).map(|_| TcpStream::connect(at).expect("accepted")).collect();
     for (i, mut stream) in idle.iter().enumerate() {
--- a/tests/operational_faults.rs
+++ b/tests/operational_faults.rs
@@ -241,7 +241,7 @@
     let TwoLeafServers { a, setup, _b, _port } = TwoLeafServers::new();
     let mut aggregator = setup.start();
     wait_until_ready(&mut aggregator);
-    let at: SocketAddr = aggregator.wait_for_log("operators on ").parse().expect("an address");
+    let at: SocketAddr = aggregator.wait_for_log("admin interface on ").parse().expect("an address");
     // More clients than the limit.
     let clients: Vec<TcpStream> =
         (0..700).filter_map(|_| TcpStream::connect(aggregator.address).ok()).collect();
