--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -176,7 +176,7 @@
         Event::ShutdownRequested
     }
 
-    /// Reads the configuration again; if it is invalid, the settings in force stay.
+    /// Reads the configuration again; if it is invalid, the previous settings stay in force.
     fn reload(&mut self) -> Event {
         let name = &self.name;
         let config = match Config::reload(&self.config_keys) {
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -1,5 +1,5 @@
-//! Discovery and leaf servers with the faults of a large fleet: overload, broken responses, replaced processes. Runs the
-//! real program on loopback.
+//! Faults of discovery and of leaf servers in a large fleet: overload, broken responses, replaced processes. Runs the
+//! aggregator's binary on loopback.
 
 mod common;
 
@@ -8,8 +8,8 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// Sends a query for one shard; the leaf server answers its part on a new connection, which is returned.
-fn query_is_answered_by(
+/// Sends a query for one shard and answers its part on a new connection to the leaf server, which is returned.
+fn assert_query_answered_by(
     aggregator: &Aggregator,
     leaf_server: &LeafServer,
     id: &str,
@@ -24,7 +24,7 @@
     connection
 }
 
-/// Answers the next part that reaches one of some leaf servers, and all health checks until then.
+/// Answers the next part that any of the leaf servers receives, and all health checks until then.
 fn answer_next_part(leaf_servers: &[&LeafServer], connections: &mut Vec<LeafConnection>, load_report: &str) {
     let deadline = Instant::now() + PATIENCE;
     while Instant::now() < deadline {
@@ -33,7 +33,7 @@
             match connection.next_frame().expect("a complete frame") {
                 ('p', _) => connection.send_frame('p', load_report),
                 (_, rest) => {
-                    let part = rest.split(' ').next().expect("an id");
+                    let part = rest.split(' ').next().expect("the part's id");
                     connection.answer(part, "good", "v");
                     return;
                 }
@@ -41,16 +41,16 @@
         }
         std::thread::sleep(Duration::from_millis(1));
     }
-    panic!("no part arrives");
+    panic!("no part arrived");
 }
 
-/// Accepts the aggregator's next call to discovery and reads its request, without answering.
-fn accept_call(discovery: &Discovery) -> TcpStream {
+/// Accepts the aggregator's next request to discovery and reads it, without responding.
+fn accept_request(discovery: &Discovery) -> TcpStream {
     let mut stream = discovery.accept_raw();
     let mut request = Vec::new();
     while !request.ends_with(b"\r\n\r\n") {
         let mut byte = [0];
-        stream.read_exact(&mut byte).expect("a request");
+        stream.read_exact(&mut byte).expect("a complete request");
         request.push(byte[0]);
     }
     stream
@@ -58,7 +58,7 @@
 
 const RESPONSE_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// A list that spans several lines is one list.
+/// The JSON of one list may span several lines.
 #[test]
 fn an_indented_list_is_applied() {
     let (a, b) = (LeafServer::new(), LeafServer::new());
@@ -70,49 +70,49 @@
     let update = list(9, false, &[Listed { started: 1, ..listed("b", b.address, 1) }]);
     watch.send_event(&update.replace(',', ",\n    ").replace('{', "{\n  "));
     aggregator.wait_for_counter("lists_taken", 2);
-    query_is_answered_by(&aggregator, &b, "q1", 1);
+    assert_query_answered_by(&aggregator, &b, "q1", 1);
     assert_eq!(aggregator.counters()["lists_unreadable"], 0);
 }
 
-/// Discovery rejects calls, closes connections, and sends half a response, noise and a field of a wrong type. The list
-/// known at the start stays in force, each call is counted, and the first good response is applied.
+/// Discovery rejects requests, closes connections, and sends a truncated response, noise and a field of the wrong type. The
+/// list known at the start stays in force, each request is counted, and the first valid response is applied.
 #[test]
-fn the_known_list_stays_in_force_until_discovery_sends_a_good_one() {
+fn the_known_list_stays_in_force_until_discovery_sends_a_valid_one() {
     let (a, b) = (LeafServer::new(), LeafServer::new());
     let discovery = Discovery::new();
     let known = Setup::new(&[listed("a", a.address, 0)]);
     let mut aggregator = Setup { discovery: discovery.address(), ..known }.start();
-    // Started long ago: a server in slow start is drawn by chance, which may take longer than the test.
+    // Started long ago: a leaf server in slow start is selected by chance only, which may take longer than the test.
     let update = list(9, false, &[Listed { started: 1, ..listed("b", b.address, 1) }]);
     let chunk = |line: &str| format!("{RESPONSE_HEAD}{:x}\r\n{line}\n\r\n", line.len() + 1);
-    for answer in [
+    for response in [
         "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n".to_owned(),
         String::new(),
         chunk(&update).split_at(RESPONSE_HEAD.len() + 60).0.to_owned(),
         chunk("noise"),
         chunk(&update.replace("\"cell\":1", "\"cell\":\"one\"")),
     ] {
-        accept_call(&discovery).write_all(answer.as_bytes()).expect("the aggregator reads");
+        accept_request(&discovery).write_all(response.as_bytes()).expect("the aggregator reads");
     }
     aggregator.wait_for_counter("watches_lost", 5);
     aggregator.wait_for_log("instances[0].cell");
-    query_is_answered_by(&aggregator, &a, "q1", 0);
-    let mut watch = accept_call(&discovery);
+    assert_query_answered_by(&aggregator, &a, "q1", 0);
+    let mut watch = accept_request(&discovery);
     watch.write_all(chunk(&update).as_bytes()).expect("the aggregator reads");
     aggregator.wait_for_counter("lists_taken", 2);
-    query_is_answered_by(&aggregator, &b, "q2", 1);
+    assert_query_answered_by(&aggregator, &b, "q2", 1);
     let counters = aggregator.counters();
     assert_eq!((counters["lists_unreadable"], counters["watches_lost"]), (2, 5), "{counters:?}");
-    assert_eq!(counters["list_calls"], 6, "one call at a time");
+    assert_eq!(counters["list_calls"], 6, "one request at a time");
 }
 
-/// A response whose head never ends is never silent for long: it times out all the same, and discovery is called again.
+/// A response head that never ends times out although data keeps arriving, and discovery is requested again.
 #[test]
 fn a_response_that_trickles_times_out() {
     let discovery = Discovery::new();
     let aggregator = Setup { discovery: discovery.address(), ..Setup::new(&[]) }.start();
-    let mut stream = accept_call(&discovery);
-    let wait_for_trickle_to_end = background(move || {
+    let mut stream = accept_request(&discovery);
+    let join_trickle = background(move || {
         stream.write_all(b"HTTP/1.1 200 OK\r\n").expect("the aggregator reads");
         for i in 0.. {
             std::thread::sleep(Duration::from_millis(250));
@@ -121,12 +121,12 @@
             }
         }
     });
-    let _second_call = accept_call(&discovery);
-    wait_for_trickle_to_end();
+    let _second_request = accept_request(&discovery);
+    join_trickle();
     assert_eq!(aggregator.counters()["watches_lost"], 1);
 }
 
-/// A new process under a new name at the address of an old one gets parts; the removed name gets none.
+/// A new leaf server gets parts under its own name although discovery lists it at the address of a removed one.
 #[test]
 fn a_new_leaf_server_at_the_address_of_a_removed_one_gets_parts() {
     let leaf_server = LeafServer::new();
@@ -135,18 +135,18 @@
     let aggregator =
         Setup { discovery: discovery.address(), ..Setup::new(std::slice::from_ref(&old)) }.start();
     let mut watch = discovery.accept();
-    let first = query_is_answered_by(&aggregator, &leaf_server, "q1", 0);
+    let first_connection = assert_query_answered_by(&aggregator, &leaf_server, "q1", 0);
     let gone = Listed { lifecycle: "Gone", ..old };
-    // Started long ago: a server in slow start is drawn by chance, which may take longer than the test.
+    // Started long ago: a leaf server in slow start is selected by chance only, which may take longer than the test.
     let new = Listed { started: 1, ..listed("new", leaf_server.address, 0) };
     watch.send_event(&list(2, false, &[gone, new]));
     aggregator.wait_for_counter("lists_taken", 2);
-    drop(first);
-    query_is_answered_by(&aggregator, &leaf_server, "q2", 0);
+    drop(first_connection);
+    assert_query_answered_by(&aggregator, &leaf_server, "q2", 0);
     assert_eq!(aggregator.counters()["attempts_cold"], 0);
 }
 
-/// A leaf server in slow start beside a warm one gets some of the parts, and these are counted.
+/// A leaf server in slow start gets some of the parts beside a warm one, and these attempts are counted.
 #[test]
 fn attempts_at_leaf_servers_in_slow_start_are_counted() {
     let (warm, cold) = (LeafServer::new(), LeafServer::new());
@@ -156,7 +156,7 @@
     let mut watch = discovery.accept();
     let mut client = Client::connect(aggregator.address);
     let mut connections = Vec::new();
-    let end = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + PATIENCE;
     for i in 0.. {
         if i == 20 {
             assert_eq!(aggregator.counters()["attempts_cold"], 0, "all are warm");
@@ -169,11 +169,11 @@
         if aggregator.counters()["attempts_cold"] > 0 {
             break;
         }
-        assert!(Instant::now() < end, "none of {i} parts went to the cold server");
+        assert!(Instant::now() < deadline, "none of {i} parts went to the cold server");
     }
 }
 
-/// Health checks answered without a load report are counted apart from those with one.
+/// Health checks that are answered without a load report are counted separately from those with one.
 #[test]
 fn health_checks_answered_without_a_load_report_are_counted() {
     for (load_report, counter, other_counter) in
@@ -198,7 +198,7 @@
     }
 }
 
-/// With any size of the fleet and an empty list the program starts, and rejects each query.
+/// With an empty list and any fleet size, the aggregator starts and rejects every query.
 #[test]
 fn any_fleet_size_with_an_empty_list_rejects_queries() {
     let config = Setup::new(&[]).config();
@@ -214,9 +214,9 @@
     }
 }
 
-/// An invalid fleet size or price ends the start with an error that names the field.
+/// An invalid fleet size or price prevents startup with an error that names the field.
 #[test]
-fn invalid_numbers_end_the_start() {
+fn invalid_numbers_prevent_startup() {
     let config = Setup::new(&[]).config();
     for (wrong, field) in [
         ("\"replicasOfMe\":-1", "settings.replicasOfMe"),
@@ -227,22 +227,22 @@
     ] {
         let mut child = spawn(&config.replace("\"replicasOfMe\":1", wrong), None);
         let mut error = String::new();
-        child.stderr.take().expect("piped").read_to_string(&mut error).expect("text");
-        assert!(!child.wait().expect("it ends").success(), "{wrong}");
+        child.stderr.take().expect("stderr is piped").read_to_string(&mut error).expect("valid UTF-8");
+        assert!(!child.wait().expect("the process exits").success(), "{wrong}");
         assert!(error.contains(field), "{wrong}: {error}");
     }
 }
 
 #[test]
-fn a_watch_that_fails_again_after_an_answer_is_logged_again() {
-    // Guards against a failure that is never logged because an equal one was, however long ago.
+fn a_watch_that_fails_again_after_a_response_is_logged_again() {
+    // Guards against a failure that is not logged because an equal one was logged at any time before.
     let discovery = Discovery::new();
     let mut aggregator = Setup { discovery: discovery.address(), ..Setup::new(&[]) }.start();
     let mut failures = Vec::new();
     for generation in 1..=2 {
         let mut watch = discovery.accept();
         watch.send_event(&list(generation, true, &[]));
-        // Failures are logged once a second at most.
+        // Equal failures are logged at most once a second.
         std::thread::sleep(Duration::from_millis(1100));
         drop(watch);
         let line = aggregator.wait_for_new_log("discovery: ");
--- a/tests/discovery_timing.rs
+++ b/tests/discovery_timing.rs
@@ -1,4 +1,5 @@
-//! When the aggregators of a large fleet open their watches, side by side on one clock: each is harmless alone.
+//! Simulates when the aggregators of a large fleet open their watches of discovery, on one clock: the calls of a single
+//! aggregator are harmless, but those of a fleet together may overload discovery.
 
 mod common;
 
@@ -8,15 +9,15 @@
 
 const AGGREGATORS: u32 = 100;
 
-/// The times of calls in milliseconds.
+/// The times of calls to discovery, in milliseconds.
 #[derive(Default)]
 struct Calls {
     all: Vec<f64>,
     served: Vec<f64>,
 }
 
-/// Opens the watches of all aggregators at a discovery that serves this many a second and rejects the others at once, from
-/// the moment all their watches break.
+/// Simulates that the watches of all aggregators break at the same moment and are opened again, at a discovery service that
+/// serves `served_per_second` calls a second and rejects the others at once.
 fn simulate_broken_watches(served_per_second: usize, seed: u64) -> Calls {
     let mut timings: Vec<DiscoveryTiming> = (0..AGGREGATORS)
         .map(|i| DiscoveryTiming::shared_discovery(seed + u64::from(i) * 7919, AGGREGATORS))
@@ -32,7 +33,7 @@
             break;
         }
         calls.all.push(now);
-        if calls.served.iter().rev().take_while(|t| **t > now - 1000.0).count() < served_per_second {
+        if calls.served.iter().rev().take_while(|time| **time > now - 1000.0).count() < served_per_second {
             calls.served.push(now);
         } else {
             due.push((micros(now + timings[i].next_delay(false)), i));
@@ -41,8 +42,8 @@
     calls
 }
 
-/// A discovery that can serve twenty aggregators a second has updated a hundred within seconds, and never gets more than
-/// about twice the calls that it was sized for.
+/// A discovery service that can serve 20 aggregators a second has updated 100 of them within 20 s, and never gets more than
+/// about twice the calls that it is sized for.
 #[test]
 fn an_overloaded_discovery_updates_all_aggregators_within_seconds() {
     for seed in [1, 971, 70_580] {
@@ -52,61 +53,65 @@
             AGGREGATORS as usize,
             "seed {seed}: some aggregators are never updated"
         );
-        let last = calls.served.iter().copied().fold(0.0, f64::max);
-        assert!(last < 20_000.0, "seed {seed}: the last aggregator is updated after {last} ms");
-        let most = most_within(&calls.all, 1000.0);
-        assert!(most <= 200, "seed {seed}: {most} calls within a second");
+        let last_update = calls.served.iter().copied().fold(0.0, f64::max);
+        assert!(last_update < 20_000.0, "seed {seed}: the last aggregator is updated after {last_update} ms");
+        let max_calls = most_within(&calls.all, 1000.0);
+        assert!(max_calls <= 200, "seed {seed}: {max_calls} calls within a second");
         assert!(calls.all.len() < 600, "seed {seed}: {} calls", calls.all.len());
     }
 }
 
-/// A hundred aggregators start at once, each with a list that may be old: all open their watches within a tenth of the 1 s
-/// in which a drain must take effect, spread over that time.
+/// 100 aggregators start at once, each with a list that may be outdated. All open their watches within 100 ms, a tenth of
+/// the 1 s in which a drain must take effect, and spread over that time.
 #[test]
 fn first_watches_are_opened_soon_and_spread_over_the_fleet() {
     let mut calls: Vec<f64> = (0..AGGREGATORS)
         .map(|i| DiscoveryTiming::shared_discovery(u64::from(i), AGGREGATORS).initial_delay())
         .collect();
     calls.sort_by(f64::total_cmp);
-    assert!(calls.iter().all(|c| (0.0..100.0).contains(c)), "{calls:?}");
+    assert!(calls.iter().all(|time| (0.0..100.0).contains(time)), "{calls:?}");
     assert!(most_within(&calls, 10.0) <= 25, "{calls:?}");
 }
 
-/// However large the fleet, the delays are short against the protocol's bounds: 1 s from a drain's event to its effect, 6 s
-/// from a change at discovery to its effect.
+/// For any fleet size, the delays are short compared to the protocol's bounds: 1 s from the event of a drain to its effect,
+/// 6 s from a change at discovery to its effect.
 #[test]
 fn no_backoff_is_long_against_the_bounds_on_drains_and_changes() {
     for aggregators in [1, 10, 100, 300, 1000, u32::MAX] {
         for seed in [3, 476_429_189_053, 828_407_217_065] {
             let mut timing = DiscoveryTiming::shared_discovery(seed, aggregators);
-            let first = timing.initial_delay();
-            assert!(first < 100.0, "{aggregators} aggregators, seed {seed}: first call after {first} ms");
+            let first_delay = timing.initial_delay();
+            assert!(
+                first_delay < 100.0,
+                "{aggregators} aggregators, seed {seed}: first call after {first_delay} ms"
+            );
             for round in 0..50 {
                 let delay = timing.next_delay(true);
                 assert!(
                     delay < 100.0,
                     "{aggregators} aggregators, seed {seed}, round {round}: {delay} ms after a watch"
                 );
-                let failed: Vec<f64> = (0..20).map(|_| timing.next_delay(false)).collect();
+                let failed_call_delays: Vec<f64> = (0..20).map(|_| timing.next_delay(false)).collect();
                 assert!(
-                    failed.iter().all(|w| *w <= 2000.0),
-                    "{aggregators} aggregators, seed {seed}: {failed:?}"
+                    failed_call_delays.iter().all(|delay| *delay <= 2000.0),
+                    "{aggregators} aggregators, seed {seed}: {failed_call_delays:?}"
                 );
             }
         }
     }
 }
 
-/// With a discovery agent of its own, an aggregator waits no longer in a large fleet. After a watch falls silent there is
-/// time for a call that stays silent and two that are rejected before a change must be in effect.
+/// With a local discovery agent, the delays do not grow with the fleet. After a watch has stopped responding, there is time
+/// for one call that times out and two that are rejected before a change must be in effect.
 #[test]
 fn a_local_agent_is_watched_again_within_the_bound_on_changes() {
     for aggregators in [1, 300, u32::MAX] {
         for seed in 0..1000 {
             let mut timing = DiscoveryTiming::local_agent(seed, aggregators);
-            let mut chain = timing.watch_timeout() + timing.next_delay(true) + timing.response_timeout();
-            chain += (0..3).map(|_| timing.next_delay(false)).sum::<f64>();
-            assert!(chain < 6000.0, "{aggregators} aggregators, seed {seed}: {chain} ms");
+            let mut total_delay =
+                timing.watch_timeout() + timing.next_delay(true) + timing.response_timeout();
+            total_delay += (0..3).map(|_| timing.next_delay(false)).sum::<f64>();
+            assert!(total_delay < 6000.0, "{aggregators} aggregators, seed {seed}: {total_delay} ms");
             assert!(
                 (0..50).all(|_| timing.next_delay(false) <= 600.0),
                 "{aggregators} aggregators, seed {seed}"
@@ -120,9 +125,9 @@
 fn small_fleets_retry_soon() {
     for aggregators in [0, 1, 2, u32::MAX] {
         let mut timing = DiscoveryTiming::shared_discovery(7, aggregators);
-        let waits: Vec<f64> = (0..100).map(|_| timing.next_delay(false)).collect();
-        let most = if aggregators < 10 { 600.0 } else { 15_000.0 };
-        assert!(waits.iter().all(|w| (50.0..=most).contains(w)), "{aggregators}: {waits:?}");
+        let delays: Vec<f64> = (0..100).map(|_| timing.next_delay(false)).collect();
+        let max_delay = if aggregators < 10 { 600.0 } else { 15_000.0 };
+        assert!(delays.iter().all(|delay| (50.0..=max_delay).contains(delay)), "{aggregators}: {delays:?}");
         assert!(aggregators > 10 || timing.initial_delay() == 0.0);
     }
 }
--- a/tests/operate.rs
+++ b/tests/operate.rs
@@ -1,5 +1,5 @@
-//! Operating a running aggregator, on real processes: the admin interface, overrides of leaf servers, draining, hot
-//! restart, and new settings at SIGHUP.
+//! Operation of running aggregator processes: the admin interface, overrides of leaf servers, draining, hot restart, and
+//! reloaded settings at SIGHUP.
 
 mod common;
 
@@ -11,12 +11,12 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// An aggregator with an admin interface.
-fn with_admin(servers: &[Listed]) -> Setup {
+/// The setup of an aggregator with an admin interface.
+fn setup_with_admin(servers: &[Listed]) -> Setup {
     Setup { has_admin_address: true, ..Setup::new(servers) }
 }
 
-/// The status of a query over a connection of its own.
+/// Sends a query over a new connection; the status of its response.
 fn query_status(aggregator: &Aggregator, id: &str) -> u16 {
     Client::connect(aggregator.address).request(query(id, "9000m", &[0])).status
 }
@@ -24,12 +24,14 @@
 #[test]
 fn the_admin_interface_answers_beside_60_idle_connections() {
     let server = AnsweringLeafServer::new();
-    let mut aggregator = with_admin(&[listed("a", server.address, 0)]).start();
-    let at: SocketAddr = aggregator.wait_for_log("admin interface on ").parse().expect("an address");
+    let mut aggregator = setup_with_admin(&[listed("a", server.address, 0)]).start();
+    let admin_address: SocketAddr =
+        aggregator.wait_for_log("admin interface on ").parse().expect("an address");
     wait_until("ready", || aggregator.send_admin_command("GET /-/ready") == 200);
-    let idle: Vec<TcpStream> = (0..60).map(|_| TcpStream::connect(at).expect("accepted")).collect();
+    let idle: Vec<TcpStream> =
+        (0..60).map(|_| TcpStream::connect(admin_address).expect("accepted")).collect();
     for (i, mut stream) in idle.iter().enumerate() {
-        // Some send half a call.
+        // Every other connection sends an incomplete request.
         if i % 2 == 0 {
             stream.write_all(b"POST /-/drain HT").expect("written");
         }
@@ -44,73 +46,75 @@
         ("GET /-/drain", 405),
         ("GET /-/else", 404),
     ] {
-        let began = Instant::now();
+        let started_at = Instant::now();
         assert_eq!(aggregator.send_admin_command(call), status, "{call}");
-        assert!(began.elapsed() < Duration::from_secs(1), "{call} took {:?}", began.elapsed());
+        assert!(started_at.elapsed() < Duration::from_secs(1), "{call} took {:?}", started_at.elapsed());
     }
     let mut last = &idle[59];
-    assert_eq!(last.read(&mut [0; 64]).expect("closed in order"), 0, "an idle connection is closed");
+    assert_eq!(last.read(&mut [0; 64]).expect("closed without a reset"), 0, "an idle connection is closed");
     assert_eq!(aggregator.counters()["operations_refused"], 2);
 }
 
-/// Disabled whatever discovery and SIGHUP say, until one call enables it, however many disabled it; then used in 5 s.
+/// A leaf server stays disabled through lists from discovery and reloads at SIGHUP until one call enables it, however many
+/// calls disabled it. It gets parts again within 5 s after that.
 #[test]
 fn a_disabled_leaf_server_gets_no_part_until_it_is_enabled() {
     let (a, b) = (AnsweringLeafServer::new(), AnsweringLeafServer::new());
     let discovery = Discovery::new();
     let servers = [listed("a", a.address, 0), listed("b", b.address, 0)];
-    let mut aggregator = Setup { discovery: discovery.address(), ..with_admin(&servers) }.start();
+    let mut aggregator = Setup { discovery: discovery.address(), ..setup_with_admin(&servers) }.start();
     let mut watch = discovery.accept();
     watch.send_event(&list(2, true, &servers));
     aggregator.wait_for_counter("lists_taken", 2);
-    let ask = |aggregator: &Aggregator, n: usize, from: &str| {
-        for i in 0..n {
-            assert_eq!(query_status(aggregator, &format!("{from}{i}")), 200);
+    let send_queries = |aggregator: &Aggregator, count: usize, id_prefix: &str| {
+        for i in 0..count {
+            assert_eq!(query_status(aggregator, &format!("{id_prefix}{i}")), 200);
         }
     };
-    ask(&aggregator, 40, "p");
+    send_queries(&aggregator, 40, "p");
     assert!(a.count() > 0 && b.count() > 0);
     assert_eq!(aggregator.send_admin_command("POST /-/leaf-servers/a/disable"), 200);
     assert_eq!(aggregator.send_admin_command("POST /-/leaf-servers/a/disable"), 200);
-    let before = a.count();
+    let parts_before = a.count();
     watch.send_event(&list(3, true, &servers));
     aggregator.wait_for_counter("lists_taken", 4);
     aggregator.signal("-HUP");
     aggregator.wait_for_counter("reloads", 1);
-    ask(&aggregator, 40, "q");
-    assert_eq!(a.count(), before, "disabled");
-    // Discovery removes it and lists it again: the override is of the name.
+    send_queries(&aggregator, 40, "q");
+    assert_eq!(a.count(), parts_before, "disabled");
+    // Discovery removes the leaf server and lists it again: the override applies to its name.
     watch.send_event(&list(4, false, &[Listed { lifecycle: "Gone", ..servers[0].clone() }]));
     watch.send_event(&list(5, false, &servers[..1]));
     aggregator.wait_for_counter("lists_taken", 6);
-    ask(&aggregator, 20, "r");
-    assert_eq!(a.count(), before, "disabled after discovery listed it again");
+    send_queries(&aggregator, 20, "r");
+    assert_eq!(a.count(), parts_before, "disabled after discovery listed it again");
     assert_eq!(aggregator.send_admin_command("POST /-/leaf-servers/a/enable"), 200);
-    let back = Instant::now();
+    let enabled_at = Instant::now();
     let mut i = 0;
     wait_until("a is used again", || {
         i += 1;
         assert_eq!(query_status(&aggregator, &format!("s{i}")), 200);
-        a.count() > before
+        a.count() > parts_before
     });
-    assert!(back.elapsed() < Duration::from_secs(5), "{:?}", back.elapsed());
+    assert!(enabled_at.elapsed() < Duration::from_secs(5), "{:?}", enabled_at.elapsed());
 }
 
-/// Its health endpoint says no, its clients' connections are closed, and the process runs on until it is resumed.
+/// While the aggregator is drained, its health endpoint reports 503, clients' connections are closed, and the process keeps
+/// running until it is resumed.
 #[test]
 fn a_drained_aggregator_closes_its_clients_and_resumes() {
     let server = AnsweringLeafServer::new();
-    let mut aggregator = with_admin(&[listed("a", server.address, 0)]).start();
+    let mut aggregator = setup_with_admin(&[listed("a", server.address, 0)]).start();
     let mut persistent = Client::connect(aggregator.address);
     assert_eq!(persistent.request(query("q1", "9000m", &[0])).status, 200);
     let mut idle = Client::connect(aggregator.address);
     assert_eq!(aggregator.send_admin_command("POST /-/drain"), 200);
-    let drained = Instant::now();
+    let drained_at = Instant::now();
     assert_eq!(aggregator.healthz(), 503);
     assert_eq!(query_status(&aggregator, "q2"), 200, "a new client is served all the same");
     persistent.wait_until_closed();
     idle.wait_until_closed();
-    assert!(drained.elapsed() < Duration::from_secs(2), "{:?}", drained.elapsed());
+    assert!(drained_at.elapsed() < Duration::from_secs(2), "{:?}", drained_at.elapsed());
     let mut late = Client::connect(aggregator.address);
     let reply = late.request(query("q3", "9000m", &[0]));
     assert_eq!((reply.status, reply.header("Connection")), (200, Some("close")));
@@ -121,7 +125,7 @@
     assert!(aggregator.wait_for_exit().success(), "SIGTERM while it is drained");
 }
 
-/// Three processes one after the other under load, with an override given to each.
+/// Two hot restarts under load; in each, an override is set in one of the two processes.
 #[test]
 fn hot_restarts_under_load_lose_no_query_and_keep_the_overrides() {
     let (a, b, c) = (AnsweringLeafServer::new(), AnsweringLeafServer::new(), AnsweringLeafServer::new());
@@ -132,33 +136,36 @@
     let running = Arc::new(AtomicBool::new(true));
     let clients = load(old.address, &running, 6);
     assert_eq!(old.send_admin_command("POST /-/leaf-servers/a/disable"), 200);
-    let out = a.count();
+    let parts_when_disabled = a.count();
     for round in 0..2 {
         let mut new = setup.start();
         wait_until("the new one is ready", || new.send_admin_command("GET /-/ready") == 200);
-        // An override given to either process is in force in both once it is answered.
-        let (given_to, other, call, logged) = match round {
+        // An override set in either process is in force in both once its call is answered.
+        let (target, other, call, expected_log) = match round {
             0 => (&mut old, &mut new, "disable", "leaf server disabled leaf_server=\"b\""),
             _ => (&mut new, &mut old, "enable", "leaf server enabled leaf_server=\"b\""),
         };
-        assert_eq!(given_to.send_admin_command(&format!("POST /-/leaf-servers/b/{call}")), 200);
-        other.wait_for_log(logged);
-        let served = b.count();
+        assert_eq!(target.send_admin_command(&format!("POST /-/leaf-servers/b/{call}")), 200);
+        other.wait_for_log(expected_log);
+        let parts_before = b.count();
         thread::sleep(Duration::from_millis(100));
-        assert!(round > 0 || b.count() == served, "disabled in both from the answer on");
+        assert!(
+            round > 0 || b.count() == parts_before,
+            "disabled in both processes once the call is answered"
+        );
         old.signal("-TERM");
         assert!(old.wait_for_exit().success());
         old.wait_for_log("to=\"hot restarting\"");
         old = new;
     }
-    assert_eq!(a.count(), out, "disabled through two hot restarts");
-    let before = b.count();
-    wait_until("b is used again", || b.count() > before);
+    assert_eq!(a.count(), parts_when_disabled, "disabled through two hot restarts");
+    let parts_before = b.count();
+    wait_until("b is used again", || b.count() > parts_before);
     running.store(false, Ordering::SeqCst);
     let mut queries = 0;
     let mut failures = 0;
     for client in clients {
-        let (sent, failed) = client.join().expect("ended");
+        let (sent, failed) = client.join().expect("the client thread ends");
         queries += sent;
         failures += failed;
     }
@@ -166,19 +173,19 @@
     assert_eq!(failures, 0, "of {queries}");
 }
 
-/// A new process that fails to start, or is killed once it is ready.
+/// During a hot restart, the new process fails to start, or is killed after it has become ready.
 #[test]
-fn a_new_process_that_dies_leaves_the_old_one_serving() {
+fn a_new_process_that_crashes_leaves_the_old_one_serving() {
     let server = AnsweringLeafServer::new();
     let reserved_port = shared_port();
     let setup = Setup::new(&[listed("a", server.address, 0)]).shared(&reserved_port);
     let mut old = setup.start();
     old.wait_for_log("to=\"ready\"");
-    let broken = Aggregator::start_expecting_failure(
+    let exit_status = Aggregator::start_expecting_failure(
         &setup.config().replace("\"maxAttempts\":3", "\"maxAttempts\":0"),
         &setup,
     );
-    assert!(!broken.success(), "it does not start");
+    assert!(!exit_status.success(), "a process with invalid settings started");
     let mut new = setup.start();
     wait_until("the new one is ready", || new.send_admin_command("GET /-/ready") == 200);
     old.wait_for_log("others=1 ready=true");
@@ -188,14 +195,14 @@
         assert_eq!(query_status(&old, &format!("q{i}")), 200);
     }
     assert_eq!(old.healthz(), 200);
-    // Without another process it shuts down as ever.
+    // Without a sibling process, SIGTERM starts a normal graceful shutdown.
     old.signal("-TERM");
     assert!(old.wait_for_exit().success());
     old.wait_for_log("to=\"shutting down\"");
 }
 
-/// Garbage, a truncated file, a later version's file, or a directory that cannot be made: logged, never applied; admin
-/// calls are answered all the same.
+/// The stored overrides are malformed, truncated or of a later version, or their directory cannot be created. This is
+/// logged, unusable files are never applied, and admin calls are answered all the same.
 #[test]
 fn stored_overrides_that_are_unusable_are_logged_and_moved_aside() {
     let server = AnsweringLeafServer::new();
@@ -206,14 +213,14 @@
     assert_eq!(first.send_admin_command("POST /-/leaf-servers/a/disable"), 200);
     first.kill();
     let directory = std::fs::read_dir(&tmp).expect("read").next().expect("a directory").expect("read").path();
-    let valid = std::fs::read(directory.join("orders")).expect("kept");
+    let valid = std::fs::read(directory.join("orders")).expect("stored overrides");
     for unusable in
         [b"noise".to_vec(), valid[..valid.len() - 3].to_vec(), b"sailmux-orders 9 2 0\n{}".to_vec()]
     {
         std::fs::write(directory.join("orders"), &unusable).expect("written");
         let mut aggregator = setup.start();
         aggregator.wait_for_log("moved aside");
-        assert_eq!(std::fs::read(directory.join("orders.unusable")).expect("aside"), unusable);
+        assert_eq!(std::fs::read(directory.join("orders.unusable")).expect("the file moved aside"), unusable);
         assert_eq!(query_status(&aggregator, "q"), 200, "no override is in force");
         aggregator.kill();
     }
@@ -229,11 +236,12 @@
     aggregator.wait_for_log("leaf server disabled");
 }
 
-/// A query in flight keeps the attempts and the class that it began with; the next ones go by the new settings.
+/// A query in flight keeps the attempt limit and the class that it started with; the reloaded settings apply to queries
+/// that start later.
 #[test]
 fn reloaded_settings_apply_to_new_queries_only() {
     let (a, b) = (LeafServer::new(), LeafServer::new());
-    let setup = with_admin(&[listed("a", a.address, 0), listed("b", b.address, 0)]);
+    let setup = setup_with_admin(&[listed("a", a.address, 0), listed("b", b.address, 0)]);
     let mut aggregator = setup.start();
     let mut in_flight = Client::connect(aggregator.address);
     in_flight.send(query("q1", "9000m", &[0]));
@@ -247,7 +255,7 @@
     aggregator.signal("-HUP");
     aggregator.wait_for_counter("reloads", 1);
     connection.answer(&part, "later", "");
-    // By the old settings it is retried; the class is unknown to new queries.
+    // The part is retried under the old settings; the old class is unknown to new queries.
     let mut second = accept_first(&[&a, &b]);
     let mut other = Client::connect(aggregator.address);
     assert_eq!(other.request(query("q2", "9000m", &[0])).status, 400);
@@ -258,15 +266,16 @@
     let mut client = Client::connect(aggregator.address);
     client.send(renamed);
     let mut connections = [connection, second];
-    wait_until("a part comes", || connections.iter().any(LeafConnection::has_frame));
-    let connection = connections.iter_mut().find(|l| l.has_frame()).expect("one");
+    wait_until("a part arrives", || connections.iter().any(LeafConnection::has_frame));
+    let connection =
+        connections.iter_mut().find(|connection| connection.has_frame()).expect("a connection with a frame");
     let part = connection.next_part();
     connection.answer(&part, "later", "");
-    assert_eq!(client.response().status, 503, "one attempt, by the new settings");
+    assert_eq!(client.response().status, 503, "one attempt, under the new settings");
     wait_until("ready", || aggregator.send_admin_command("GET /-/ready") == 200);
 }
 
-/// Anything else gets a status of its own.
+/// Leaf server names in the path are percent-decoded; wrong methods, unknown paths and malformed names are rejected.
 #[test]
 fn admin_calls_are_distinguished_by_method_and_path() {
     let server = LeafServer::new();
