--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -1,45 +1,49 @@
-//! Admission control: whether a query is likely enough to be answered in time to be worth its work.
+//! Admission control: rejects queries that are too unlikely to be answered in time to be worth their work.
 //!
-//! The chance of a query comes from how long recent parts took against what was expected of them, from how parts of its
-//! shards did against those of others, and from how far the chances of admitted queries have come true.
+//! The chance of a query is the estimated probability that it is answered in time. It is derived from the ratio of
+//! actual to expected latency of recent parts and from the success rate of its shards relative to the other shards. It
+//! is corrected by a calibration, the ratio of the value of recently admitted queries to their predicted chances.
 
-use super::latency::{ENOUGH_SAMPLES, SAMPLES};
+use super::latency::{MIN_SAMPLES, SAMPLE_CAPACITY};
 use super::query_progress::WEIGHT_ROUNDING;
 use super::statistics::{DecayingRatio, RecentSamples};
 use super::{Class, Millis, RejectReason};
 use std::collections::BTreeMap;
 
-/// A query whose parts find queues is admitted from this chance on.
+/// Minimum chance of a query whose parts are expected to queue. Partial answers also leave out the parts of a shard
+/// whose relative success rate is below it.
 const MIN_CHANCE: f64 = 0.4;
-/// A query whose mean part takes less than this share of the time available finds no queues: shedding load would not
-/// help it.
+/// If the mean part of a query is expected to take less than this share of the available time, its replicas have no
+/// significant queues, and shedding load would not help it.
 const QUEUED_SHARE: f64 = 0.25;
-/// Below this chance a query is rejected in any case.
-const HOPELESS_CHANCE: f64 = 0.02;
-/// Below this calibration forecasts are not relied on, and every query needs the greater chance below.
+/// Minimum chance of a query whose parts are not expected to queue. A query that needs all its parts also ends when
+/// the chance of an unsent part falls below it.
+const MIN_CHANCE_WITHOUT_QUEUE: f64 = 0.02;
+/// Below this calibration, forecasts are considered unreliable, and every query needs at least
+/// [`UNCALIBRATED_MIN_CHANCE`].
 const MIN_CALIBRATION: f64 = 0.7;
 const UNCALIBRATED_MIN_CHANCE: f64 = 0.6;
 /// Prior of the calibration: this many admitted queries that were answered in time.
 const CALIBRATION_PRIOR: f64 = 3.0;
-/// The calibration halves within this many of the longest latency objectives.
+/// Half-life of the calibration's samples, as a multiple of the longest latency objective.
 const CALIBRATION_OBJECTIVES: f64 = 2.0;
-/// Prior of a shard's rate: this many parts at the rate of all shards.
+/// Prior of a shard's success rate: this many parts at the success rate of all shards.
 const SHARD_PRIOR: f64 = 4.0;
-/// All samples of latency ratios are dropped within this many of the longest latency objectives.
+/// All latency ratio samples expire within this many of the longest latency objectives.
 const RATIO_LIFETIME_OBJECTIVES: f64 = 4.0;
-/// Samples of latency ratios.
-const RATIO_SAMPLES: usize = 2 * SAMPLES;
-/// Parts of a query succeed or fail together to a degree: n of them count as `n.powf(1.0 - CORRELATION)` independent
-/// ones.
+/// Number of latency ratio samples kept.
+const RATIO_SAMPLE_CAPACITY: usize = 2 * SAMPLE_CAPACITY;
+/// The outcomes of a query's parts are correlated: n parts count as `n.powf(1.0 - CORRELATION)` independent ones.
 const CORRELATION: f64 = 0.25;
-/// A part that is given up is taken to need this many times what it has taken so far.
-const GIVEN_UP_RATIO: f64 = 2.0;
-/// Parts that take no more than this share of the latency objective find hardly a queue.
+/// A part whose query ends before it is answered is recorded with its elapsed time multiplied by this factor, as an
+/// estimate of the latency that it would have had.
+const UNANSWERED_LATENCY_FACTOR: f64 = 2.0;
+/// Parts that are expected to take at most this share of the latency objective find almost no queue.
 const SPARE_CAPACITY_SHARE: f64 = 0.125;
-/// The share of the limit on what is in flight that is open to queries of priority 0.
-const OPEN_TO_ALL_SHARE: f64 = 0.8;
+/// The share of the in-flight limit that is available to queries of priority 0.
+const LOWEST_PRIORITY_SHARE: f64 = 0.8;
 
-/// What is expected of one part of a query.
+/// The expected latency of one part of a query.
 #[derive(Clone, Copy)]
 pub(super) struct PartForecast {
     pub shard: u32,
@@ -48,25 +52,27 @@
     pub expected_latency: Millis,
 }
 
-/// What is expected of a query.
+/// The expected outcome of a query.
 #[derive(Clone, Copy)]
 pub(super) struct Forecast {
-    /// The mean latency of the quickest parts that make a complete answer.
+    /// The mean latency of the fastest parts that make up a complete answer.
     pub mean_latency: Millis,
-    /// The share of its value that the query is likely to bring in time.
+    /// The expected share of its full value that the query achieves in time, from 0 to 1.
     pub chance: f64,
 }
 
-/// A query that may be admitted.
+/// A query for which admission is decided.
 pub(super) struct AdmissionCandidate {
     pub forecast: Forecast,
-    /// From 0 to 1.
+    /// The priority from 0 to 1; see `Priorities::record_query`.
     pub priority: f64,
-    /// The time in which its answer is of value: to its latency objective, or until its client leaves if that is sooner.
+    /// The time within which its answer has value: until its latency objective, or until its client leaves if that is
+    /// sooner.
     pub available: Millis,
 }
 
-/// The moment of a decision or an observation, and the longest latency objective, by which observations decay.
+/// The time of a decision or an observation, and the longest latency objective, which determines how fast observations
+/// decay.
 #[derive(Clone, Copy)]
 pub(super) struct AdmissionContext {
     pub now: Millis,
@@ -74,13 +80,13 @@
 }
 
 impl AdmissionContext {
-    /// How long the calibration takes to halve.
+    /// The half-life of the calibration's samples.
     fn calibration_half_life(self) -> Millis {
         CALIBRATION_OBJECTIVES * self.longest_objective
     }
 }
 
-/// Queries and parts in flight, and the limit on them.
+/// The number of queries and parts in flight, and its limit.
 #[derive(Clone, Copy)]
 pub(super) struct Occupancy {
     pub in_flight: usize,
@@ -88,27 +94,28 @@
 }
 
 impl Occupancy {
-    /// Whether the limit is reached for queries of this priority (0 to 1).
+    /// Whether the limit is reached for queries of this priority, from 0 to 1.
     fn is_full_for(self, priority: f64) -> bool {
-        let open_share = OPEN_TO_ALL_SHARE + (1.0 - OPEN_TO_ALL_SHARE) * priority;
-        self.in_flight as f64 > f64::from(self.max_in_flight) * open_share
+        let usable_share = LOWEST_PRIORITY_SHARE + (1.0 - LOWEST_PRIORITY_SHARE) * priority;
+        self.in_flight as f64 > f64::from(self.max_in_flight) * usable_share
     }
 }
 
-/// Whether `part_count` parts of a query would find hardly a queue: together they are expected to take
-/// `total_latency`, against the latency objective of the query.
+/// Whether `part_count` parts of a query would find almost no queue. `total_latency` is the sum of their expected
+/// latencies, `objective` the latency objective of the query.
 pub(super) fn has_spare_capacity(total_latency: Millis, objective: Millis, part_count: usize) -> bool {
     total_latency <= SPARE_CAPACITY_SHARE * objective * part_count as f64
 }
 
-/// The admission control: how recent parts and queries ended, and whether queries are being shed.
+/// The state of admission control: statistics of recent parts and queries, and whether load shedding is active.
 pub(super) struct Admission {
-    /// Latencies of recent parts, all attempts included, over what was expected.
+    /// Latencies of recent parts, from the first attempt to the answer, divided by the expected latency.
     latency_ratios: RecentSamples,
-    /// Parts answered within the latency objective.
+    /// The share of each shard's parts that were answered within the latency objective.
     in_time_by_shard: BTreeMap<u32, DecayingRatio>,
     in_time: DecayingRatio,
-    /// The chances of admitted queries, and what of them came true.
+    /// Sum of the predicted chances of admitted queries (trials) and of the shares of value achieved in time
+    /// (successes).
     calibration: DecayingRatio,
     is_shedding: bool,
     last_shed_at: Millis,
@@ -117,7 +124,7 @@
 impl Admission {
     pub fn new() -> Self {
         Admission {
-            latency_ratios: RecentSamples::new(RATIO_SAMPLES),
+            latency_ratios: RecentSamples::new(RATIO_SAMPLE_CAPACITY),
             in_time_by_shard: BTreeMap::new(),
             in_time: DecayingRatio::default(),
             calibration: DecayingRatio::default(),
@@ -126,25 +133,26 @@
         }
     }
 
-    /// Whether queries have been shed lately.
+    /// Whether load shedding is active.
     pub fn is_shedding(&self) -> bool {
         self.is_shedding
     }
 
-    /// Records that a query is shed; true if load shedding starts with it.
+    /// Records that a query is shed. Returns whether load shedding starts with it.
     pub fn record_shed(&mut self, now: Millis) -> bool {
         self.last_shed_at = now;
         !std::mem::replace(&mut self.is_shedding, true)
     }
 
-    /// Ends the load shedding after a time without any; true if it has ended now.
-    pub fn end_shedding(&mut self, now: Millis, quiet_time: Millis) -> bool {
-        let ends = self.is_shedding && now - self.last_shed_at > quiet_time;
+    /// Ends load shedding once no query has been shed for `min_time_without_shedding`. Returns whether it has ended
+    /// now.
+    pub fn end_shedding(&mut self, now: Millis, min_time_without_shedding: Millis) -> bool {
+        let ends = self.is_shedding && now - self.last_shed_at > min_time_without_shedding;
         self.is_shedding &= !ends;
         ends
     }
 
-    /// Why a query is to be shed; none if it is admitted.
+    /// The reason to shed a query; None if it is admitted.
     pub fn shed_reason(
         &self,
         context: AdmissionContext,
@@ -158,7 +166,7 @@
         } else if forecast.mean_latency > QUEUED_SHARE * available {
             MIN_CHANCE
         } else {
-            HOPELESS_CHANCE
+            MIN_CHANCE_WITHOUT_QUEUE
         };
         let predicted = forecast.chance * priority.cbrt();
         if occupancy.is_full_for(priority) {
@@ -172,19 +180,20 @@
         }
     }
 
-    /// How far the chances of admitted queries have come true lately, at most 1. A query is evidence about all replicas
-    /// at once; an aggregator with little traffic seldom has any about a single one.
+    /// The ratio of achieved value to predicted chance of recently admitted queries, at most 1. Every query gives
+    /// information about all replicas at once, whereas an aggregator with little traffic seldom has any about a single
+    /// replica.
     fn calibration(&self, context: AdmissionContext) -> f64 {
         let half_life = context.calibration_half_life();
         self.calibration.ratio(context.now, half_life, 1.0, CALIBRATION_PRIOR).min(1.0)
     }
 
-    /// Records the end of an admitted query: its chance, and the share of its value that came in time.
+    /// Records the end of an admitted query: its predicted chance, and the share of its value achieved in time.
     pub fn record_query(&mut self, context: AdmissionContext, chance: f64, value: f64) {
         self.calibration.add(context.now, context.calibration_half_life(), chance, value);
     }
 
-    /// What is expected of a query of these parts within `time`. Sorts the parts by expected latency.
+    /// Predicts the outcome of a query with these parts if it has `time` left. Sorts the parts by expected latency.
     pub fn forecast(
         &self,
         context: AdmissionContext,
@@ -224,61 +233,62 @@
         Forecast { mean_latency: weighted_latency / complete, chance: complete_chance.max(partial_chance) }
     }
 
-    /// The chance of a part to be answered within `ratio` times its expected latency.
+    /// The chance that a part is answered within `ratio` times its expected latency.
     fn part_chance(&self, context: AdmissionContext, shard: u32, ratio: f64) -> f64 {
         (self.share_within(ratio) * self.shard_ratio(context, shard)).min(1.0)
     }
 
-    /// Whether hardly any part is answered within `ratio` times its expected latency.
-    pub fn is_hopeless(&self, ratio: f64) -> bool {
-        self.share_within(ratio) < HOPELESS_CHANCE
+    /// Whether almost no part is answered within `ratio` times its expected latency, so that a part with so little
+    /// time left is not worth sending.
+    pub fn is_too_late(&self, ratio: f64) -> bool {
+        self.share_within(ratio) < MIN_CHANCE_WITHOUT_QUEUE
     }
 
-    /// Whether so few parts of a shard are answered in time that a partial answer is better made without them.
+    /// Whether so few parts of a shard are answered in time that a partial answer should be made without them.
     pub fn is_shard_failing(&self, context: AdmissionContext, shard: u32) -> bool {
         self.shard_ratio(context, shard) < MIN_CHANCE
     }
 
-    /// The share of recent parts within `ratio` times their expected latency; 1 while too few are known.
+    /// The share of recent parts answered within `ratio` times their expected latency; 1 without enough samples.
     fn share_within(&self, ratio: f64) -> f64 {
-        if self.latency_ratios.len() < ENOUGH_SAMPLES {
+        if self.latency_ratios.len() < MIN_SAMPLES {
             return 1.0;
         }
         self.latency_ratios.share_below(ratio)
     }
 
-    /// The rate at which parts of a shard are in time, over that of all shards, so that a failing shard does not lower
-    /// the chance of queries for others.
+    /// A shard's share of parts answered in time, divided by that of all shards. The ratio keeps one failing shard
+    /// from lowering the chance of queries for other shards.
     fn shard_ratio(&self, context: AdmissionContext, shard: u32) -> f64 {
         let AdmissionContext { now, longest_objective } = context;
-        let of_all = self.in_time.ratio(now, longest_objective, 1.0, SHARD_PRIOR);
-        let Some(of_shard) = self.in_time_by_shard.get(&shard) else { return 1.0 };
-        of_shard.ratio(now, longest_objective, of_all, SHARD_PRIOR) / of_all
+        let overall_ratio = self.in_time.ratio(now, longest_objective, 1.0, SHARD_PRIOR);
+        let Some(shard_results) = self.in_time_by_shard.get(&shard) else { return 1.0 };
+        shard_results.ratio(now, longest_objective, overall_ratio, SHARD_PRIOR) / overall_ratio
     }
 
-    /// Records that a part of a shard was answered or given up.
+    /// Records that a part of a shard was answered, or that its query ended without its answer.
     pub fn record_part(&mut self, context: AdmissionContext, shard: u32, is_in_time: bool) {
         let AdmissionContext { now, longest_objective } = context;
         let success = f64::from(u8::from(is_in_time));
-        let of_shard = self.in_time_by_shard.entry(shard).or_default();
-        of_shard.add(now, longest_objective, 1.0, success);
+        let shard_results = self.in_time_by_shard.entry(shard).or_default();
+        shard_results.add(now, longest_objective, 1.0, success);
         self.in_time.add(now, longest_objective, 1.0, success);
     }
 
-    /// Records the latency of an answered part, since its first attempt.
+    /// Records the latency of an answered part, measured from its first attempt.
     pub fn record_latency(&mut self, latency: Millis, expected: Millis) {
         self.latency_ratios.push(latency / expected);
     }
 
-    /// Records the time since the first attempt of a part that is given up.
-    pub fn record_given_up(&mut self, waited: Millis, expected: Millis) {
-        self.latency_ratios.push(GIVEN_UP_RATIO * waited / expected);
+    /// Records a part whose query ended before it was answered. `waited` is the time since its first attempt.
+    pub fn record_unanswered(&mut self, waited: Millis, expected: Millis) {
+        self.latency_ratios.push(UNANSWERED_LATENCY_FACTOR * waited / expected);
     }
 
-    /// The chance that a sweep drops the oldest latency ratio: an aggregator that sheds everything gets no new samples,
-    /// so old ones have to expire.
+    /// The probability that a sweep drops the oldest latency ratio. Samples have to expire by time, because an
+    /// aggregator that sheds all queries gets no new samples.
     pub fn drop_chance(elapsed: Millis, longest_objective: Millis) -> f64 {
-        elapsed * RATIO_SAMPLES as f64 / (RATIO_LIFETIME_OBJECTIVES * longest_objective)
+        elapsed * RATIO_SAMPLE_CAPACITY as f64 / (RATIO_LIFETIME_OBJECTIVES * longest_objective)
     }
 
     pub fn drop_oldest_ratio(&mut self) {
--- a/src/balancer/endpoint_set.rs
+++ b/src/balancer/endpoint_set.rs
@@ -1,4 +1,4 @@
-//! The known replicas, by cell, and which of them hold a shard.
+//! The set of known replicas: which cell each belongs to, and which hold a shard.
 
 use super::replica::Replica;
 use super::slow_start::SlowStart;
@@ -7,15 +7,15 @@
 use std::collections::BTreeMap;
 use std::collections::btree_map;
 
-/// All replicas that are up or draining, and for a while those that are gone.
+/// All replicas that are up or draining, and for some time those that have been removed.
 pub(super) struct EndpointSet {
     replicas: BTreeMap<ReplicaId, Replica>,
     /// Replicas that are up, by cell.
     cells: Vec<Vec<ReplicaId>>,
     cell_count: u32,
-    /// Consecutive cells that hold a shard.
+    /// Number of consecutive cells that hold a shard.
     width: u32,
-    /// Over the replicas that are up.
+    /// Mean weight of the replicas that are up.
     mean_weight: f64,
 }
 
@@ -36,7 +36,7 @@
         self.reindex();
     }
 
-    /// Applies an endpoint list, or the changes to one.
+    /// Applies a complete endpoint list, or changes to it.
     pub fn apply(&mut self, now: Millis, is_complete: bool, entries: &[ReplicaEntry]) {
         let is_first = self.replicas.is_empty();
         if is_complete {
@@ -63,7 +63,7 @@
         self.mean_weight = weights.excluding(None).max(f64::MIN_POSITIVE);
     }
 
-    /// The replicas that are up in the cells that hold a shard, in the order of the cells.
+    /// The replicas that are up in the cells that hold a shard, in cell order.
     pub fn holders(&self, shard: u32) -> impl Iterator<Item = ReplicaId> + '_ {
         let cell_count = u64::from(self.cell_count);
         let first = u64::from(shard);
@@ -106,8 +106,8 @@
         self.mean_weight
     }
 
-    /// Forgets replicas that have been down for at least `after` and have no call in flight.
-    pub fn forget_gone(&mut self, now: Millis, after: Millis) {
+    /// Removes replicas that have been down for at least `after` and have no call in flight.
+    pub fn remove_departed(&mut self, now: Millis, after: Millis) {
         self.replicas.retain(|_, replica| {
             replica.down_since = if replica.is_up { None } else { replica.down_since.or(Some(now)) };
             replica.down_since.is_none_or(|since| now - since < after) || !replica.calls.is_empty()
@@ -115,8 +115,9 @@
     }
 }
 
-/// Applies one entry of the list. `is_later_change`: the line is a change to a list that is known already.
-fn apply_entry(replica: &mut Replica, entry: &ReplicaEntry, now: Millis, is_later_change: bool) {
+/// Applies one entry of the endpoint list. `is_incremental_update`: the entry is a change to a list that has already
+/// been applied.
+fn apply_entry(replica: &mut Replica, entry: &ReplicaEntry, now: Millis, is_incremental_update: bool) {
     let was_up = replica.is_up;
     replica.is_up = entry.state == ReplicaState::Up;
     replica.cell = entry.cell;
@@ -125,15 +126,15 @@
     replica.weight = if is_valid_weight { entry.weight } else { 1.0 };
 
     let listed_start = entry.started_at.filter(|at| at.is_finite() && *at > 0.0).map(|at| at.min(now));
-    // A replica that comes up by a change to the list, without a start time, is taken to have started now.
-    let is_unknown_start = is_later_change
+    // A replica without a start time that comes up by an incremental update is assumed to have started now.
+    let is_unknown_start = is_incremental_update
         && !was_up
         && replica.is_up
         && listed_start.is_none()
         && replica.warm_up.listed_start.is_none();
     let has_restarted = listed_start.is_some() && listed_start != replica.warm_up.listed_start;
     if has_restarted || is_unknown_start {
-        replica.evidence.reset();
+        replica.outlier_stats.reset();
         replica.reported_queue = None;
         replica.warm_up.listed_start = if is_unknown_start { Some(now) } else { listed_start };
     }
--- a/src/balancer/event.rs
+++ b/src/balancer/event.rs
@@ -1,28 +1,28 @@
-//! The inputs of the balancer: endpoint lists, queries, the ends of attempts and health checks, timers.
+//! The inputs of the balancer: endpoint lists, queries, the results of attempts and health checks, and timers.
 
 use super::{Millis, PartId, QueryId, ReplicaId};
 
 /// The state of a replica in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicaState {
-    /// Serving.
+    /// The replica accepts new work.
     Up,
-    /// Finishing its work; it gets nothing new.
+    /// The replica finishes its current work and receives nothing new.
     Draining,
-    /// Gone.
+    /// The replica is no longer part of the list.
     Removed,
 }
 
-/// One line of the endpoint list.
+/// One entry of the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub struct ReplicaEntry {
-    /// The replica.
+    /// The identifier of the replica.
     pub replica: ReplicaId,
     /// Its cell, which determines its shards.
     pub cell: u32,
-    /// Its capacity; only ratios matter.
+    /// Its relative capacity; only ratios between replicas matter. Values that are not finite and positive count as 1.
     pub weight: f64,
-    /// Its state.
+    /// Whether it is up, draining or removed.
     pub state: ReplicaState,
     /// When it last started, on the caller's clock. None if that is long ago or unknown.
     pub started_at: Option<Millis>,
@@ -30,43 +30,43 @@
     pub zone: u32,
 }
 
-/// A part of a query as it arrives.
+/// A part of a query on arrival.
 #[derive(Clone, Copy, Debug)]
 pub struct PartSpec {
-    /// The part.
+    /// The identifier of the part.
     pub part: PartId,
     /// The shard that answers it.
     pub shard: u32,
-    /// Its share of the answer; the weights of a step add up to one.
+    /// Its share of the answer, from 0 to 1; the weights of the parts of a step add up to 1.
     pub weight: f64,
-    /// The client's rough estimate of its work, in milliseconds.
+    /// The client's rough estimate of the part's work, in milliseconds. None if the client gives no estimate.
     pub cost_hint: Option<Millis>,
 }
 
-/// How an attempt or a health check ended.
+/// The outcome of an attempt or a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Answered.
+    /// The replica answered.
     Ok,
-    /// Answered with an error; it may have been executed.
+    /// The replica answered with an error; the attempt may have been executed.
     Error,
-    /// Rejected by the replica without being executed.
+    /// The replica rejected the attempt without executing it.
     Rejected,
-    /// No answer within the timeout; it may have been executed.
+    /// No answer arrived within the timeout; the attempt may have been executed.
     Timeout,
-    /// No connection; it was never executed.
+    /// No connection could be established; the attempt was not executed.
     ConnectFailed,
-    /// The connection broke; it may have been executed.
+    /// The connection was lost; the attempt may have been executed.
     Reset,
-    /// Cancelled; it may have been executed.
+    /// The attempt was cancelled; it may have been executed.
     Cancelled,
-    /// Never sent.
+    /// The attempt was not sent.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether the replica has certainly not executed the attempt.
-    pub fn is_never_executed(self) -> bool {
+    /// Whether the outcome proves that the replica has not executed the attempt.
+    pub fn rules_out_execution(self) -> bool {
         matches!(self, Self::Rejected | Self::ConnectFailed | Self::NotSent)
     }
 }
@@ -75,37 +75,38 @@
 #[derive(Clone, Copy)]
 pub(super) struct CallResult {
     pub outcome: Outcome,
-    /// The time since it was sent.
+    /// The time since the attempt or the health check was sent.
     pub elapsed: Millis,
     pub report: Option<LoadReport>,
 }
 
-/// A replica's report of its load. Values that are negative or not finite are ignored.
+/// A replica's load report. Values that are negative or not finite are ignored; None if the replica does not report
+/// the value.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests that wait at the replica.
+    /// The number of requests that wait at the replica.
     pub queue: Option<f64>,
-    /// Requests at the replica, waiting or being executed.
+    /// The number of requests at the replica, waiting or being executed.
     pub inflight: Option<f64>,
-    /// The share of its cores in use.
+    /// The share of the replica's CPU cores in use, usually from 0 to 1.
     pub utilization: Option<f64>,
 }
 
-/// An input of [`Balancer::handle`](super::Balancer::handle). Events about unknown ids are ignored.
+/// An input of [`Balancer::handle`](super::Balancer::handle). Events with unknown ids are ignored.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// The endpoint list, or changes to it.
     EndpointList {
-        /// The list is complete: replicas that it does not name are gone.
+        /// Whether the list is complete, so that replicas without an entry have been removed from it.
         complete: bool,
-        /// The lines.
+        /// The entries of the list, or those that have changed.
         entries: Vec<ReplicaEntry>,
     },
     /// A poll of the endpoint list failed, or the watch ended.
     EndpointListFailed,
     /// A query with the parts of its first step.
     Query {
-        /// The query.
+        /// The identifier of the query.
         query: QueryId,
         /// The index of its class.
         class: usize,
@@ -113,47 +114,47 @@
         tenant: Option<usize>,
         /// The time until the client gives up this try.
         time_left: Millis,
-        /// The client marked it as a retry of an earlier query.
+        /// Whether the client marked the query as a retry of an earlier one.
         is_retry: bool,
-        /// Its parts.
+        /// The parts of its first step.
         parts: Vec<PartSpec>,
     },
     /// The parts of a query's second step, after its first answer.
     SecondStep {
-        /// The query.
+        /// The query that the parts belong to.
         query: QueryId,
-        /// The parts.
+        /// The parts of the second step.
         parts: Vec<PartSpec>,
     },
-    /// An attempt has ended. Every attempt that is sent gets exactly one such event.
+    /// An attempt has ended. Every attempt that is sent causes exactly one such event.
     AttemptEnded {
-        /// The part.
+        /// The part that the attempt belongs to.
         part: PartId,
         /// The attempt, counted from 0 in the order sent.
         attempt: u32,
-        /// How it ended.
+        /// The outcome of the attempt.
         outcome: Outcome,
-        /// The time since it was sent.
+        /// The time from sending to the end, in milliseconds.
         elapsed: Millis,
-        /// The load report that came with the answer.
+        /// The load report in the answer, if there is one.
         report: Option<LoadReport>,
     },
-    /// The client of a query has left.
+    /// The client of a query has disconnected.
     ClientDisconnected {
-        /// The query.
+        /// The query whose client has disconnected.
         query: QueryId,
     },
     /// A health check has ended.
     HealthCheckEnded {
-        /// The replica.
+        /// The replica that was checked.
         replica: ReplicaId,
-        /// How it ended.
+        /// The outcome of the health check.
         outcome: Outcome,
-        /// The time since it was sent.
+        /// The time from sending to the end, in milliseconds.
         elapsed: Millis,
-        /// The load report that came with the answer.
+        /// The load report in the answer, if there is one.
         report: Option<LoadReport>,
     },
-    /// The timer of [`Action::SetTimer`](super::Action::SetTimer) has fired.
+    /// The timer set by [`Action::SetTimer`](super::Action::SetTimer) has expired.
     Timer,
 }
--- a/src/balancer/latency.rs
+++ b/src/balancer/latency.rs
@@ -1,30 +1,31 @@
-//! Estimates of how long attempts take, from recent answers of all replicas together.
+//! Latency estimates for attempts, from recent answers of all replicas together.
 
 use super::Millis;
 use super::statistics::RecentSamples;
 
-/// Recent samples kept: enough for a steady 90th percentile, few enough to follow a change within seconds.
-pub(super) const SAMPLES: usize = 64;
-/// Estimates are used from this many samples on.
-pub(super) const ENOUGH_SAMPLES: usize = SAMPLES / 8;
-/// Median latency before there are enough answers, as a share of the shortest latency objective.
+/// Number of recent samples kept: enough for a stable 90th percentile, and few enough to follow a change within
+/// seconds.
+pub(super) const SAMPLE_CAPACITY: usize = 64;
+/// Minimum number of samples for an estimate.
+pub(super) const MIN_SAMPLES: usize = SAMPLE_CAPACITY / 8;
+/// Median latency until there are enough samples, as a share of the shortest latency objective.
 const INITIAL_MEDIAN_SHARE: f64 = 0.15;
-/// Tail latency before there are enough answers, as a multiple of the median.
+/// Tail latency until there are enough samples, as a multiple of the median.
 const INITIAL_TAIL_RATIO: f64 = 2.5;
-/// The quantile that is taken for the tail.
+/// The quantile that is used as the tail latency.
 const TAIL_QUANTILE: f64 = 0.9;
-/// An error within this share of the median has cost the replica no work.
+/// An error within this share of the median latency has used no replica capacity.
 const IMMEDIATE_SHARE: f64 = 0.25;
 
-/// Latencies of recent attempts and what is estimated from them.
+/// Latencies of recent attempts, and the estimates derived from them.
 ///
-/// Estimates change in [`refresh`](Self::refresh) alone, so that all decisions between two sweeps see the same ones.
+/// Estimates change only in [`refresh`](Self::refresh), so that all decisions between two sweeps use the same values.
 pub(super) struct LatencyEstimates {
     latencies: RecentSamples,
     per_queued_part: RecentSamples,
     median: Millis,
     tail: Millis,
-    immediate: Millis,
+    immediate_error_threshold: Millis,
     queued_part_time: Millis,
 }
 
@@ -32,16 +33,17 @@
     pub fn new(shortest_objective: Millis) -> Self {
         let median = INITIAL_MEDIAN_SHARE * shortest_objective;
         LatencyEstimates {
-            latencies: RecentSamples::new(SAMPLES),
-            per_queued_part: RecentSamples::new(SAMPLES),
+            latencies: RecentSamples::new(SAMPLE_CAPACITY),
+            per_queued_part: RecentSamples::new(SAMPLE_CAPACITY),
             median,
             tail: median * INITIAL_TAIL_RATIO,
-            immediate: 0.0,
+            immediate_error_threshold: 0.0,
             queued_part_time: median,
         }
     }
 
-    /// Records the latency of an answer, and how many parts were at the replica when it was sent.
+    /// Records the latency of an answer. `parts_before` is the estimated load of the replica, in parts, when the
+    /// attempt was sent.
     pub fn record(&mut self, latency: Millis, parts_before: f64) {
         self.per_queued_part.push(latency / (parts_before + 1.0));
         self.latencies.push(latency);
@@ -53,14 +55,14 @@
             return;
         }
         self.median = self.latencies.quantile(0.5).max(granularity);
-        self.immediate = IMMEDIATE_SHARE * self.median;
+        self.immediate_error_threshold = IMMEDIATE_SHARE * self.median;
         self.tail = self.latencies.quantile(TAIL_QUANTILE).max(self.median);
         self.queued_part_time = self.per_queued_part.quantile(0.5).max(granularity);
     }
 
-    /// Whether the estimates come from answers rather than from the latency objective.
+    /// Whether the estimates are derived from answers rather than from the latency objective.
     pub fn is_established(&self) -> bool {
-        self.latencies.len() >= ENOUGH_SAMPLES
+        self.latencies.len() >= MIN_SAMPLES
     }
 
     /// Median latency of an attempt.
@@ -73,12 +75,12 @@
         self.tail
     }
 
-    /// An error that comes sooner has cost the replica no work; 0 until the median is established.
-    pub fn immediate(&self) -> Millis {
-        self.immediate
+    /// An error that is returned sooner than this has used no replica capacity; 0 until the median is established.
+    pub fn immediate_error_threshold(&self) -> Millis {
+        self.immediate_error_threshold
     }
 
-    /// Median latency for each part that was at the replica, the answered one included.
+    /// Median latency per part at the replica, the answered part included.
     pub fn queued_part_time(&self) -> Millis {
         self.queued_part_time
     }
--- a/src/balancer/load_reports.rs
+++ b/src/balancer/load_reports.rs
@@ -1,39 +1,42 @@
-//! Load reports: the queue that each replica says it has, and how well such reports have predicted latencies.
+//! Load reports: the queue length that each replica reports, and how well such reports have predicted latencies.
 
 use super::replica::Replica;
 use super::statistics::{DecayingRegression, RunningMean};
 use super::{LoadReport, Millis};
 
-/// A report fades to the mean of the other replicas over this many median latencies, within which a queue turns over.
+/// The time constant with which a report decays to the mean of the other replicas, in median latencies. A queue turns
+/// over within about this time.
 const FADE_MEDIANS: f64 = 4.0;
-/// Utilization is capped here: beyond it, it says nothing about the queue.
+/// Upper bound of the utilization used: higher values do not predict the queue length.
 const MAX_UTILIZATION: f64 = 0.9;
-/// The regression covers about this many answers.
+/// The number of recent answers that the regression effectively covers.
 const REGRESSION_MEMORY: f64 = 1024.0;
-/// Prior of the regression: until reports have varied by this much (squared parts), they are largely trusted.
+/// Prior of the regression, in squared parts: until the variation of the reports exceeds it, their weight stays near
+/// 1.
 const REGRESSION_PRIOR: f64 = 8.0;
 /// Bound on the excess latency of one answer in the regression, in parts.
 const MAX_EXCESS: f64 = 12.0;
 
-/// The last report of a replica.
+/// The queue length from a replica's last load report.
 #[derive(Clone, Copy)]
 pub(super) struct ReportedQueue {
-    /// Parts that wait there.
+    /// Parts that wait at the replica.
     pub queue: f64,
     pub received_at: Millis,
 }
 
 impl ReportedQueue {
-    /// The queue that a report implies, if any. `own_calls` of the requests in flight at the replica are this
-    /// aggregator's; `lower_bound` is a lower bound on the queue in parts, known by other means.
+    /// Derives the queue length from a report, if it has any usable value. `own_calls` is the number of requests in
+    /// flight at the replica that this aggregator has sent; `lower_bound` is a lower bound on the queue in parts,
+    /// known by other means.
     pub fn from_report(report: &LoadReport, own_calls: f64, lower_bound: f64, now: Millis) -> Option<Self> {
         let is_valid = |value: &f64| value.is_finite() && *value >= 0.0;
         let queue = report.queue.filter(is_valid);
-        let of_others = report.inflight.filter(is_valid).map(|in_flight| in_flight - own_calls);
+        let from_others = report.inflight.filter(is_valid).map(|in_flight| in_flight - own_calls);
         // The mean number of requests at an M/M/1 server of this utilization.
-        let by_utilization =
+        let from_utilization =
             report.utilization.filter(is_valid).map(|share| share / (1.0 - share.min(MAX_UTILIZATION)));
-        let queue = queue.or(of_others).or(by_utilization)?;
+        let queue = queue.or(from_others).or(from_utilization)?;
         Some(ReportedQueue { queue: queue.max(lower_bound), received_at: now })
     }
 }
@@ -41,9 +44,10 @@
 /// The load reports of all replicas.
 #[derive(Default)]
 pub(super) struct LoadReports {
-    /// Over the replicas that are up.
+    /// The mean reported queue of the replicas that are up.
     mean: RunningMean,
-    /// Excess latency of answers over what was expected without reports, in parts, against the reported queue.
+    /// Regression of the excess latency of answers, in parts, on the reported queue. Excess latency is the latency
+    /// beyond the value expected without reports.
     regression: DecayingRegression,
 }
 
@@ -64,8 +68,8 @@
         replica.reported_queue = Some(report);
     }
 
-    /// The queue at a replica by its report, in parts. It fades with its age to the mean of the others, so that a stuck
-    /// report loses its effect.
+    /// The queue length at a replica according to its report, in parts. The value decays to the mean of the other
+    /// replicas as the report ages, so that a report that is no longer updated loses its effect.
     pub fn queue_at(&self, replica: &Replica, now: Millis, median_latency: Millis) -> f64 {
         let own = replica.reported_queue.filter(|_| replica.is_up).map(|report| report.queue);
         let mean = self.mean.excluding(own);
@@ -75,16 +79,17 @@
         })
     }
 
-    /// How far reports are trusted, from 0 to 1: as far as answers took longer where more was reported. Reports that
-    /// lag behind the actual queue predict nothing, even if they arrived recently.
-    pub fn trust(&self) -> f64 {
+    /// The weight of load reports in the estimated load, from 0 to 1: the slope of the excess latency over the
+    /// reported queue. Reports that lag behind the actual queue do not predict latency, even if they were received
+    /// recently.
+    pub fn report_weight(&self) -> f64 {
         self.regression.slope(REGRESSION_PRIOR).clamp(0.0, 1.0)
     }
 
-    /// Compares an answer's latency with what its replica had reported: `latency_in_parts` is the latency divided by
-    /// the time that a queued part takes, `busyness` the parts expected at the replica, reports included.
-    pub fn record_answer(&mut self, reported: f64, latency_in_parts: f64, busyness: f64) {
-        let excess = latency_in_parts - busyness - 1.0 + self.trust() * reported;
+    /// Adds an answer to the regression. `latency_in_parts` is the latency divided by the time per queued part,
+    /// `estimated_load` the load in parts that was estimated for the replica, reports included.
+    pub fn record_answer(&mut self, reported: f64, latency_in_parts: f64, estimated_load: f64) {
+        let excess = latency_in_parts - estimated_load - 1.0 + self.report_weight() * reported;
         self.regression.add(reported, excess.clamp(-MAX_EXCESS, MAX_EXCESS), REGRESSION_MEMORY);
     }
 }
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -1,21 +1,21 @@
-//! The load-balancing policy: events in, actions out, no IO.
+//! The load-balancing policy: a state machine without IO that turns events into actions.
 //!
-//! It alone decides which replica gets a part, whether a part is retried or hedged, and which queries are rejected.
-//! Where to look:
+//! It alone decides which replica receives a part, whether a part is retried or hedged, and which queries are
+//! rejected. The modules and the questions that they answer:
 //!
 //! | question | module |
 //! | --- | --- |
-//! | which replica gets a part (power of two choices) | `selection` |
+//! | which replica receives a part (power of two choices) | `selection` |
 //! | which replicas hold a shard | `endpoint_set` |
-//! | when a part is retried or hedged, and what the end of an attempt changes | `attempts`, `retry_budget` |
+//! | when a part is retried or hedged, and what changes when an attempt ends | `attempts`, `retry_budget` |
 //! | when a replica is ejected as an outlier | `outlier_detection` |
-//! | how much a replica gets while it warms up | `slow_start` |
-//! | how far load reports are trusted, when a health check is sent | `load_reports`, `health_checks` |
+//! | how many parts a replica receives while it warms up | `slow_start` |
+//! | how much weight load reports have, and when a health check is sent | `load_reports`, `health_checks` |
 //! | which queries are shed, and why a query is rejected | `query_arrival`, `admission`, `priority`, `client_retries`, `rejection` |
-//! | which parts of a query are sent next, when it is answered | `query_sending`, `query_progress`, `query_end` |
+//! | which parts of a query are sent next, and when the query is answered | `query_sending`, `query_progress`, `query_end` |
 //!
-//! [`Balancer`] owns the state of each concern and is the only code that connects them. Random numbers are drawn in a
-//! fixed order, so that the same events and seed give the same actions.
+//! [`Balancer`] owns the state of all modules and is the only code that connects them. Random numbers are drawn in a
+//! fixed order, so that the same events and seed produce the same actions.
 
 mod action;
 mod admission;
--- a/src/balancer/part.rs
+++ b/src/balancer/part.rs
@@ -1,9 +1,9 @@
-//! The records of parts and their attempts.
+//! The state of parts and their attempts.
 
 use super::replica::CallNumber;
 use super::{Idempotency, Millis, Outcome, QueryId, ReplicaId};
 
-/// The two replicas drawn for an attempt; the same twice if only one may be drawn.
+/// The two replicas drawn for an attempt; the same one twice if only one is eligible.
 #[derive(Clone, Copy)]
 pub(super) struct Candidates {
     pub first: ReplicaId,
@@ -14,14 +14,14 @@
     pub replica: ReplicaId,
     pub sent_at: Millis,
     pub call: CallNumber,
-    /// The load of its replica when it was sent, in parts (see `Scoring::busyness`).
-    pub busyness: f64,
-    /// The reported queue of its replica when it was sent, in parts.
+    /// The estimated load of the replica when the attempt was sent, in parts (see `Scoring::estimated_load`).
+    pub estimated_load: f64,
+    /// The reported queue of the replica when the attempt was sent, in parts.
     pub reported_queue: f64,
     /// None while it is in flight.
     pub outcome: Option<Outcome>,
-    /// It may have cost its replica work.
-    pub may_have_cost_work: bool,
+    /// The attempt may have used capacity of its replica.
+    pub may_have_used_capacity: bool,
 }
 
 pub(super) struct Part {
@@ -30,11 +30,11 @@
     pub weight: f64,
     pub attempts: Vec<Attempt>,
     pub is_answered: bool,
-    /// Its query needs it no more.
-    pub is_over: bool,
-    /// Drawn for the next attempt, while health checks are waited for.
+    /// Its query has ended or has begun its second step. The part is kept only while attempts are in flight.
+    pub is_released: bool,
+    /// The replicas drawn for the next attempt, while their health checks are awaited.
     pub candidates: Option<Candidates>,
-    /// Expected when its query arrived; infinite without a holder of the shard.
+    /// The latency expected when its query arrived; infinite without a holder of the shard.
     pub expected_latency: Millis,
 }
 
@@ -46,7 +46,7 @@
             weight,
             attempts: Vec::new(),
             is_answered: false,
-            is_over: false,
+            is_released: false,
             candidates: None,
             expected_latency,
         }
@@ -60,24 +60,24 @@
         self.in_flight().next().is_some()
     }
 
-    /// Whether an attempt was sent to a replica.
+    /// Whether an attempt of the part was sent to a replica.
     pub fn has_tried(&self, replica: ReplicaId) -> bool {
         self.attempts.iter().any(|attempt| attempt.replica == replica)
     }
 
-    /// Whether an attempt of it may have cost a replica work.
-    pub fn may_have_cost_work(&self) -> bool {
-        self.attempts.iter().any(|attempt| attempt.may_have_cost_work)
+    /// Whether an attempt of the part may have used capacity of a replica.
+    pub fn may_have_used_capacity(&self) -> bool {
+        self.attempts.iter().any(|attempt| attempt.may_have_used_capacity)
     }
 
-    /// When the first attempt was sent that may have been executed.
+    /// When the first attempt that may have been executed was sent.
     pub fn maybe_executed_at(&self) -> Option<Millis> {
-        let maybe_executed = |attempt: &&Attempt| !attempt.outcome.is_some_and(Outcome::is_never_executed);
+        let maybe_executed = |attempt: &&Attempt| !attempt.outcome.is_some_and(Outcome::rules_out_execution);
         self.attempts.iter().find(maybe_executed).map(|attempt| attempt.sent_at)
     }
 
-    /// The time by which a retry has to be sent, since replicas deduplicate by idempotency key only for a while. None
-    /// without a bound. The timer's granularity, by which times are rounded, is subtracted.
+    /// The latest time for sending a retry, since replicas deduplicate by idempotency key only for a limited time.
+    /// None without a limit. The timer's granularity, to which times are rounded, is subtracted.
     pub fn send_retries_by(&self, idempotency: Idempotency, granularity: Millis) -> Option<Millis> {
         let Idempotency::Keyed { window } = idempotency else { return None };
         self.maybe_executed_at().map(|sent_at| sent_at + window - granularity)
--- a/src/balancer/priority.rs
+++ b/src/balancer/priority.rs
@@ -1,4 +1,4 @@
-//! The priority of a query: the weight of its class per part, and the quota of its tenant.
+//! Query priority: the priority weight per part of the query's class, reduced for tenants over their quota.
 
 use super::outlier_detection::MOVING_AVERAGE_WEIGHT;
 use super::statistics::finite_or;
@@ -9,7 +9,7 @@
 
 /// The priorities of classes and the quotas of tenants.
 pub(super) struct Priorities {
-    /// Weight per part of each class, a moving average over its queries; 0 before the first one.
+    /// Priority weight per part of each class, as a moving average over its queries; 0 before the first query.
     weight_per_part: Vec<f64>,
     quotas: Quotas,
 }
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Applies new settings; `previous_class` maps a class to its index in the old ones, if any.
+    /// Applies new settings. `previous_class` maps a class to its index in the old ones, if it existed.
     pub fn reconfigure(&mut self, settings: &Settings, previous_class: impl Fn(usize) -> Option<usize>) {
         let old_weight = |class| {
             let previous = previous_class(class)?;
@@ -33,7 +33,7 @@
         self.quotas = Quotas::new(&settings.tenants);
     }
 
-    /// Records a query; returns its priority, from 0 to 1, relative to the class with the greatest weight per part.
+    /// Records a query. Returns its priority from 0 to 1, relative to the class with the greatest weight per part.
     pub fn record_query(
         &mut self,
         settings: &Settings,
@@ -58,14 +58,14 @@
     }
 }
 
-/// Token buckets of the tenants. An aggregator does not know which part of a tenant's traffic it gets, so quotas are
-/// taken as proportions: each query refills the buckets by one token altogether, divided by quota.
+/// Token buckets of the tenants. An aggregator does not know its share of a tenant's traffic, so only the proportions
+/// of the quotas are used: each query adds one token in total, divided among the buckets in proportion to the quotas.
 struct Quotas {
     /// Tokens that each query adds, by tenant.
     refills: Vec<f64>,
     /// Tokens available, by tenant.
     tokens: Vec<f64>,
-    /// The last query of a known tenant was within the quota.
+    /// Whether the last query of a known tenant was within the quota.
     last_within: bool,
 }
 
@@ -81,7 +81,8 @@
         }
     }
 
-    /// Takes a token for a tenant's query; returns whether there was one. An unknown tenant has no quota to exceed.
+    /// Takes a token for a tenant's query. Returns whether one was available; always true for an unknown tenant, which
+    /// has no quota.
     fn take(&mut self, tenant: usize) -> bool {
         for (tokens, refill) in self.tokens.iter_mut().zip(&self.refills) {
             *tokens = (*tokens + refill).min(BUCKET_CAPACITY);
--- a/src/balancer/query_arrival.rs
+++ b/src/balancer/query_arrival.rs
@@ -1,8 +1,8 @@
-//! The arrival of queries: their deadlines, their priority, and whether they are admitted.
+//! Query arrival: computes a query's deadlines and priority and decides on its admission.
 
 use super::action::{Action, LogEvent};
 use super::admission::{AdmissionCandidate, Forecast, Occupancy, PartForecast, has_spare_capacity};
-use super::client_retries::TryTime;
+use super::client_retries::ClientTry;
 use super::event::PartSpec;
 use super::health_checks::sampled_share;
 use super::part::Part;
@@ -13,10 +13,10 @@
 use super::sweep::SWEEP_TICKS;
 use super::{Class, Millis, PartId, QueryId, RejectReason};
 
-/// Work on a query goes on after its latency objective if a late answer keeps at least this share of the value.
+/// A query continues after its latency objective if a late answer keeps at least this share of the value.
 const MIN_LATE_VALUE: f64 = 0.2;
 
-/// A query as it arrives.
+/// A query on arrival.
 pub(super) struct QueryArrival {
     pub query: QueryId,
     pub class: usize,
@@ -25,15 +25,15 @@
     pub is_retry: bool,
 }
 
-/// The times of a query, on the caller's clock.
+/// The times that apply to a query, on the caller's clock.
 struct QueryTimes {
-    /// The time to the latency objective, less what the client has waited in earlier tries.
+    /// The time left to the latency objective, after deducting the client's wait in earlier tries.
     objective: Millis,
     objective_at: Millis,
     deadline_at: Millis,
-    /// The last moment for an answer that the client still sees.
+    /// The latest time at which an answer still reaches the client.
     answer_by: Millis,
-    /// The objective cannot be met any more; an answer brings the late value.
+    /// The latency objective can no longer be met; an answer has its late value.
     is_late: bool,
 }
 
@@ -95,25 +95,25 @@
         let hinted_cost: f64 =
             parts.iter().filter_map(|part| part.cost_hint).filter(|hint| hint.is_finite()).sum();
         let time_left = finite_or(arrival.time_left, class.deadline).clamp(0.0, class.deadline);
-        // The answer has to be sent before the client gives up, and may have to wait for the next sweep.
+        // The answer has to be sent before the client gives up, and may be delayed until the next sweep.
         let margin = (SWEEP_TICKS + 1.0) * self.settings.timer_granularity.max(1.0);
         let answer_by = self.now + time_left - margin;
         let full_objective = class.latency_objective + class.objective_stretch * hinted_cost.max(0.0);
-        let waited = self.waited_before(arrival, class, time_left, full_objective, parts);
+        let waited = self.waited_in_earlier_tries(arrival, class, time_left, full_objective, parts);
         let objective = full_objective - waited;
         let objective_at = (self.now + objective).min(answer_by);
-        let is_late_worthwhile = class.late_value_factor >= MIN_LATE_VALUE;
+        let allows_late_answer = class.late_value_factor >= MIN_LATE_VALUE;
         QueryTimes {
             objective,
             objective_at,
-            deadline_at: if is_late_worthwhile { answer_by } else { objective_at },
+            deadline_at: if allows_late_answer { answer_by } else { objective_at },
             answer_by,
             is_late: objective < self.latency.median(),
         }
     }
 
-    /// How long the client has waited in earlier tries.
-    fn waited_before(
+    /// The time that the client has waited in earlier tries; 0 for a first try.
+    fn waited_in_earlier_tries(
         &mut self,
         arrival: &QueryArrival,
         class: &Class,
@@ -121,7 +121,7 @@
         objective: Millis,
         parts: &[PartSpec],
     ) -> Millis {
-        let client_try = TryTime { time_left, is_marked_retry: arrival.is_retry };
+        let client_try = ClientTry { time_left, is_marked_retry: arrival.is_retry };
         let queued_part_time = self.latency.queued_part_time();
         let criteria = self.outlier_criteria();
         let scoring = Scoring { endpoints: &self.endpoints, load_reports: &self.load_reports, criteria };
@@ -129,7 +129,7 @@
             let latencies = parts.iter().map(|part| queued_part_time * scoring.least_cost(part.shard));
             has_spare_capacity(latencies.sum(), objective, parts.len())
         };
-        let is_first_try = self.try_times.record_try(
+        let is_first_try = self.try_timeouts.record_try(
             arrival.class,
             &client_try,
             self.settings.clients_mark_retries,
--- a/src/balancer/query_end.rs
+++ b/src/balancer/query_end.rs
@@ -1,4 +1,4 @@
-//! The end of queries: the one final answer, its feedback to admission control, and the removal of parts.
+//! The end of queries: gives the final answer, updates admission control, and removes the parts.
 
 use super::action::Action;
 use super::part::Part;
@@ -6,10 +6,10 @@
 use super::state::Balancer;
 use super::{Class, Millis, PartId, QueryId, RejectReason};
 
-/// Less coverage than this counts as none.
+/// Coverage below this counts as 0.
 const MIN_ANSWERED_COVERAGE: f64 = 4.0 * WEIGHT_ROUNDING;
 
-/// The answer that may be given to a query when it ends.
+/// The answer that can be given to a query when it ends.
 #[derive(Clone, Copy, PartialEq)]
 enum AvailableAnswer {
     None,
@@ -17,19 +17,19 @@
     Complete,
 }
 
-/// A query at its end, by the attempts of its parts.
+/// The result of a query, derived from its parts.
 struct QueryResult {
     /// The weight of the answered parts.
     answered: f64,
     answer: AvailableAnswer,
-    /// A replica may have worked on it.
-    has_cost_work: bool,
-    /// A replica may have executed a part of it.
+    /// A part of the query may have used capacity of a replica.
+    has_used_capacity: bool,
+    /// A replica may have executed a part of the query.
     maybe_executed: bool,
 }
 
 impl QueryResult {
-    /// The share of its full value that the query brings if it is answered in time.
+    /// The share of its full value that the query has if it is answered in time.
     fn value(&self, class: &Class) -> f64 {
         match self.answer {
             AvailableAnswer::None => 0.0,
@@ -40,14 +40,15 @@
 }
 
 impl Balancer {
-    /// Ends a query: with an answer if one may be given, else rejected for a reason where a retry is harmless, else
-    /// failed.
+    /// Ends a query. It is answered if its parts allow an answer, rejected for `reason` if a retry is safe, and failed
+    /// otherwise.
     pub(super) fn finish(&mut self, id: QueryId, reason: RejectReason, actions: &mut Vec<Action>) {
         let Some(query) = self.queries.get(&id) else { return };
         let class = query.class;
         let result = self.query_result(query);
-        // A query that was rejected everywhere has cost nothing, and is no evidence about its chance.
-        if query.admission_chance > 0.0 && result.has_cost_work {
+        // A query whose parts were all rejected has used no capacity, and is not a sample of the accuracy of its
+        // chance.
+        if query.admission_chance > 0.0 && result.has_used_capacity {
             let is_in_time = self.now <= query.objective_at;
             let value = if is_in_time { result.value(&class) } else { 0.0 };
             let chance = query.admission_chance;
@@ -90,17 +91,18 @@
         QueryResult {
             answered,
             answer,
-            has_cost_work: parts().any(Part::may_have_cost_work),
+            has_used_capacity: parts().any(Part::may_have_used_capacity),
             maybe_executed: query.in_second_step || parts().any(|part| part.maybe_executed_at().is_some()),
         }
     }
 
-    /// The Retry-After of a rejected query: long if it was rejected for load, else one median latency.
+    /// The Retry-After of a rejected query: the maximum if it was rejected because of load, otherwise one median
+    /// latency.
     fn retry_after(&self, query: &Query) -> Option<Millis> {
         let median = self.latency.median();
-        let is_for_load = self.admission.is_shedding() || self.now + median > query.objective_at;
-        let wait = if is_for_load { f64::INFINITY } else { median };
-        self.settings.max_retry_after.map(|most| most.min(wait))
+        let is_due_to_load = self.admission.is_shedding() || self.now + median > query.objective_at;
+        let wait = if is_due_to_load { f64::INFINITY } else { median };
+        self.settings.max_retry_after.map(|max_wait| max_wait.min(wait))
     }
 
     fn begin_second_step(&mut self, id: QueryId, is_complete: bool, actions: &mut Vec<Action>) {
@@ -112,31 +114,33 @@
         self.release(&parts, actions);
     }
 
-    /// Forgets a query.
+    /// Removes a query and releases its parts.
     pub(super) fn close(&mut self, id: QueryId, actions: &mut Vec<Action>) {
         let Some(query) = self.queries.remove(&id) else { return };
         self.in_flight = self.in_flight.saturating_sub(1);
         self.release(&query.parts, actions);
     }
 
-    /// Gives up parts. Attempts in flight are cancelled where that is allowed; their parts are kept until they end.
+    /// Releases parts that their query no longer needs. Attempts in flight are cancelled where that is allowed; a part
+    /// is kept until its attempts have ended.
     fn release(&mut self, parts: &[PartId], actions: &mut Vec<Action>) {
         for id in parts {
             self.in_flight = self.in_flight.saturating_sub(1);
             self.cancel_attempts(*id, actions);
             let Some(part) = self.parts.get_mut(id) else { continue };
             let shard = part.shard;
-            let is_missed = !part.is_answered && !part.is_over;
+            let is_unanswered = !part.is_answered && !part.is_released;
             let first_sent_at = part.attempts.first().map(|attempt| attempt.sent_at);
-            let missed_since = first_sent_at.filter(|sent_at| is_missed && *sent_at >= self.resumed_at);
-            if let Some(sent_at) = missed_since {
-                self.admission.record_given_up(self.now - sent_at, part.expected_latency);
+            let unanswered_since =
+                first_sent_at.filter(|sent_at| is_unanswered && *sent_at >= self.resumed_at);
+            if let Some(sent_at) = unanswered_since {
+                self.admission.record_unanswered(self.now - sent_at, part.expected_latency);
             }
-            part.is_over = true;
+            part.is_released = true;
             if !part.is_in_flight() {
                 self.parts.remove(id);
             }
-            if missed_since.is_some() {
+            if unanswered_since.is_some() {
                 self.admission.record_part(self.admission_context(), shard, false);
             }
         }
--- a/src/balancer/query_progress.rs
+++ b/src/balancer/query_progress.rs
@@ -1,30 +1,30 @@
-//! The state of a query, and its progress as a sum over its parts.
+//! The state of a query, and its progress summed over its parts.
 
 use super::{Class, Idempotency, Millis, PartId};
 
-/// Sums of weights may fall short by this through rounding.
+/// Tolerance for rounding errors in sums of weights.
 pub(super) const WEIGHT_ROUNDING: f64 = 5e-5;
 
 pub(super) struct Query {
-    /// Its candidates are health-checked before a replica is chosen.
+    /// The candidates of its parts are health-checked before a replica is selected.
     pub uses_health_checks: bool,
-    /// Its class; this and the next two are as they were when it arrived.
+    /// Its class. This field, `max_attempts` and `hedging_allowed` keep the settings that applied on arrival.
     pub class: Class,
     pub max_attempts: u32,
     pub hedging_allowed: bool,
-    /// The chance by which it was admitted; 0 if it does not count for the calibration of chances.
+    /// The chance with which it was admitted; 0 if the query is excluded from the calibration.
     pub admission_chance: f64,
     pub objective_at: Millis,
     pub deadline_at: Millis,
     /// The parts of its current step.
     pub parts: Vec<PartId>,
     pub in_second_step: bool,
-    /// The first step was answered completely.
+    /// The first step had a complete answer.
     pub first_step_complete: bool,
 }
 
 impl Query {
-    /// Whether the first step has been answered and the parts of the second are not known yet.
+    /// Whether the first step has been answered and the parts of the second step have not arrived yet.
     pub fn awaits_second_step(&self) -> bool {
         self.in_second_step && self.parts.is_empty()
     }
@@ -34,7 +34,7 @@
     }
 }
 
-/// The weight of the parts that an answer needs, less rounding.
+/// The weights of answered parts that a complete and a partial answer need, less a tolerance for rounding.
 #[derive(Clone, Copy)]
 pub(super) struct Coverage {
     pub complete: f64,
@@ -42,7 +42,7 @@
 }
 
 impl Coverage {
-    /// What the current step of a query needs.
+    /// The coverage that the current step of a query needs.
     pub fn needed(class: &Class, in_second_step: bool) -> Self {
         let complete = if in_second_step { 1.0 } else { class.complete_coverage } - WEIGHT_ROUNDING;
         let minimum = class.minimum_coverage.min(complete + WEIGHT_ROUNDING) - WEIGHT_ROUNDING;
@@ -53,7 +53,7 @@
         self.minimum + WEIGHT_ROUNDING < self.complete
     }
 
-    /// Whether a complete answer needs less than all parts.
+    /// Whether a complete answer needs fewer than all parts.
     pub fn has_spare_parts(&self) -> bool {
         self.complete < 1.0 - 2.0 * WEIGHT_ROUNDING
     }
@@ -63,24 +63,24 @@
 pub(super) enum PartStatus {
     Answered,
     InFlight {
-        /// It is late, and a further attempt may help.
+        /// The attempt is late, and a hedged request is due.
         hedge_is_due: bool,
     },
     Unsent,
-    /// All attempts have failed, another one may be sent.
+    /// All attempts have failed, and another one may be sent.
     Retryable,
-    /// It cannot be answered any more.
-    Lost,
+    /// All attempts have failed, and no other one may be sent.
+    Unanswerable,
 }
 
-/// The parts of a query, summed up.
+/// The progress of a query, summed over its parts.
 #[derive(Default)]
 pub(super) struct Progress {
     /// Weight of the answered parts.
     pub answered: f64,
-    /// Weight of the parts that are answered or may yet be.
+    /// Weight of the parts that are answered or can still be answered.
     pub reachable: f64,
-    /// Weight of the parts in flight that are not late.
+    /// Weight of the parts in flight that need no hedged request.
     pub committed: f64,
     pub parts_in_flight: usize,
     pub unsent: Vec<PartId>,
@@ -102,12 +102,13 @@
             }
             PartStatus::Unsent => self.unsent.push(part),
             PartStatus::Retryable => self.retryable.push(part),
-            PartStatus::Lost => return,
+            PartStatus::Unanswerable => return,
         }
         self.reachable += weight;
     }
 
-    /// Whether the answer is as good as it gets: complete, or the best partial one with nothing left to wait for.
+    /// Whether waiting cannot improve the answer: it is complete, or no complete one is possible and the partial one
+    /// has no part in flight.
     pub fn is_settled(&self, coverage: &Coverage) -> bool {
         let is_complete = self.answered >= coverage.complete;
         let is_best_partial = self.answered >= coverage.minimum
@@ -116,13 +117,13 @@
         is_complete || is_best_partial
     }
 
-    /// Whether the query cannot be answered any more, not even partially.
-    pub fn is_lost(&self, coverage: &Coverage) -> bool {
+    /// Whether the query can no longer be answered, not even partially.
+    pub fn is_unanswerable(&self, coverage: &Coverage) -> bool {
         self.reachable < coverage.minimum
     }
 
-    /// Whether a partial answer now is worth no less than a complete one after the latency objective.
-    pub fn is_partial_worth_more_than_late(&self, coverage: &Coverage, class: &Class) -> bool {
+    /// Whether a partial answer now has at least the value of a complete one after the latency objective.
+    pub fn prefers_partial_to_late_answer(&self, coverage: &Coverage, class: &Class) -> bool {
         coverage.allows_partial()
             && self.answered >= coverage.minimum
             && class.partial_value_factor * self.answered / coverage.complete >= class.late_value_factor
--- a/src/balancer/rejection.rs
+++ b/src/balancer/rejection.rs
@@ -1,34 +1,34 @@
-//! Why queries are rejected.
+//! Reasons for rejecting queries.
 
 use std::fmt;
 
-/// Why a query ended without an answer.
+/// The reason why a query ended without an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RejectReason {
-    /// It has no part.
+    /// The query has no parts.
     NoParts,
-    /// Too much is in flight for a query of its priority.
+    /// The in-flight limit for the query's priority is reached.
     InFlightLimit,
-    /// It is not likely enough to be answered in time.
+    /// The chance that the query is answered in time is too low.
     LowChance,
-    /// It would be likely enough, but chances of recent queries have not come true.
+    /// The predicted chance is high enough, but recent predictions have been too optimistic.
     UnreliableChance,
-    /// Its latency objective cannot be met any more, and a late answer has no value.
+    /// The latency objective can no longer be met, and a late answer has no value.
     TooLate,
-    /// Its time is over.
+    /// The deadline, or the latency objective where late answers are not worth the work, has passed.
     DeadlineReached,
-    /// Parts that it needs cannot be answered any more: no holder, or no attempt is left.
+    /// A required part can no longer be answered: its shard has no holder, or no attempt is left.
     PartsLost,
-    /// It seems to crash replicas.
+    /// The query appears to crash replicas.
     CrashesReplicas,
-    /// An unsent part that it needs could hardly be answered in time any more.
+    /// A required part has not been sent and is very unlikely to be answered in time.
     PartTooLate,
-    /// A part that it needs has failed, and the retry budget is used up.
+    /// A required part has failed, and the retry budget is used up.
     RetryBudget,
 }
 
 impl RejectReason {
-    /// All reasons.
+    /// All reasons, in the order of declaration.
     pub const ALL: [Self; 10] = [
         Self::NoParts,
         Self::InFlightLimit,
@@ -42,7 +42,7 @@
         Self::RetryBudget,
     ];
 
-    /// The reason as a label of metrics and logs.
+    /// The reason as a label in metrics and logs.
     pub fn label(self) -> &'static str {
         match self {
             Self::NoParts => "no_parts",
--- a/src/balancer/replica.rs
+++ b/src/balancer/replica.rs
@@ -1,9 +1,9 @@
-//! The record of one replica. Each concern has its own type there, which only its module changes.
+//! The state of one replica. Each module has its own type in it, which only that module changes.
 
 use super::Millis;
 use super::health_checks::HealthCheckState;
 use super::load_reports::ReportedQueue;
-use super::outlier_detection::Evidence;
+use super::outlier_detection::OutlierStats;
 use super::slow_start::WarmUp;
 use std::collections::BTreeMap;
 
@@ -11,19 +11,19 @@
 pub(super) struct Replica {
     pub cell: u32,
     pub zone: u32,
-    /// Its capacity in relation to the others'.
+    /// Its relative capacity; only ratios between replicas matter.
     pub weight: f64,
     pub is_up: bool,
-    /// When it was first found not to be up.
+    /// When a sweep first found it not to be up.
     pub down_since: Option<Millis>,
     pub calls: CallsInFlight,
     pub warm_up: WarmUp,
-    pub evidence: Evidence,
+    pub outlier_stats: OutlierStats,
     pub reported_queue: Option<ReportedQueue>,
     pub health_check: HealthCheckState,
 }
 
-/// A call to one replica, numbered by its [`CallsInFlight`].
+/// The number of a call to one replica, assigned by its [`CallsInFlight`].
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct CallNumber(u64);
 
@@ -32,7 +32,7 @@
     parts: u32,
 }
 
-/// The calls to a replica that have not ended; a call carries one or more parts.
+/// The calls in flight to a replica; a call carries one or more parts.
 #[derive(Default)]
 pub(super) struct CallsInFlight {
     calls: BTreeMap<CallNumber, Call>,
@@ -52,7 +52,7 @@
         self.calls.values().next().map(|call| call.sent_at)
     }
 
-    /// Adds a part to the latest call if that was sent at the same time and has room, or to a new one.
+    /// Adds a part to the latest call if it was sent at the same time and has room, otherwise to a new call.
     pub fn add_part(&mut self, now: Millis, max_parts: u32) -> CallNumber {
         if let Some((number, call)) = self.calls.iter_mut().next_back()
             && call.sent_at == now
@@ -67,7 +67,7 @@
         number
     }
 
-    /// A part of a call has ended.
+    /// Removes a part that has ended from its call; the call ends with its last part.
     pub fn remove_part(&mut self, number: CallNumber) {
         let Some(call) = self.calls.get_mut(&number) else { return };
         call.parts -= 1;
--- a/src/balancer/retry_budget.rs
+++ b/src/balancer/retry_budget.rs
@@ -1,25 +1,25 @@
-//! Retry budgets: limits on retries and hedged requests, as a share of the traffic. There is one that the settings
-//! may configure, and an adaptive one that shrinks as latencies grow.
+//! Retry budgets limit retries and hedged requests to a share of the traffic. One budget is optional and set by the
+//! operator; the other is adaptive and shrinks as latencies grow.
 
 use super::statistics::SlidingCount;
 use super::{Millis, RetryBudget};
 
-/// The adaptive budget while latencies are low, as a share of the first attempts.
+/// The adaptive budget at low latencies, as a share of the first attempts.
 const ADAPTIVE_SHARE: f64 = 0.2;
-/// That share falls to its minimum as the median latency approaches this share of the shortest latency objective: all
-/// replicas are slow then, and further attempts would make them slower.
+/// The adaptive budget falls to its minimum as the median latency approaches this share of the shortest latency
+/// objective: all replicas are slow then, and further attempts would make them slower.
 const MAX_MEDIAN_SHARE: f64 = 0.4;
 /// The minimum of the adaptive budget, as a fraction of its maximum.
 const MIN_ADAPTIVE_FRACTION: f64 = 0.1;
-/// Further attempts that the adaptive budget allows in a window whatever the traffic.
+/// Further attempts that the adaptive budget allows in a window regardless of the traffic.
 const ADAPTIVE_FREE_ATTEMPTS: f64 = 2.0;
 
-/// How much of the configured budget an attempt may use.
+/// The share of the configured budget that an attempt may use.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum BudgetUse {
-    /// A query cannot be answered without the attempt.
+    /// The query cannot be answered without the attempt.
     Required,
-    /// A hedged request, or a retry for a query that may be answered from less.
+    /// A hedged request, or a retry for a query that can be answered without the part.
     Optional,
 }
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// Latencies and objectives, which determine the adaptive budget.
+/// The median latency and the latency objectives, which determine the adaptive budget.
 #[derive(Clone, Copy)]
 pub(super) struct LatencyPressure {
     pub median_latency: Millis,
@@ -40,12 +40,12 @@
     pub longest_objective: Millis,
 }
 
-/// Counts of attempts in sliding windows, and the budget by them.
+/// Sliding-window counts of queries, parts and attempts, and the budgets computed from them.
 #[derive(Default)]
 pub(super) struct RetryBudgets {
-    /// Queries and parts received: the base of the configured budget.
+    /// Queries and parts received, the base of the configured budget.
     received: SlidingCount,
-    /// The base of the adaptive budget.
+    /// First attempts of parts, the base of the adaptive budget.
     first_attempts: SlidingCount,
     further_attempts: SlidingCount,
 }
@@ -60,8 +60,8 @@
         window.add(now, 1);
     }
 
-    /// Whether the configured budget, if any, allows one more attempt. Against rounding of times, the window of the
-    /// attempts is widened by the timer's granularity, and that of the base narrowed by it.
+    /// Whether the configured budget, if any, allows one more attempt. To allow for rounding of times, the window of
+    /// the further attempts is extended by the timer's granularity, and the window of the base is shortened by it.
     pub fn configured_allows(
         &self,
         now: Millis,
@@ -73,8 +73,8 @@
             .is_none_or(|budget| self.allows(now, granularity, budget, &self.received, usage.usable_share()))
     }
 
-    /// Whether the adaptive budget allows one more attempt. It prevents retry storms: when all replicas are slow, every
-    /// part is late, and hedged requests would add to the load.
+    /// Whether the adaptive budget allows one more attempt. This prevents retry storms: when all replicas are slow,
+    /// every part is late, and hedged requests would add to the load.
     pub fn adaptive_allows(&self, now: Millis, granularity: Millis, pressure: LatencyPressure) -> bool {
         let headroom = 1.0 - pressure.median_latency / (MAX_MEDIAN_SHARE * pressure.shortest_objective);
         let adaptive = RetryBudget {
@@ -98,9 +98,9 @@
         used <= usable_share * (budget.free_attempts + budget.share * base.since(since + granularity))
     }
 
-    pub fn forget_before(&mut self, start: Millis) {
+    pub fn remove_before(&mut self, start: Millis) {
         for window in [&mut self.received, &mut self.first_attempts, &mut self.further_attempts] {
-            window.forget_before(start);
+            window.remove_before(start);
         }
     }
 }
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -1,6 +1,7 @@
-//! Selection of a replica: power of two choices, the less loaded of two random holders of the shard.
+//! Replica selection by power of two choices: of two randomly drawn holders of the shard, the one with the lower cost
+//! gets the part.
 //!
-//! What is known of a replica affects either its cost, or whether it may be drawn at all.
+//! The statistics of a replica affect either its cost or whether it may be drawn at all.
 
 use super::action::{Action, LogEvent};
 use super::endpoint_set::EndpointSet;
@@ -11,12 +12,13 @@
 use super::state::Balancer;
 use super::{Millis, PartId, ReplicaId};
 
-/// Slowness up to this many times the median is taken for noise and does not raise a replica's cost.
+/// Slowness up to this multiple of the median latency is treated as noise and does not raise a replica's cost.
 const TOLERATED_SLOWNESS: f64 = 1.5;
-/// Costs that differ by less than this many parts count as a tie where crossing zones has a cost.
-const ZONE_TIE: f64 = 1.2;
+/// If crossing zones has a cost, two replicas whose costs differ by less than this many parts are tied, and the one in
+/// the aggregator's own zone is selected.
+const ZONE_TIE_MARGIN: f64 = 1.2;
 
-/// The cost of sending a part to a replica, by what is known at one moment.
+/// Computes the cost of sending a part to a replica from the statistics at one point in time.
 pub(super) struct Scoring<'a> {
     pub endpoints: &'a EndpointSet,
     pub load_reports: &'a LoadReports,
@@ -24,27 +26,28 @@
 }
 
 impl Scoring<'_> {
-    /// The load of a replica in parts: own calls in flight, recent failures, and the reported queue as far as reports
-    /// are trusted.
-    pub fn busyness(&self, replica: &Replica) -> f64 {
+    /// The estimated load of a replica, in parts: calls of this aggregator in flight, recent failures, and the
+    /// reported queue multiplied by the weight of load reports.
+    pub fn estimated_load(&self, replica: &Replica) -> f64 {
         let reported = self.reported_queue(replica);
         replica.calls.len() as f64
-            + self.criteria.decayed(&replica.evidence).failures
-            + self.load_reports.trust() * reported
+            + self.criteria.decayed(&replica.outlier_stats).failures
+            + self.load_reports.report_weight() * reported
     }
 
     pub fn reported_queue(&self, replica: &Replica) -> f64 {
         self.load_reports.queue_at(replica, self.criteria.now, self.criteria.median_latency)
     }
 
-    /// The expected work before a part is answered, in parts of a replica of mean weight; infinite for an unknown one.
+    /// The expected work until a part is answered, in parts at a replica of mean weight; infinite for an unknown
+    /// replica.
     pub fn cost(&self, id: ReplicaId) -> f64 {
         let Some(replica) = self.endpoints.get(id) else { return f64::INFINITY };
         let slowness = (self.criteria.slowness(replica) / TOLERATED_SLOWNESS).max(1.0);
-        (self.busyness(replica) + 1.0) * slowness * self.endpoints.mean_weight() / replica.weight
+        (self.estimated_load(replica) + 1.0) * slowness * self.endpoints.mean_weight() / replica.weight
     }
 
-    /// The cost at the least loaded holder of a shard; infinite without a holder.
+    /// The lowest cost among the holders of a shard; infinite without a holder.
     pub fn least_cost(&self, shard: u32) -> f64 {
         self.endpoints.holders(shard).map(|id| self.cost(id)).fold(f64::INFINITY, f64::min)
     }
@@ -60,7 +63,7 @@
 }
 
 impl Balancer {
-    /// The scoring of replicas by what is known now.
+    /// The scoring of replicas at the current time.
     pub(super) fn scoring(&self) -> Scoring<'_> {
         Scoring {
             endpoints: &self.endpoints,
@@ -69,13 +72,13 @@
         }
     }
 
-    /// Expected latency of a part at the least loaded holder of its shard; infinite without a holder.
+    /// Expected latency of a part at the holder of its shard that has the lowest cost; infinite without a holder.
     pub(super) fn expected_latency(&self, shard: u32) -> Millis {
         self.latency.queued_part_time() * self.scoring().least_cost(shard)
     }
 
-    /// Chooses the replica for a part's next attempt. None if there is none, or while health checks of the candidates
-    /// are awaited; the candidates are kept then.
+    /// Selects the replica for a part's next attempt. Returns None if no replica is eligible, or while a health check
+    /// of a candidate is awaited; in the latter case the candidates are kept.
     pub(super) fn select(&mut self, part: PartId, actions: &mut Vec<Action>) -> Option<ReplicaId> {
         let candidates = self.candidates(part, actions)?;
         if self.awaits_health_check(candidates.first) || self.awaits_health_check(candidates.second) {
@@ -89,7 +92,8 @@
         Some(self.less_loaded(candidates))
     }
 
-    /// The candidates drawn earlier if both are still up; otherwise two new ones, whose health checks are started.
+    /// Returns the candidates drawn earlier if both are still up. Otherwise draws two new ones and starts their health
+    /// checks.
     fn candidates(&mut self, part: PartId, actions: &mut Vec<Action>) -> Option<Candidates> {
         let record = self.parts.get(&part)?;
         let query = record.query;
@@ -107,21 +111,22 @@
         Some(drawn)
     }
 
-    /// Draws two distinct replicas that may get a part; the same twice if there is only one. Outliers are drawn only if
-    /// fewer than two other replicas are eligible, and a single other one is always among the two.
+    /// Draws two distinct eligible replicas, or the same one twice if only one is eligible. Outliers are drawn only if
+    /// fewer than two other replicas are eligible; if exactly one other replica is eligible, it is always one of the
+    /// two.
     fn draw_two(&mut self, part: PartId, actions: &mut Vec<Action>) -> Option<Candidates> {
         let mut pool = self.eligible(part)?;
         let scoring = self.scoring();
-        let is_no_outlier =
+        let is_not_outlier =
             |id: &ReplicaId| scoring.endpoints.get(*id).is_some_and(|replica| !scoring.is_outlier(replica));
-        let no_outliers: Vec<ReplicaId> = pool.iter().copied().filter(is_no_outlier).collect();
-        if no_outliers.is_empty() && pool.len() > 1 {
+        let non_outliers: Vec<ReplicaId> = pool.iter().copied().filter(is_not_outlier).collect();
+        if non_outliers.is_empty() && pool.len() > 1 {
             let shard = self.parts.get(&part)?.shard;
             actions.push(Action::Log(LogEvent::AllHoldersOutliers { shard }));
         }
-        let only_candidate = if let [only] = no_outliers.as_slice() { Some(*only) } else { None };
-        if no_outliers.len() >= 2 {
-            pool = no_outliers;
+        let only_candidate = if let [only] = non_outliers.as_slice() { Some(*only) } else { None };
+        if non_outliers.len() >= 2 {
+            pool = non_outliers;
         }
         let first = match only_candidate {
             Some(only) => pool.iter().position(|id| *id == only)?,
@@ -132,34 +137,36 @@
         Some(Candidates { first: pool[first], second: pool[second] })
     }
 
-    /// The holders that may get a part now: those never tried for it, or all once the last attempt is a median latency
-    /// ago. None if there are only tried ones and the last attempt is more recent.
+    /// The holders that may receive a part now: those without an earlier attempt of the part, or all of them once the
+    /// last attempt was sent at least a median latency ago. None if every holder has been tried and the last attempt
+    /// is more recent.
     fn eligible(&mut self, part: PartId) -> Option<Vec<ReplicaId>> {
         let record = self.parts.get(&part)?;
         let has_attempt_at = |id: ReplicaId| record.in_flight().any(|attempt| attempt.replica == id);
         let holders: Vec<ReplicaId> =
             self.endpoints.holders(record.shard).filter(|id| !has_attempt_at(*id)).collect();
-        let mut open: Vec<ReplicaId> = Vec::with_capacity(holders.len());
+        let mut admitted: Vec<ReplicaId> = Vec::with_capacity(holders.len());
         for id in &holders {
             if self.admits_by_slow_start(*id) {
-                open.push(*id);
+                admitted.push(*id);
             }
         }
-        if open.is_empty() {
-            open = holders.into_iter().filter(|id| self.is_idle_despite_loss(*id)).collect();
+        if admitted.is_empty() {
+            admitted = holders.into_iter().filter(|id| self.is_idle_after_connection_loss(*id)).collect();
         }
         let record = self.parts.get(&part)?;
-        let untried: Vec<ReplicaId> = open.iter().copied().filter(|id| !record.has_tried(*id)).collect();
+        let untried: Vec<ReplicaId> = admitted.iter().copied().filter(|id| !record.has_tried(*id)).collect();
         if !untried.is_empty() {
             return Some(untried);
         }
-        // Without this wait a part would spend all its attempts at an overloaded holder while the others warm up.
+        // Without this delay a part would use up all its attempts at one overloaded holder while the others warm up.
         let is_recent =
             record.attempts.last().is_some_and(|last| self.now < last.sent_at + self.latency.median());
-        if is_recent { None } else { Some(open) }
+        if is_recent { None } else { Some(admitted) }
     }
 
-    /// Whether a replica may be drawn by its slow start; a warming one by chance.
+    /// Whether slow start allows a replica to be drawn. A replica that is warming up is allowed at random, with its
+    /// admission chance.
     fn admits_by_slow_start(&mut self, id: ReplicaId) -> bool {
         let Some(replica) = self.endpoints.get(id) else { return false };
         if self.slow_start.is_warm(self.now, &replica.warm_up) {
@@ -178,9 +185,9 @@
         self.random.unit_interval() < chance
     }
 
-    /// Whether a replica is warm by the endpoint list and has no call in flight. One that is warming up only because
-    /// its connections were lost is not excluded if no other replica is left.
-    fn is_idle_despite_loss(&self, id: ReplicaId) -> bool {
+    /// Whether a replica is warm according to the endpoint list and has no call in flight. If no other replica is
+    /// left, such a replica is eligible although it is warming up after lost connections.
+    fn is_idle_after_connection_loss(&self, id: ReplicaId) -> bool {
         self.endpoints.get(id).is_some_and(|replica| {
             let is_listed_warm =
                 self.slow_start.capacity_share(self.now, replica.warm_up.listed_start) >= 1.0;
@@ -188,24 +195,24 @@
         })
     }
 
-    /// The less loaded of two candidates. Being an outlier does not decide by itself: a single healthy holder that won
-    /// every draw would get all parts of its shards and become overloaded.
+    /// Returns the candidate with the lower cost. An outlier does not lose automatically: if a shard's only healthy
+    /// holder won every draw, it would get all of the shard's parts and become overloaded.
     fn less_loaded(&mut self, candidates: Candidates) -> ReplicaId {
         let Candidates { first, second } = candidates;
         let scoring = self.scoring();
         let first_cost = scoring.cost(first);
         let second_cost = scoring.cost(second);
-        if self.settings.cross_zone_cost > 0.0 && (first_cost - second_cost).abs() < ZONE_TIE {
+        if self.settings.cross_zone_cost > 0.0 && (first_cost - second_cost).abs() < ZONE_TIE_MARGIN {
             let is_first_local = self.is_in_own_zone(first);
             if is_first_local != self.is_in_own_zone(second) {
                 return if is_first_local { first } else { second };
             }
         }
-        // An overdue health check decides only ties: one lost answer must not move all load away from a replica.
+        // An overdue health check only breaks ties: one lost response must not move all load away from a replica.
         let first_overdue = self.has_overdue_health_check(first);
         let second_overdue = self.has_overdue_health_check(second);
-        let coin = self.random.below(2) == 0;
-        let first_wins_tie = if first_overdue == second_overdue { coin } else { second_overdue };
+        let coin_flip = self.random.below(2) == 0;
+        let first_wins_tie = if first_overdue == second_overdue { coin_flip } else { second_overdue };
         if first_cost < second_cost || first_cost == second_cost && first_wins_tie { first } else { second }
     }
 
--- a/src/balancer/settings.rs
+++ b/src/balancer/settings.rs
@@ -1,54 +1,58 @@
-//! Settings of the balancer and their validation. `config` reads them from the platform's file.
+//! Settings of the balancer and their validation. The `config` module reads them from the platform file.
 
 use super::Millis;
 use std::fmt;
 
-/// Coverage may exceed one by this through rounding.
+/// Tolerance for rounding errors by which coverage may exceed 1.
 const COVERAGE_ROUNDING: f64 = 1e-4;
 
-/// What a retry of a part may do.
+/// Whether a part may be sent again after an attempt that may have been executed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Idempotency {
-    /// Retries are harmless.
+    /// Repeated execution has no further effect, so retries are always safe.
     Idempotent,
-    /// Replicas drop repeats of a key for a time after the first attempt that may have been executed.
+    /// Replicas drop repeats of an idempotency key for a limited time after the first attempt that may have been
+    /// executed.
     Keyed {
-        /// How long repeats are dropped.
+        /// The time for which repeats are dropped, in milliseconds.
         window: Millis,
     },
     /// A part may be retried only if no earlier attempt may have been executed.
     NotIdempotent,
 }
 
-/// A class of queries.
+/// A class of queries, with the value and the limits of its answers.
 #[derive(Clone, Copy, Debug)]
 pub struct Class {
-    /// Answers within this time have their full value.
+    /// The time within which an answer has its full value, in milliseconds; greater than 0.
     pub latency_objective: Millis,
-    /// The latency objective grows by this many times the query's own work.
+    /// Multiple of the sum of the parts' cost hints that is added to the latency objective; 0 for a fixed objective.
     pub objective_stretch: f64,
-    /// The client's whole wait, over all its tries.
+    /// The client's total wait over all its tries, in milliseconds; greater than 0. An answer after it has no value.
     pub deadline: Millis,
-    /// The share of the value that is left between latency objective and deadline.
+    /// The share of the value that an answer between latency objective and deadline has; 0 if late answers have no
+    /// value.
     pub late_value_factor: f64,
-    /// The value of a complete answer.
+    /// The value of a complete answer in time, relative to the other classes.
     pub priority_weight: f64,
-    /// What retries may do.
+    /// Whether parts may be sent again after an attempt that may have been executed.
     pub idempotency: Idempotency,
-    /// The weight of the parts that makes an answer complete.
+    /// The minimum weight of the answered parts for a complete answer, greater than 0 and at most 1.
     pub complete_coverage: f64,
-    /// The weight of the parts below which no answer may be given.
+    /// The minimum weight of the answered parts for a partial answer. Partial answers are not given if it is not below
+    /// `complete_coverage`.
     pub minimum_coverage: f64,
-    /// The share of the value that a partial answer has, for its coverage.
+    /// The share of the value that a partial answer has, in proportion to its coverage.
     pub partial_value_factor: f64,
-    /// The parts of the second step; 0 for none.
+    /// The number of parts of the second step; 0 for queries of one step.
     pub second_step_parts: u32,
 }
 
-/// A tenant.
+/// A tenant and its quota.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Queries a second, over all aggregators, that have their full priority.
+    /// Queries per second, over all aggregators, that keep their full priority. The balancer uses only the proportions
+    /// between tenants.
     pub quota_per_s: f64,
 }
 
@@ -63,92 +67,93 @@
     Off,
 }
 
-/// A limit on attempts beyond each part's first.
+/// A limit on the attempts of parts beyond the first one of each.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
-    /// Further attempts allowed whatever the traffic.
+    /// Further attempts allowed in a window regardless of the traffic.
     pub free_attempts: f64,
-    /// Further attempts for each query and part received.
+    /// Further attempts allowed for each query and part received.
     pub share: f64,
-    /// The sliding window over which both are counted.
+    /// The length of the sliding window in which attempts, queries and parts are counted, in milliseconds.
     pub window: Millis,
 }
 
 /// The settings of one aggregator's balancer.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Classes of queries, by index.
+    /// Classes of queries, by index; at least one.
     pub classes: Vec<Class>,
     /// Tenants, by index; may be empty.
     pub tenants: Vec<Tenant>,
-    /// The share of its priority that a query beyond its tenant's quota keeps.
+    /// The factor by which the priority of a query over its tenant's quota is multiplied; at least 0.
     pub over_quota_weight: f64,
-    /// Priority weights count for each unit of work rather than for each query.
+    /// Whether priority weights apply to each unit of work rather than to each query.
     pub weight_by_work: bool,
-    /// Clients mark queries that repeat an earlier one.
+    /// Whether clients mark queries that repeat an earlier one.
     pub clients_mark_retries: bool,
     /// The number of aggregators that share the traffic.
     pub aggregators: u32,
-    /// The shortest time between two calls of the balancer.
+    /// The shortest time between two calls of the balancer, in milliseconds.
     pub timer_granularity: Millis,
-    /// Cells of the layout; shard `s` is held by cells `(s + j) mod cells`, `j < width`.
+    /// The number of cells; at least 1. Shard `s` is held by cells `(s + j) mod cells`, `j < width`.
     pub cells: u32,
-    /// Consecutive cells that hold a shard.
+    /// The number of consecutive cells that hold a shard, from 1 to `cells`.
     pub width: u32,
-    /// Parts that may share a call to a replica.
+    /// The maximum number of parts in one call to a replica.
     pub parts_per_call: u32,
     /// When replicas report their load.
     pub load_report_mode: LoadReportMode,
-    /// Health checks may be sent.
+    /// Whether health checks may be sent.
     pub health_checks_allowed: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancellation_allowed: bool,
-    /// Two attempts of a part may be in flight at once.
+    /// Whether two attempts of a part may be in flight at once.
     pub hedging_allowed: bool,
-    /// The most attempts of a part.
+    /// The maximum number of attempts of a part; at least 1.
     pub max_attempts: u32,
-    /// The most queries and parts in flight.
+    /// The maximum number of queries and parts in flight, counted together.
     pub max_in_flight: u32,
-    /// The longest Retry-After, if clients are sent one.
+    /// The longest Retry-After, in milliseconds. None if clients are not sent one.
     pub max_retry_after: Option<Millis>,
-    /// The endpoint list has to be polled; otherwise it is pushed.
+    /// Whether the endpoint list has to be polled; otherwise discovery pushes it.
     pub discovery_is_polled: bool,
-    /// The longest time without a poll of the endpoint list.
+    /// The longest time without a poll of the endpoint list, in milliseconds.
     pub max_poll_interval: Millis,
-    /// The share of its capacity that a replica has at its start.
+    /// The share of its capacity that a replica has right after its start, from 0 to 1.
     pub slow_start_share: f64,
-    /// The time within which a replica warms up.
+    /// The time that a replica takes to warm up, in milliseconds.
     pub slow_start_window: Millis,
-    /// A replica that gets more than this many times its present capacity, from all aggregators together, fails.
+    /// A replica that receives more than this multiple of its current capacity, from all aggregators together, fails under
+    /// the load; greater than 0.
     pub overload_factor: f64,
-    /// The retry budget, if one is configured.
+    /// The configured retry budget; None if only the adaptive budget limits retries.
     pub retry_budget: Option<RetryBudget>,
-    /// The cost of an attempt that crosses zones.
+    /// The cost of an attempt that crosses zones; at 0 or below, zones do not affect the selection.
     pub cross_zone_cost: f64,
-    /// The cost of one health check a part, as a share of the whole result.
+    /// The cost of one health check for each part, as a share of the total value.
     pub health_check_cost: f64,
     /// The index of this aggregator's zone.
     pub zone: u32,
 }
 
-/// Why settings are invalid.
+/// The reason why settings are invalid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SettingsError {
-    /// There is no class.
+    /// The settings contain no class.
     NoClass,
-    /// The class of this index has an invalid time, share or weight.
+    /// The class with this index has an invalid time, share or weight.
     InvalidClass(usize),
-    /// There is no cell, no width, or a width above the number of cells.
+    /// `cells` or `width` is 0, or `width` is greater than `cells`.
     InvalidLayout,
-    /// The setting of this name is negative, zero where it must not be, or not a number.
+    /// The setting with this name is negative, zero where it must not be, or not a finite number.
     InvalidValue(&'static str),
 }
 
 impl Settings {
-    /// Checks that the settings are valid together.
+    /// Checks that the settings are valid and consistent with each other.
     ///
     /// # Errors
-    /// The first setting that is not.
+    /// The first invalid setting.
     pub fn validate(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClass);
@@ -215,11 +220,11 @@
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NoClass => write!(f, "settings name no class"),
+            Self::NoClass => write!(f, "the settings contain no query class"),
             Self::InvalidClass(index) => write!(f, "class {index} has an invalid time, share or weight"),
             Self::InvalidLayout => write!(f, "the layout needs 1 <= width <= cells"),
             Self::InvalidValue(name) => {
-                write!(f, "setting {name} is negative, zero where it must not be, or not a number")
+                write!(f, "setting {name} is negative, zero where it must not be, or not a finite number")
             }
         }
     }
--- a/src/balancer/state.rs
+++ b/src/balancer/state.rs
@@ -1,8 +1,8 @@
-//! The balancer: owns the state of every concern, and dispatches each event to the concerns that it affects.
+//! The balancer: owns the state of all modules, and dispatches each event to the modules concerned.
 
 use super::action::Action;
 use super::admission::{Admission, AdmissionContext};
-use super::client_retries::TryTimes;
+use super::client_retries::TryTimeouts;
 use super::endpoint_set::EndpointSet;
 use super::endpoint_watch::EndpointWatch;
 use super::event::{CallResult, Event, LoadReport, ReplicaEntry};
@@ -23,7 +23,7 @@
 use super::{Millis, PartId, QueryId, ReplicaId};
 use std::collections::BTreeMap;
 
-/// The longest and the shortest latency objective of any class.
+/// The longest and the shortest latency objective of all classes.
 #[derive(Clone, Copy)]
 pub(super) struct Objectives {
     pub longest: Millis,
@@ -40,7 +40,7 @@
     }
 }
 
-/// The load-balancing policy of one aggregator: events in, actions out.
+/// The load-balancing policy of one aggregator: a state machine that turns events into actions.
 pub struct Balancer {
     pub(super) settings: Settings,
     pub(super) objectives: Objectives,
@@ -49,7 +49,7 @@
     /// When this aggregator last resumed after a stall.
     pub(super) resumed_at: Millis,
     pub(super) next_sweep_at: Option<Millis>,
-    pub(super) swept_at: Millis,
+    pub(super) last_sweep_at: Millis,
 
     pub(super) endpoints: EndpointSet,
     pub(super) endpoint_watch: EndpointWatch,
@@ -61,21 +61,21 @@
     pub(super) retry_budgets: RetryBudgets,
     pub(super) admission: Admission,
     pub(super) priorities: Priorities,
-    pub(super) try_times: TryTimes,
+    pub(super) try_timeouts: TryTimeouts,
 
     pub(super) queries: BTreeMap<QueryId, Query>,
-    /// Parts of the queries, and parts of ended queries that have an attempt in flight.
+    /// Parts of the current queries, and parts of ended queries that still have an attempt in flight.
     pub(super) parts: BTreeMap<PartId, Part>,
-    /// Queries and their parts, for the bound on what is in flight.
+    /// The number of queries and parts in flight, compared with `Settings::max_in_flight`.
     pub(super) in_flight: usize,
     pub(super) queries_awaiting_checks: Vec<QueryId>,
 }
 
 impl Balancer {
-    /// Creates a balancer that knows nothing but its settings. The seed determines all its random choices.
+    /// Creates a balancer without endpoints. The seed determines all its random choices.
     ///
     /// # Errors
-    /// The first setting that makes no sense.
+    /// The first setting that is invalid.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
         let objectives = Objectives::of(&settings);
@@ -85,7 +85,7 @@
             now: f64::NEG_INFINITY,
             resumed_at: f64::NEG_INFINITY,
             next_sweep_at: None,
-            swept_at: 0.0,
+            last_sweep_at: 0.0,
             endpoints: EndpointSet::new(&settings),
             endpoint_watch: EndpointWatch::new(settings.discovery_is_polled),
             latency: LatencyEstimates::new(objectives.shortest),
@@ -96,7 +96,7 @@
             retry_budgets: RetryBudgets::default(),
             admission: Admission::new(),
             priorities: Priorities::new(&settings),
-            try_times: TryTimes::new(settings.classes.len()),
+            try_timeouts: TryTimeouts::new(settings.classes.len()),
             queries: BTreeMap::new(),
             parts: BTreeMap::new(),
             in_flight: 0,
@@ -105,11 +105,11 @@
         })
     }
 
-    /// Replaces the settings. `previous_class` has for each new class its index in the old settings, if any. Queries in
-    /// flight keep the rules that they started under.
+    /// Replaces the settings. `previous_class` maps each new class to its index in the old settings; None for a class
+    /// that is new. Queries in flight keep the settings that applied when they arrived.
     ///
     /// # Errors
-    /// The first setting that makes no sense; the old settings stand.
+    /// The first setting that is invalid; the old settings remain in effect.
     pub fn reconfigure(
         &mut self,
         settings: Settings,
@@ -119,7 +119,7 @@
         let previous = |class: usize| previous_class.get(class).copied().flatten();
         self.objectives = Objectives::of(&settings);
         self.priorities.reconfigure(&settings, previous);
-        self.try_times.reconfigure(settings.classes.len(), previous);
+        self.try_timeouts.reconfigure(settings.classes.len(), previous);
         self.slow_start.reconfigure(&settings);
         self.endpoints.reconfigure(&settings);
         self.load_reports.reindex(self.endpoints.up());
@@ -127,8 +127,8 @@
         Ok(())
     }
 
-    /// Handles one event and appends the resulting actions to `actions`, in order. Events about unknown ids are
-    /// ignored. `now` must not run backwards; if it does, the latest time seen is used.
+    /// Handles one event and appends the resulting actions to `actions`, in order. Events with unknown ids are
+    /// ignored. `now` must not decrease; if it does, the latest time seen is used.
     pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
         self.now = finite_or(now, self.now.max(0.0)).max(self.now);
         self.detect_stall();
@@ -166,15 +166,16 @@
         self.priorities.last_query_within_quota()
     }
 
-    /// Whether a replica is in its slow start.
+    /// Whether a replica is in slow start; false for an unknown replica.
     pub fn is_warming_up(&self, replica: ReplicaId) -> bool {
         self.endpoints
             .get(replica)
             .is_some_and(|replica| !self.slow_start.is_warm(self.now, &replica.warm_up))
     }
 
-    /// A sweep that is far overdue means that this aggregator has stalled (a paused process, a busy core). Answers then
-    /// look late although their replicas were not, so observations that span the stall are not held against replicas.
+    /// Detects a stall of this aggregator, such as a paused process or a busy core, by an overdue sweep. After a
+    /// stall, answers are handled late although the replicas were not slow, so measurements that span the stall are
+    /// not counted against replicas.
     fn detect_stall(&mut self) {
         let stall = STALL_SWEEPS * sweep_interval(&self.settings);
         if self.next_sweep_at.is_some_and(|at| self.now - at > stall) {
@@ -194,8 +195,8 @@
         self.endpoint_watch.on_failure(self.now, discovery_is_polled, max_poll_interval, jitter);
     }
 
-    /// Records a replica's load report, if there is one from which its queue can be derived. `own_calls` and
-    /// `lower_bound` are as in [`ReportedQueue::from_report`].
+    /// Records a replica's load report, if a queue length can be derived from it. `own_calls` and `lower_bound` are as
+    /// in [`ReportedQueue::from_report`].
     pub(super) fn record_report(
         &mut self,
         id: ReplicaId,
@@ -211,12 +212,12 @@
         }
     }
 
-    /// The context of admission control's decisions and observations now.
+    /// The context for admission control at the current time.
     pub(super) fn admission_context(&self) -> AdmissionContext {
         AdmissionContext { now: self.now, longest_objective: self.objectives.longest }
     }
 
-    /// The criteria by which the evidence against replicas is judged now.
+    /// The parameters of outlier detection at the current time.
     pub(super) fn outlier_criteria(&self) -> OutlierCriteria {
         OutlierCriteria {
             now: self.now,
--- a/src/balancer/statistics.rs
+++ b/src/balancer/statistics.rs
@@ -1,14 +1,14 @@
-//! Small estimators over recent observations. They read no clock: times are given by the caller.
+//! Estimators over recent observations. They read no clock: the caller passes the time.
 
 use super::Millis;
 use std::collections::VecDeque;
 
-/// The number itself if it is finite, a fallback otherwise.
+/// The number if it is finite, otherwise the fallback.
 pub(super) fn finite_or(number: f64, fallback: f64) -> f64 {
     if number.is_finite() { number } else { fallback }
 }
 
-/// The latest samples of a quantity, up to a capacity.
+/// The latest samples of a quantity, up to a fixed capacity.
 #[derive(Clone)]
 pub(super) struct RecentSamples {
     samples: VecDeque<f64>,
@@ -35,7 +35,7 @@
         self.samples.len()
     }
 
-    /// How many samples lie within a distance of a value.
+    /// The number of samples within a distance of a value.
     pub fn count_near(&self, value: f64, distance: f64) -> usize {
         self.samples.iter().filter(|sample| (*sample - value).abs() <= distance).count()
     }
@@ -49,7 +49,7 @@
         below as f64 / self.samples.len() as f64
     }
 
-    /// The value below which a share of the samples lies. There must be at least one sample.
+    /// The quantile of the samples at `share`, from 0 to 1. There must be at least one sample.
     pub fn quantile(&self, share: f64) -> f64 {
         let mut sorted: Vec<f64> = self.samples.iter().copied().collect();
         sorted.sort_by(f64::total_cmp);
@@ -58,7 +58,7 @@
     }
 }
 
-/// Trials and successes that decay exponentially with time.
+/// Counts of trials and successes that decay exponentially with time.
 #[derive(Default)]
 pub(super) struct DecayingRatio {
     trials: f64,
@@ -85,7 +85,7 @@
     }
 }
 
-/// The mean of one value for each of a set of members.
+/// The mean over a set of members with one value each.
 #[derive(Default)]
 pub(super) struct RunningMean {
     sum: f64,
@@ -93,7 +93,7 @@
 }
 
 impl RunningMean {
-    /// Adds a member's value, or replaces its old one.
+    /// Adds a member's value, or replaces its old value.
     pub fn replace(&mut self, old: Option<f64>, new: f64) {
         self.sum += new - old.unwrap_or(0.0);
         if old.is_none() {
@@ -101,7 +101,7 @@
         }
     }
 
-    /// The mean over all members but the one whose value is given; 0 if there is no other.
+    /// The mean over all members except one whose value is `own`; 0 without other members.
     pub fn excluding(&self, own: Option<f64>) -> f64 {
         let count = if own.is_some() { self.count - 1.0 } else { self.count };
         if count <= 0.0 {
@@ -111,7 +111,7 @@
     }
 }
 
-/// A linear regression in which older observations lose weight as new ones come in.
+/// A linear regression in which older observations lose weight as new ones are added.
 #[derive(Default)]
 pub(super) struct DecayingRegression {
     count: f64,
@@ -122,7 +122,7 @@
 }
 
 impl DecayingRegression {
-    /// Adds an observation; about the last `memory` observations count.
+    /// Adds an observation. Effectively the last `memory` observations count.
     pub fn add(&mut self, x: f64, y: f64, memory: f64) {
         let remaining = 1.0 - 1.0 / memory;
         self.count = remaining * self.count + 1.0;
@@ -132,7 +132,7 @@
         self.sum_xy = remaining * self.sum_xy + x * y;
     }
 
-    /// The slope of `y` over `x`, drawn towards 1 by a prior of that much variation in `x`.
+    /// The slope of `y` over `x`, shrunk towards 1 by a prior with this much variation of `x`.
     pub fn slope(&self, prior_variation: f64) -> f64 {
         let count = self.count.max(1.0);
         let variation = self.sum_xx - self.sum_x * self.sum_x / count;
@@ -141,7 +141,7 @@
     }
 }
 
-/// Counts of events, summed over sliding windows.
+/// Counts of events, which can be summed over sliding windows.
 #[derive(Default)]
 pub(super) struct SlidingCount(VecDeque<CountAt>);
 
@@ -155,12 +155,12 @@
         self.0.push_back(CountAt { at, count: count as f64 });
     }
 
-    /// The count at or after a time.
+    /// The number of events at or after a time.
     pub fn since(&self, start: Millis) -> f64 {
         self.0.iter().rev().take_while(|entry| entry.at >= start).map(|entry| entry.count).sum()
     }
 
-    pub fn forget_before(&mut self, start: Millis) {
+    pub fn remove_before(&mut self, start: Millis) {
         while self.0.front().is_some_and(|entry| entry.at < start) {
             self.0.pop_front();
         }
