--- a/src/balancer/load_reports.rs
+++ b/src/balancer/load_reports.rs
@@ -6,7 +6,7 @@
 
 /// The time constant with which a report decays to the mean of the other replicas, in median latencies. A queue turns
 /// over within about this time.
-const FADE_MEDIANS: f64 = 4.0;
+const DECAY_MEDIANS: f64 = 4.0;
 /// Upper bound of the utilization used: higher values do not predict the queue length.
 const MAX_UTILIZATION: f64 = 0.9;
 /// The number of recent answers that the regression effectively covers.
@@ -75,7 +75,7 @@
         let mean = self.mean.excluding(own);
         replica.reported_queue.map_or(mean, |report| {
             let age = now - report.received_at;
-            mean + (report.queue - mean) * (-age / (FADE_MEDIANS * median_latency)).exp()
+            mean + (report.queue - mean) * (-age / (DECAY_MEDIANS * median_latency)).exp()
         })
     }
 
--- a/tests/balancer/admission.rs
+++ b/tests/balancer/admission.rs
@@ -1,9 +1,9 @@
-//! Admission control and load shedding: which queries are rejected on arrival or given up.
+//! Admission control and load shedding: which queries are rejected on arrival or ended early.
 
 use crate::harness::*;
 use sailmux::balancer::*;
 
-/// A marked client retry whose latency objective has passed is worth nothing and is not forwarded.
+/// A marked client retry whose latency objective has passed has no value and is not forwarded.
 #[test]
 fn a_client_retry_past_its_latency_objective_is_rejected() {
     let mut harness = Harness::new(settings(), 1);
@@ -22,9 +22,9 @@
     assert!(harness.is_rejected(query));
 }
 
-/// Clients whose first attempts have shorter deadlines than others are not taken for late client retries.
+/// First tries of clients with shorter deadlines than others are not treated as client retries.
 #[test]
-fn common_deadlines_are_not_taken_for_client_retries() {
+fn common_deadlines_are_not_treated_as_client_retries() {
     let mut harness = Harness::new(Settings { clients_mark_retries: false, ..settings() }, 1);
     harness.list_replicas(3);
     for i in 0..60u64 {
@@ -35,9 +35,9 @@
     }
 }
 
-/// A query with an uncommon deadline, which may be a client retry, is served where capacity is left.
+/// A query with an uncommon deadline, which may be a client retry, is served if there is spare capacity.
 #[test]
-fn impatient_clients_are_served_where_capacity_is_left() {
+fn queries_with_uncommon_deadlines_are_served_with_spare_capacity() {
     let mut harness = Harness::new(Settings { clients_mark_retries: false, ..settings() }, 1);
     harness.list_replicas(3);
     harness.warm_up(3000.0, 50.0);
@@ -52,8 +52,8 @@
 
 #[test]
 fn overload_sheds_the_lower_priority_weight_first() {
-    let two = vec![class(), Class { priority_weight: 0.05, ..class() }];
-    let mut harness = Harness::new(Settings { classes: two, ..settings() }, 1);
+    let both_classes = vec![class(), Class { priority_weight: 0.05, ..class() }];
+    let mut harness = Harness::new(Settings { classes: both_classes, ..settings() }, 1);
     harness.list_replicas(3);
     harness.warm_up(5000.0, 300.0);
     let mut rejected = [0, 0];
@@ -70,8 +70,8 @@
     assert!(rejected[1] > rejected[0], "{rejected:?}");
 }
 
-/// Quotas are compared in proportion, as this aggregator may get most of the traffic. Under overload the tenant over its
-/// proportion is shed first.
+/// Only the proportions of quotas are used, as this aggregator may receive most of the traffic. Under overload the
+/// tenant that exceeds its proportion is shed first.
 #[test]
 fn overload_sheds_the_tenant_over_its_quota_share_first() {
     let tenants = vec![Tenant { quota_per_s: 5.0 }, Tenant { quota_per_s: 5.0 }];
@@ -99,9 +99,9 @@
     assert!(rejected[0] / arrived[0] > rejected[1] / arrived[1], "{rejected:?} of {arrived:?}");
 }
 
-/// Queries that need a shard with faults are rejected, those that do not are served.
+/// Queries for a failing shard are rejected, and queries for other shards are served.
 #[test]
-fn faults_of_one_shard_do_not_reject_queries_of_others() {
+fn a_failing_shard_does_not_reject_queries_for_other_shards() {
     let mut harness = Harness::new(Settings { cells: 2, width: 1, ..settings() }, 5);
     harness.list_replicas(2);
     let mut rejected = [0, 0];
@@ -113,13 +113,13 @@
         harness.answer_all_except(now + 50.0, 50.0, &[0]);
         harness.run_timer(now + 50.0, now + 90.0);
     }
-    assert_eq!(rejected[1], 0, "{rejected:?}: shard 1 has no faults");
-    assert!(rejected[0] > 50, "{rejected:?}: many of 150 for shard 0 can't be in time");
+    assert_eq!(rejected[1], 0, "{rejected:?}: shard 1 does not fail");
+    assert!(rejected[0] > 50, "{rejected:?}: many of 150 queries for shard 0 cannot be answered in time");
 }
 
-/// An aggregator that rejected nearly all queries admits one again once the evidence is old.
+/// An aggregator that has rejected almost all queries admits a trial query once its statistics have decayed.
 #[test]
-fn a_trial_query_is_admitted_once_the_evidence_is_old() {
+fn a_trial_query_is_admitted_once_the_statistics_have_decayed() {
     let mut harness = Harness::new(settings(), 1);
     harness.list_replicas(3);
     harness.warm_up(3000.0, 300.0);
@@ -133,12 +133,12 @@
     harness.run_timer(now, now + 8000.0);
     let sent = harness.sends.len();
     let (query, _) = harness.query_with_deadline(now + 8000.0, 9000, 3000.0);
-    assert!(!harness.is_rejected(query), "a trial is admitted");
+    assert!(!harness.is_rejected(query), "a trial query is admitted");
     harness.run_timer(now + 8000.0, now + 8200.0);
     assert!(harness.sends.len() > sent);
 }
 
-/// A class with an objective of 500 ms whose late answers keep a share of their value.
+/// Settings with a latency objective of 500 ms and this late value factor.
 fn with_late_value(late_value: f64) -> Settings {
     let class =
         Class { latency_objective: 500.0, deadline: 2000.0, late_value_factor: late_value, ..class() };
@@ -146,19 +146,19 @@
 }
 
 #[test]
-fn a_query_past_its_objective_goes_on_only_for_enough_late_value() {
-    for (late_value, goes_on) in [(0.1, false), (0.5, true)] {
+fn a_query_continues_past_its_objective_only_for_enough_late_value() {
+    for (late_value, continues) in [(0.1, false), (0.5, true)] {
         let mut harness = Harness::new(with_late_value(late_value), 1);
         harness.list_replicas(3);
         let (query, _) = harness.query(0.0, &[0]);
         harness.run_timer(0.0, 600.0);
-        assert_eq!(harness.is_rejected(query), !goes_on, "late value {late_value}");
+        assert_eq!(harness.is_rejected(query), !continues, "late value {late_value}");
     }
 }
 
-/// Queries that were admitted with good chances and missed their objective, as one part of each met an overloaded
-/// replica, make the next ones doubtful though nearly all parts are quick: most are rejected, a few are admitted as trials.
-/// It ends once admitted queries meet their objective.
+/// Queries that are admitted with high chances but miss their latency objective lower the calibration, although nearly
+/// all their parts are fast: one part of each is sent to an overloaded replica. Most of the following queries are
+/// rejected, and a few are admitted as trials. All are admitted again once admitted queries meet their objective.
 #[test]
 fn admission_is_recalibrated_when_admitted_queries_miss_their_objective() {
     let mut harness = Harness::new(Settings { cells: 24, ..with_late_value(0.0) }, 3);
@@ -183,14 +183,15 @@
         admitted
     };
     let before = (0..40).filter(|_| is_admitted(&mut harness, false)).count();
-    assert_eq!(before, 40, "all while they come in time");
+    assert_eq!(before, 40, "all are admitted while answers are in time");
     let during = (0..60).filter(|_| is_admitted(&mut harness, true)).count();
-    assert!((3..30).contains(&during), "{during} of 60 while none comes in time");
+    assert!((3..30).contains(&during), "{during} of 60 are admitted while no answer is in time");
     let after: Vec<bool> = (0..60).map(|_| is_admitted(&mut harness, false)).collect();
-    assert!(after[40..].iter().all(|admitted| *admitted), "all again: {after:?}");
+    assert!(after[40..].iter().all(|admitted| *admitted), "all are admitted again: {after:?}");
 }
 
-/// A third of the parts take 100 ms, the others 300; a query of three parts arrives whose client waits this long.
+/// Sends a query of three parts with this time left, after a third of the earlier parts took 100 ms and the others 300
+/// ms.
 fn query_with_mixed_latencies(time_left: f64) -> (Harness, QueryId) {
     let mut harness = Harness::new(settings(), 1);
     let entries = (0..12).map(|number| ReplicaEntry { cell: number % 3, ..entry(number) }).collect();
@@ -214,10 +215,10 @@
     (harness, query)
 }
 
-/// Guards against work on queries that cannot be answered before their clients leave: their parts keep the replicas
-/// busy and nobody gets an answer. What a class allows says nothing about a client that waits for less.
+/// Guards against work on queries that cannot be answered before their clients disconnect: it keeps the replicas busy
+/// without any answer. The time left of the client takes precedence over the limits of its class.
 #[test]
-fn a_query_that_is_unlikely_before_its_client_leaves_is_rejected_whatever_its_class_allows() {
+fn a_query_unlikely_to_be_answered_before_its_client_leaves_is_rejected() {
     let (harness, query) = query_with_mixed_latencies(200.0);
     assert!(harness.is_rejected(query));
     let (harness, query) = query_with_mixed_latencies(2000.0);
--- a/tests/balancer/answers.rs
+++ b/tests/balancer/answers.rs
@@ -9,13 +9,13 @@
     harness.list_replicas(3);
     let (query, _) = harness.query(1.0, &[0, 1, 2]);
     harness.run_timer(1.0, 2990.0);
-    let finals =
+    let final_answers =
         harness.actions.iter().filter(|a| matches!(a, Action::Reject { query: q, .. } if *q == query));
-    assert_eq!(finals.count(), 1, "one final answer, given while the client still waits");
+    assert_eq!(final_answers.count(), 1, "one final answer before the client gives up");
 }
 
 #[test]
-fn a_query_is_answered_when_its_last_part_is() {
+fn a_query_is_answered_when_its_last_part_is_answered() {
     let mut harness = Harness::new(settings(), 1);
     harness.list_replicas(3);
     let (query, parts) = harness.query(1.0, &[0, 1]);
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_partial_answer_is_never_called_complete() {
+fn a_partial_answer_is_never_marked_complete() {
     let partial = Class { complete_coverage: 1.0, minimum_coverage: 0.5, ..class() };
     let mut harness = Harness::new(with_class(partial), 1);
     harness.list_replicas(3);
@@ -37,9 +37,9 @@
     assert!(!harness.has_action(&Action::Answer { query, complete: true }));
 }
 
-/// A shard without replicas does not end a query that may be answered from the other parts.
+/// A shard without replicas does not end a query that can be answered from its other parts.
 #[test]
-fn a_shard_without_replicas_leaves_a_partial_answer() {
+fn a_query_for_a_shard_without_replicas_gets_a_partial_answer() {
     let partial = Class { minimum_coverage: 0.5, partial_value_factor: 0.8, ..class() };
     let mut harness = Harness::new(Settings { width: 1, ..with_class(partial) }, 1);
     harness.list_replicas(2);
@@ -49,13 +49,13 @@
         harness.answer_all_except(now + 50.0, 50.0, &[]);
     }
     let (query, _) = harness.query(4000.0, &[0, 1, 2]);
-    assert!(!harness.ended_unanswered(query), "two of three parts are worth sending");
+    assert!(!harness.ended_unanswered(query), "two of three parts suffice for a partial answer");
     harness.answer_all_except(4050.0, 50.0, &[]);
     harness.run_timer(4050.0, 5600.0);
     assert!(harness.has_action(&Action::Answer { query, complete: false }));
 }
 
-/// The first answer brings the second step's parts, and the second answer is complete only if both steps are.
+/// The first answer starts the second step. The answer of the second step is complete only if both steps are.
 #[test]
 fn a_second_step_is_sent_and_answered() {
     let mut harness = Harness::new(
@@ -75,7 +75,7 @@
     harness.end_attempt(100.0, part, 0, Outcome::Ok, 45.0);
     assert!(harness.has_action(&Action::Answer { query, complete: true }));
     harness.run_timer(100.0, 3000.0);
-    assert!(!harness.is_rejected(query), "nothing more is due");
+    assert!(!harness.is_rejected(query), "the query has ended with its second answer");
 }
 
 /// The first partial answer is given early enough for the second step to be answered before the latency objective.
@@ -90,7 +90,7 @@
     harness.run_timer(50.0, 1400.0);
     assert!(
         harness.has_action(&Action::Answer { query, complete: false }),
-        "100 ms before the latency objective the first step is over"
+        "the first step is answered 100 ms before the latency objective"
     );
     let part = PartId(parts[2].0 + 50);
     let specs = vec![only_part(part)];
--- a/tests/balancer/harness.rs
+++ b/tests/balancer/harness.rs
@@ -1,9 +1,9 @@
-//! A caller of the balancer that records the actions it was given and which attempts are in flight.
+//! A caller of the balancer that records the balancer's actions and the attempts in flight.
 
 use sailmux::Balancer;
 use sailmux::balancer::*;
 
-/// An idempotent class that takes complete answers alone, with an objective of 1.5 s and a deadline of 3 s.
+/// An idempotent class that allows no partial answers, with a latency objective of 1.5 s and a deadline of 3 s.
 pub fn class() -> Class {
     Class {
         latency_objective: 1500.0,
@@ -19,7 +19,7 @@
     }
 }
 
-/// One class, three cells of which each shard is in all, and every optional mechanism allowed.
+/// Settings with one class, three cells that each hold every shard, and every optional mechanism allowed.
 pub fn settings() -> Settings {
     Settings {
         classes: vec![class()],
@@ -51,7 +51,7 @@
     }
 }
 
-/// A replica that is up, in the cell of its number.
+/// An endpoint list entry of a replica that is up; the replica and its cell have the same number.
 pub fn entry(number: u32) -> ReplicaEntry {
     ReplicaEntry {
         replica: ReplicaId(number),
@@ -63,12 +63,12 @@
     }
 }
 
-/// The settings with another class in place of the one.
+/// The default settings with `class` as the only class.
 pub fn with_class(class: Class) -> Settings {
     Settings { classes: vec![class], ..settings() }
 }
 
-/// The only part of a query, of shard 0.
+/// The part of a query for shard 0 alone.
 pub fn only_part(part: PartId) -> PartSpec {
     PartSpec { part, shard: 0, weight: 1.0, cost_hint: None }
 }
@@ -79,22 +79,22 @@
     pub replica: ReplicaId,
 }
 
-/// An attempt that has not ended; a part's attempts are numbered from 0.
+/// An attempt in flight; a part's attempts are numbered from 0.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct InFlight {
     pub part: PartId,
     pub attempt: u32,
 }
 
-/// A balancer and all that it did; times in milliseconds.
+/// A balancer and the actions that it has returned. Times are in milliseconds.
 pub struct Harness {
     pub balancer: Balancer,
-    /// Every action, in order; a test may clear them.
+    /// Every action, in order; tests may clear the list.
     pub actions: Vec<Action>,
     pub in_flight: Vec<InFlight>,
-    /// Every attempt, in order.
+    /// Every attempt, in the order sent.
     pub sends: Vec<Sent>,
-    /// The replica of every health check, in order.
+    /// The replica of every health check, in the order sent.
     pub health_checks: Vec<ReplicaId>,
     /// Replicas whose health checks are not answered.
     pub unresponsive: Vec<ReplicaId>,
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Gives the balancer an event and records its actions. Health checks succeed at once and report nothing.
+    /// Passes an event to the balancer and records its actions. Health checks succeed at once and report no load.
     pub fn handle(&mut self, now: f64, event: Event) {
         let first_new = self.actions.len();
         self.balancer.handle(now, event, &mut self.actions);
@@ -141,18 +141,18 @@
         }
     }
 
-    /// A complete list of this many replicas at time 0.
+    /// Applies a complete endpoint list of this many replicas at time 0.
     pub fn list_replicas(&mut self, count: u32) {
         let entries = (0..count).map(entry).collect();
         self.handle(0.0, Event::EndpointList { complete: true, entries });
     }
 
-    /// A change of one replica.
+    /// Applies an endpoint list update of one replica.
     pub fn update_replica(&mut self, now: f64, entry: ReplicaEntry) {
         self.handle(now, Event::EndpointList { complete: false, entries: vec![entry] });
     }
 
-    /// A query with a part for each shard and 3 s left.
+    /// Sends a query with a part for each shard and 3 s left.
     pub fn query(&mut self, now: f64, shards: &[u32]) -> (QueryId, Vec<PartId>) {
         let query = QueryId(self.next_id);
         let weight = 1.0 / shards.len() as f64;
@@ -167,7 +167,7 @@
         (query, ids)
     }
 
-    /// A query of one part with this time left; its ids follow from its number.
+    /// Sends a query of one part with this time left; its ids are derived from `number`.
     pub fn query_with_deadline(&mut self, now: f64, number: u64, time_left: f64) -> (QueryId, PartId) {
         let query = QueryId(50_000 + 2 * number);
         let part = PartId(50_001 + 2 * number);
@@ -176,14 +176,14 @@
         (query, part)
     }
 
-    /// A query for one shard whose part is sent at once; the part and its replica.
+    /// Sends a query for one shard whose part is sent at once. Returns the part and its replica.
     pub fn query_one_shard(&mut self, now: f64, shard: u32) -> (PartId, ReplicaId) {
         let (_, parts) = self.query(now, &[shard]);
         let sent = self.sends.iter().find(|sent| sent.part == parts[0]).expect("the part was sent");
         (parts[0], sent.replica)
     }
 
-    /// The replica that a new query for one shard is sent to.
+    /// Sends a query for one shard. Returns the replica that its part is sent to.
     pub fn select_replica(&mut self, now: f64, shard: u32) -> ReplicaId {
         self.query_one_shard(now, shard).1
     }
@@ -193,14 +193,14 @@
         self.handle(now, Event::AttemptEnded { part, attempt, outcome, elapsed, report: None });
     }
 
-    /// Ends all attempts that are in flight with the same outcome.
+    /// Ends all attempts in flight with the same outcome.
     pub fn end_all(&mut self, now: f64, outcome: Outcome, elapsed: f64) {
         for InFlight { part, attempt } in self.in_flight.clone() {
             self.end_attempt(now, part, attempt, outcome, elapsed);
         }
     }
 
-    /// Answers the attempts in flight, and those sent upon the first answers, except at some replicas.
+    /// Answers the attempts in flight, and those that are sent upon these answers, except at some replicas.
     pub fn answer_all_except(&mut self, now: f64, elapsed: f64, excluded: &[u32]) {
         for _ in 0..2 {
             for InFlight { part, attempt } in self.in_flight.clone() {
@@ -211,7 +211,8 @@
         }
     }
 
-    /// Answers one query after the other from time 0, so that the balancer knows the latency; forgets the actions.
+    /// Sends and answers one query after another from time 0, so that the balancer has latency estimates. Clears the
+    /// recorded actions.
     pub fn warm_up(&mut self, until: f64, latency: f64) {
         let mut now = 0.0;
         while now < until {
@@ -222,14 +223,14 @@
         self.actions.clear();
     }
 
-    /// A health check of a replica ends and reports the length of its queue.
+    /// Ends a health check of a replica with a report of its queue length.
     pub fn report_queue(&mut self, now: f64, replica: u32, queue: f64) {
         let report = Some(LoadReport { queue: Some(queue), ..LoadReport::default() });
         let replica = ReplicaId(replica);
         self.handle(now, Event::HealthCheckEnded { replica, outcome: Outcome::Ok, elapsed: 1.0, report });
     }
 
-    /// Timer events every 20 ms over a span.
+    /// Sends a timer event every 20 ms from `from` to `to`.
     pub fn run_timer(&mut self, from: f64, to: f64) {
         let mut now = from;
         while now < to {
@@ -249,18 +250,18 @@
         self.actions.iter().any(rejects)
     }
 
-    /// Whether the query ended without an answer: rejected or failed.
+    /// Whether the query ended without an answer, rejected or failed.
     pub fn ended_unanswered(&self, query: QueryId) -> bool {
         self.is_rejected(query) || self.has_action(&Action::Fail { query })
     }
 
-    /// Where an attempt went.
+    /// The replica that an attempt was sent to.
     pub fn replica_of(&self, part: PartId, attempt: u32) -> ReplicaId {
         let mut attempts = self.sends.iter().filter(|sent| sent.part == part);
-        attempts.nth(attempt as usize).expect("sent").replica
+        attempts.nth(attempt as usize).expect("the attempt was sent").replica
     }
 
-    /// Whether any replica has been ejected, by the log.
+    /// Whether a log event reports the ejection of any replica.
     pub fn any_replica_ejected(&self) -> bool {
         let ejects = |action: &Action| matches!(action, Action::Log(LogEvent::ReplicaEjected(_)));
         self.actions.iter().any(ejects)
--- a/tests/balancer/health_checks.rs
+++ b/tests/balancer/health_checks.rs
@@ -1,16 +1,16 @@
-//! Health checks: when replicas are checked before a part is sent, and what a check proves.
+//! Health checks: when replicas are checked before a part is sent, and how the results are used.
 
 use crate::harness::*;
 use sailmux::balancer::*;
 
-/// A health check that costs more than a better selection saves is never sent, however many attempts fail; a cheap one
-/// is.
+/// Health checks that cost more than a better selection saves are never sent, however many attempts fail. Cheap ones
+/// are sent.
 #[test]
 fn health_checks_that_cost_more_than_they_save_are_not_sent() {
-    for (price, expected) in [(0.01, true), (0.08, false)] {
+    for (cost, expected) in [(0.01, true), (0.08, false)] {
         let mut sent = 0;
         for seed in 0..20 {
-            let mut harness = Harness::new(Settings { health_check_cost: price, ..settings() }, seed);
+            let mut harness = Harness::new(Settings { health_check_cost: cost, ..settings() }, seed);
             harness.list_replicas(3);
             for i in 0..20u32 {
                 let now = 1.0 + 50.0 * f64::from(i);
@@ -19,11 +19,12 @@
             }
             sent += harness.health_checks.len();
         }
-        assert_eq!(sent > 0, expected, "{sent} health checks at a price of {price}");
+        assert_eq!(sent > 0, expected, "{sent} health checks at a cost of {cost}");
     }
 }
 
-/// Where load reports come by health checks and attempts fail, both sampled replicas are checked before the part is sent.
+/// If load reports come with health checks and attempts fail, both sampled replicas are checked before the part is
+/// sent.
 #[test]
 fn sampled_replicas_are_checked_before_a_part_is_sent() {
     let mut harness = Harness::new(settings(), 3);
@@ -46,11 +47,11 @@
     harness.report_queue(40_003.0, harness.health_checks[checked + 1].0, 9.0);
     assert_eq!(
         harness.sends[sent].replica, harness.health_checks[checked],
-        "sent as soon as both have reported, to the less loaded"
+        "sent to the less loaded replica as soon as both have reported"
     );
 }
 
-/// An unanswered health check delays a part only for a bounded time, and counts against its replica.
+/// An unanswered health check delays a part only for a limited time, and counts against its replica.
 #[test]
 fn an_unanswered_health_check_delays_a_part_only_briefly() {
     let mut answered = 0;
@@ -66,10 +67,14 @@
         assert_eq!(harness.sends.len(), sent + 1);
         answered += u32::from(harness.sends[sent].replica == ReplicaId(1));
     }
-    assert_eq!(answered, 20, "{answered} of 20 parts went to the one that answered its health check");
+    assert_eq!(
+        answered, 20,
+        "{answered} of 20 parts were sent to the replica that answered its health check"
+    );
 }
 
-/// A replica that reports a shorter queue than it has is found out by its own health check, which had to wait.
+/// A replica that reports a shorter queue than its actual one is detected by the duration of its health check, which
+/// had to wait in the queue.
 #[test]
 fn a_slow_health_check_outweighs_a_low_load_report() {
     for seed in 0..40 {
@@ -89,8 +94,9 @@
     }
 }
 
-/// When health checks show that a part's replicas cannot serve it in time, the query ends before it is sent. A new
-/// balancer for each seed: latencies are forgotten within seconds, and one false report discredits the reports.
+/// If health checks show that a part's replicas cannot serve it in time, its query ends before the part is sent. Each
+/// seed needs a new balancer: latency samples expire within seconds, and one false report lowers the weight of all
+/// reports.
 #[test]
 fn a_query_is_rejected_unsent_when_health_checks_show_its_replicas_too_slow() {
     let mut with_checks = 0;
@@ -113,15 +119,15 @@
             continue;
         }
         with_checks += 1;
-        assert!(!harness.is_rejected(query), "nothing is known yet");
+        assert!(!harness.is_rejected(query), "the health check is still in flight");
         harness.report_queue(60_002.0, 0, 5000.0);
         rejected += u32::from(harness.is_rejected(query) && harness.sends.len() == sent);
     }
     assert!(with_checks > 0, "some queries cause health checks");
-    assert_eq!(rejected, with_checks, "of the queries with health checks");
+    assert_eq!(rejected, with_checks, "number of rejected queries, of those with health checks");
 }
 
-/// Quick answers for a while, so that the chances of a query are known.
+/// Sends and answers queries with low latency, so that the chance of a query is established.
 fn warm_up_from(harness: &mut Harness, from: f64) {
     for i in 0..100 {
         harness.query(from + 50.0 * f64::from(i), &[0, 1]);
@@ -129,7 +135,7 @@
     }
 }
 
-/// Guards against a part that is sent for a client that has gone: it disconnects while its query waits for health checks.
+/// Guards against sending a part for a client that has disconnected while its query awaits health checks.
 #[test]
 fn a_query_whose_client_disconnects_while_it_awaits_health_checks_sends_nothing() {
     let mut harness = Harness::new(settings(), 1);
--- a/tests/balancer/invalid_input.rs
+++ b/tests/balancer/invalid_input.rs
@@ -1,4 +1,4 @@
-//! Settings that make no sense, ids that are unknown, and queries that are empty.
+//! Invalid settings, unknown ids and empty queries.
 
 use crate::harness::*;
 use sailmux::Balancer;
@@ -6,7 +6,7 @@
 
 #[test]
 fn invalid_settings_are_errors() {
-    let bad = [
+    let invalid = [
         (Settings { classes: vec![], ..settings() }, SettingsError::NoClass),
         (Settings { width: 4, ..settings() }, SettingsError::InvalidLayout),
         (with_class(Class { latency_objective: f64::NAN, ..class() }), SettingsError::InvalidClass(0)),
@@ -23,7 +23,7 @@
             SettingsError::InvalidValue("health_check_cost"),
         ),
     ];
-    for (settings, error) in bad {
+    for (settings, error) in invalid {
         assert_eq!(Balancer::new(settings, 0).err(), Some(error));
     }
 }
--- a/tests/balancer/invariants.rs
+++ b/tests/balancer/invariants.rs
@@ -1,4 +1,4 @@
-//! Invariants of every decision, checked over random orders of events.
+//! Invariants of the balancer's actions, checked over random sequences of events.
 
 use crate::harness::*;
 use proptest::prelude::*;
@@ -11,7 +11,7 @@
 const MINIMUM_COVERAGE: f64 = 0.4;
 const DEADLINE_MS: f64 = 3000.0;
 
-/// One random step: its kind, two choices whose meaning depends on the kind, and the time since the step before.
+/// A random step: its kind, two choices whose meaning depends on the kind, and the time since the previous step.
 #[derive(Clone, Copy, Debug)]
 struct Step {
     kind: u8,
@@ -27,8 +27,8 @@
 }
 
 impl Attempt {
-    /// Whether the attempt may have run: only some outcomes prove that it did not.
-    fn may_have_run(&self) -> bool {
+    /// Whether the attempt may have been executed; only some outcomes prove that it was not.
+    fn may_have_been_executed(&self) -> bool {
         !matches!(self.outcome, Some(Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent))
     }
 }
@@ -43,8 +43,8 @@
         self.attempts.iter().any(|attempt| attempt.outcome == Some(Outcome::Ok))
     }
 
-    fn may_have_run(&self) -> bool {
-        self.attempts.iter().any(Attempt::may_have_run)
+    fn may_have_been_executed(&self) -> bool {
+        self.attempts.iter().any(Attempt::may_have_been_executed)
     }
 }
 
@@ -54,7 +54,7 @@
     has_ended: bool,
 }
 
-/// Checks every action against the invariants, whatever the order of events.
+/// Checks every action against the invariants.
 struct InvariantChecker {
     idempotency: Idempotency,
     budget: RetryBudget,
@@ -62,7 +62,7 @@
     queries: BTreeMap<QueryId, Query>,
     parts: BTreeMap<PartId, Part>,
     draining: Vec<ReplicaId>,
-    /// When each attempt after a part's first was sent.
+    /// When each attempt after a part's first one was sent.
     retries: Vec<f64>,
 }
 
@@ -81,21 +81,22 @@
         prop_assert!(!self.draining.contains(&replica), "sent to a draining replica");
         let part = self.parts.get_mut(&part).expect("a known part");
         prop_assert!(!self.queries[&part.query].has_ended, "sent a part of an ended query");
-        prop_assert!(!part.is_answered(), "sent an answered part");
+        prop_assert!(!part.is_answered(), "sent a part that is already answered");
         let attempts = &mut part.attempts;
-        let first_run = attempts.iter().find(|attempt| attempt.may_have_run()).map(|attempt| attempt.sent_at);
-        match (self.idempotency, first_run) {
+        let first_possible_execution =
+            attempts.iter().find(|attempt| attempt.may_have_been_executed()).map(|attempt| attempt.sent_at);
+        match (self.idempotency, first_possible_execution) {
             (Idempotency::NotIdempotent, Some(_)) => prop_assert!(false, "non-idempotent part retried"),
             (Idempotency::Keyed { window }, Some(at)) => prop_assert!(now <= at + window),
             _ => {}
         }
         prop_assert!(attempts.len() < 3, "too many attempts");
         let all_ended = attempts.iter().all(|attempt| attempt.outcome.is_some());
-        prop_assert!(self.hedging_allowed || all_ended, "two attempts at once");
+        prop_assert!(self.hedging_allowed || all_ended, "two attempts in flight without hedging");
         if !attempts.is_empty() {
             self.retries.push(now);
             let in_window = self.retries.iter().filter(|at| **at > now - self.budget.window).count();
-            prop_assert!(in_window as f64 <= self.budget.free_attempts, "over the retry budget");
+            prop_assert!(in_window as f64 <= self.budget.free_attempts, "retry budget exceeded");
         }
         attempts.push(Attempt { sent_at: now, outcome: None });
         Ok(())
@@ -108,17 +109,17 @@
         let answered = query.parts.iter().filter(|part| self.parts[part].is_answered()).count();
         let coverage = answered as f64 / query.parts.len() as f64;
         let needed = if complete { COMPLETE_COVERAGE } else { MINIMUM_COVERAGE };
-        prop_assert!(coverage >= needed - 1e-4, "dishonest at a coverage of {coverage}");
+        prop_assert!(coverage >= needed - 1e-4, "answer with insufficient coverage {coverage}");
         Ok(())
     }
 
-    fn check_end_without_answer(&mut self, query: QueryId, rejected: bool) -> Result<(), TestCaseError> {
+    fn check_end_without_answer(&mut self, query: QueryId, is_rejected: bool) -> Result<(), TestCaseError> {
         let query = self.queries.get_mut(&query).expect("a known query");
         prop_assert!(!query.has_ended, "ended twice");
         query.has_ended = true;
-        let may_have_run = query.parts.iter().any(|part| self.parts[part].may_have_run());
-        let may_reject = self.idempotency != Idempotency::NotIdempotent || !may_have_run;
-        prop_assert!(may_reject || !rejected, "rejected after it may have run");
+        let may_have_been_executed = query.parts.iter().any(|part| self.parts[part].may_have_been_executed());
+        let may_reject = self.idempotency != Idempotency::NotIdempotent || !may_have_been_executed;
+        prop_assert!(may_reject || !is_rejected, "non-idempotent query rejected after a possible execution");
         Ok(())
     }
 
@@ -127,15 +128,15 @@
     }
 }
 
-/// A balancer that plays random steps, and the checker of its actions.
-struct Run {
+/// A balancer that is driven by random steps, with a checker of its actions.
+struct Simulation {
     harness: Harness,
     checker: InvariantChecker,
     now: f64,
     next_id: u64,
 }
 
-impl Run {
+impl Simulation {
     fn new(idempotency: Idempotency, hedging_allowed: bool) -> Self {
         let budget = RetryBudget { free_attempts: 4.0, share: 0.0, window: 2000.0 };
         let class = Class {
@@ -162,10 +163,10 @@
             draining: vec![],
             retries: vec![],
         };
-        Run { harness, checker, now: 0.0, next_id: 0 }
+        Simulation { harness, checker, now: 0.0, next_id: 0 }
     }
 
-    fn play(&mut self, step: Step) -> Result<(), TestCaseError> {
+    fn apply_step(&mut self, step: Step) -> Result<(), TestCaseError> {
         self.now += f64::from(step.elapsed_ms);
         let first_new = self.harness.actions.len();
         match step.kind {
@@ -222,12 +223,12 @@
         self.harness.end_attempt(self.now, part, attempt, outcome, f64::from(step.elapsed_ms));
     }
 
-    fn change_replica(&mut self, replica: ReplicaId, drains: bool) {
+    fn change_replica(&mut self, replica: ReplicaId, is_draining: bool) {
         self.checker.draining.retain(|other| *other != replica);
-        if drains {
+        if is_draining {
             self.checker.draining.push(replica);
         }
-        let state = if drains { ReplicaState::Draining } else { ReplicaState::Up };
+        let state = if is_draining { ReplicaState::Draining } else { ReplicaState::Up };
         self.harness.update_replica(self.now, ReplicaEntry { state, ..entry(replica.0) });
     }
 
@@ -238,16 +239,16 @@
         self.harness.handle(self.now, Event::ClientDisconnected { query });
     }
 
-    /// Lets the time pass until every query has ended, each soon after its deadline at the latest.
+    /// Advances the time until every query has ended, and checks that each ends soon after its deadline.
     fn finish(&mut self) -> Result<(), TestCaseError> {
         while self.now < 100_000.0 && !self.checker.all_queries_ended() {
             let first_new = self.harness.actions.len();
             self.now += 20.0;
             self.harness.handle(self.now, Event::Timer);
             self.check_since(first_new)?;
-            let is_lost = |query: &Query| !query.has_ended && self.now > query.deadline + 160.0;
-            let lost = self.checker.queries.values().any(is_lost);
-            prop_assert!(!lost, "a query has no final answer in time");
+            let is_overdue = |query: &Query| !query.has_ended && self.now > query.deadline + 160.0;
+            let any_overdue = self.checker.queries.values().any(is_overdue);
+            prop_assert!(!any_overdue, "a query was not ended in time");
         }
         Ok(())
     }
@@ -268,12 +269,12 @@
             Step { kind, first_choice, second_choice, elapsed_ms }
         });
     let steps = prop::collection::vec(step, 1..220);
-    let play = |(idempotency, hedging_allowed, steps): (Idempotency, bool, Vec<Step>)| {
-        let mut run = Run::new(idempotency, hedging_allowed);
+    let run_simulation = |(idempotency, hedging_allowed, steps): (Idempotency, bool, Vec<Step>)| {
+        let mut simulation = Simulation::new(idempotency, hedging_allowed);
         for step in steps {
-            run.play(step)?;
+            simulation.apply_step(step)?;
         }
-        run.finish()
+        simulation.finish()
     };
-    runner.run(&(idempotency, any::<bool>(), steps), play).expect("all invariants hold");
+    runner.run(&(idempotency, any::<bool>(), steps), run_simulation).expect("all invariants hold");
 }
--- a/tests/balancer/load_reports.rs
+++ b/tests/balancer/load_reports.rs
@@ -1,4 +1,4 @@
-//! Load reports: which count for the selection, and how much.
+//! Load reports: which reports affect the selection, and how much.
 
 use crate::harness::*;
 use sailmux::balancer::*;
@@ -15,10 +15,11 @@
     }
 }
 
-/// Load reports that do not predict the latency of the next part must not decide the selection; those that do must.
+/// Load reports affect the selection only if they predict latency: uncorrelated reports must not decide it, and
+/// correlated ones must.
 #[test]
-fn load_reports_count_as_far_as_they_predict_latency() {
-    for reports_predict in [false, true] {
+fn load_reports_affect_selection_if_they_predict_latency() {
+    for are_predictive in [false, true] {
         let mut harness = Harness::new(Settings { cells: 2, width: 2, ..settings() }, 7);
         harness.list_replicas(2);
         let mut random = 88_172_645_463_325_252_u64;
@@ -36,37 +37,37 @@
             let parts = [1.0, 2.0].map(|after| harness.query_one_shard(now + after, 0));
             split += u32::from(i >= 2000 && parts[0].1 != parts[1].1);
             for (part, replica) in parts {
-                let elapsed = if reports_predict { 10.0 * (1.0 + queues[replica.0 as usize]) } else { 20.0 };
+                let elapsed = if are_predictive { 10.0 * (1.0 + queues[replica.0 as usize]) } else { 20.0 };
                 harness.end_attempt(now + 2.0 + elapsed, part, 0, Outcome::Ok, elapsed);
             }
             harness.actions.clear();
         }
         assert_eq!(
-            reports_predict,
+            are_predictive,
             split < 700,
-            "reports that predict: {reports_predict}, parts on both replicas {split} of 1000 times"
+            "predictive reports: {are_predictive}, parts on both replicas {split} of 1000 times"
         );
-        assert!(reports_predict || split > 900, "{split} of 1000");
+        assert!(are_predictive || split > 900, "{split} of 1000");
     }
 }
 
 /// A load report that is negative or not a finite number is ignored.
 #[test]
 fn invalid_load_reports_are_ignored() {
-    for senseless in [f64::NAN, f64::INFINITY, -7.0] {
-        let mut firsts = [0u32; 2];
+    for invalid in [f64::NAN, f64::INFINITY, -7.0] {
+        let mut selections = [0u32; 2];
         for seed in 0..60 {
             let mut harness = Harness::new(Settings { cells: 2, width: 2, ..settings() }, seed);
             harness.list_replicas(2);
-            harness.report_queue(1.0, 0, senseless);
+            harness.report_queue(1.0, 0, invalid);
             harness.report_queue(1.0, 1, 0.0);
-            firsts[harness.select_replica(2.0, 0).0 as usize] += 1;
+            selections[harness.select_replica(2.0, 0).0 as usize] += 1;
         }
-        assert!(firsts.iter().all(|n| *n > 10), "{senseless}: {firsts:?}");
+        assert!(selections.iter().all(|n| *n > 10), "{invalid}: {selections:?}");
     }
 }
 
-/// Where replicas report only their utilization, the selection follows that.
+/// If replicas report only their utilization, the selection uses it.
 #[test]
 fn reported_utilization_replaces_a_missing_queue() {
     for seed in 0..40 {
@@ -84,11 +85,11 @@
         assert_eq!(harness.select_replica(2.0, 0), ReplicaId(1));
         harness.handle(3.0, reported(f64::NAN, 1));
         harness.handle(3.0, reported(-1.0, 1));
-        assert_eq!(harness.select_replica(4.0, 0), ReplicaId(1), "an invalid value is ignored");
+        assert_eq!(harness.select_replica(4.0, 0), ReplicaId(1), "invalid values are ignored");
     }
 }
 
-/// An inline load report that is old is renewed by a health check where those are allowed.
+/// A stale inline load report is renewed by a health check if health checks are allowed.
 #[test]
 fn stale_inline_load_reports_are_renewed_by_health_checks() {
     let mut harness =
@@ -102,6 +103,6 @@
     harness.query(60_000.0, &[0]);
     assert!(
         harness.health_checks.len() > checked,
-        "after failures, with reports long old, the sampled replicas are checked"
+        "after failures, with stale reports, the sampled replicas are checked"
     );
 }
--- a/tests/balancer/main.rs
+++ b/tests/balancer/main.rs
@@ -1,4 +1,4 @@
-//! The balancer through its public interface, by concern.
+//! Tests of the balancer through its public interface, by subject.
 
 #[path = "../common/event_rate.rs"]
 mod event_rate;
--- a/tests/balancer/outlier_detection.rs
+++ b/tests/balancer/outlier_detection.rs
@@ -1,26 +1,26 @@
-//! Outlier detection: replicas that fail or do not answer get fewer parts, healthy ones are not ejected.
+//! Outlier detection: replicas that fail or do not respond receive fewer parts, and healthy ones are not ejected.
 
 use crate::harness::*;
 use sailmux::balancer::*;
 
-/// A replica that goes on answering is not ejected because one part of it was lost.
+/// A replica that keeps answering is not ejected because one part sent to it is never answered.
 #[test]
-fn one_lost_part_does_not_eject_an_answering_replica() {
+fn one_unanswered_part_does_not_eject_an_answering_replica() {
     let mut harness = Harness::new(Settings { cells: 1, width: 1, ..settings() }, 1);
     harness.list_replicas(1);
     harness.warm_up(3000.0, 50.0);
     harness.query(3000.0, &[0]);
-    let lost = harness.in_flight[0];
+    let unanswered = harness.in_flight[0];
     for i in 0..20 {
         let now = 3000.0 + 50.0 * f64::from(i);
         let (_, parts) = harness.query(now, &[0]);
         harness.end_attempt(now + 49.0, parts[0], 0, Outcome::Ok, 49.0);
     }
-    assert!(harness.in_flight.contains(&lost), "the lost part is still in flight");
+    assert!(harness.in_flight.contains(&unanswered), "the unanswered part is still in flight");
     assert!(!harness.any_replica_ejected());
 }
 
-/// The parts that follow avoid a replica that does not answer.
+/// Later parts avoid a replica that does not respond.
 #[test]
 fn an_unresponsive_replica_is_no_longer_selected() {
     let mut harness = Harness::new(settings(), 2);
@@ -37,13 +37,16 @@
             }
         }
     }
-    assert!(late_selections <= 3, "{late_selections} of 40 parts still went to the silent replica");
+    assert!(
+        late_selections <= 3,
+        "{late_selections} of 40 parts were still sent to the unresponsive replica"
+    );
 }
 
-/// Guards against a replica that hangs and looks idle and quick again each time a client leaves: no single attempt waits
-/// long enough to show that it does not answer.
+/// Guards against a replica that hangs, but appears idle and fast again each time a client disconnects: no single
+/// attempt waits long enough to show that the replica does not respond.
 #[test]
-fn an_unresponsive_replica_is_ejected_though_its_attempts_are_cancelled_early() {
+fn an_unresponsive_replica_is_ejected_even_if_its_attempts_are_cancelled_early() {
     let mut harness = Harness::new(settings(), 2);
     harness.list_replicas(3);
     harness.warm_up(3000.0, 50.0);
@@ -51,7 +54,7 @@
     let mut late_selections = 0;
     for i in 0..60 {
         let now = 3000.0 + 50.0 * f64::from(i);
-        // The healthy replicas have queues, against which an idle one looks attractive.
+        // The healthy replicas have queues, so that an idle one has a lower cost.
         for _ in 0..6 {
             let (part, replica) = harness.query_one_shard(now, 0);
             sent_at.insert(part, now);
@@ -67,35 +70,39 @@
             }
         }
     }
-    assert!(late_selections <= 4, "{late_selections} of 240 parts still went to the silent replica");
+    assert!(
+        late_selections <= 4,
+        "{late_selections} of 240 parts were still sent to the unresponsive replica"
+    );
 }
 
-/// One refused connection or error is enough to prefer other replicas.
+/// After one refused connection or error, other replicas are preferred.
 #[test]
 fn one_failed_attempt_makes_other_replicas_preferred() {
     for (seed, outcome) in (0..40).flat_map(|s| [(s, Outcome::ConnectFailed), (s, Outcome::Error)]) {
         let mut harness = Harness::new(settings(), seed);
         harness.list_replicas(3);
-        let (part, bad) = harness.query_one_shard(1.0, 0);
+        let (part, failed) = harness.query_one_shard(1.0, 0);
         harness.end_attempt(101.0, part, 0, outcome, 100.0);
-        // The two others get loaded; the failed one is still not selected.
+        // The other two replicas accumulate load, and the failed one is still not selected.
         for _ in 0..6 {
-            assert_ne!(harness.select_replica(102.0, 0), bad, "seed {seed}, {outcome:?}");
+            assert_ne!(harness.select_replica(102.0, 0), failed, "seed {seed}, {outcome:?}");
         }
     }
 }
 
-/// A replica that fails at once has nothing in flight, yet must not be preferred: its failed parts go on counting.
+/// A replica that fails immediately has no parts in flight, but must not be preferred: its recent failures still
+/// count.
 #[test]
-fn a_replica_that_fails_at_once_is_rarely_selected() {
+fn a_replica_that_fails_immediately_is_rarely_selected() {
     let mut harness = Harness::new(settings(), 3);
     harness.list_replicas(3);
-    let mut bad = 0;
+    let mut sent_to_failing = 0;
     for i in 0..200u32 {
         let now = 1.0 + 10.0 * f64::from(i);
         let (part, replica) = harness.query_one_shard(now, 0);
         if replica == ReplicaId(0) {
-            bad += 1;
+            sent_to_failing += 1;
             harness.end_attempt(now + 1.0, part, 0, Outcome::Error, 1.0);
             harness.actions.clear();
         }
@@ -104,26 +111,27 @@
             harness.end_attempt(now + 2.0, part, attempt, Outcome::Ok, 200.0);
         }
     }
-    assert!(bad < 20, "the failer won {bad} of 200 parts");
+    assert!(sent_to_failing < 20, "{sent_to_failing} of 200 parts were sent to the failing replica");
 }
 
-/// A replica that fails at once loses to idle ones, but wins over loaded ones: some of its answers are good.
+/// A replica that fails immediately loses to idle replicas but wins over loaded ones, since it may answer some parts.
 #[test]
-fn a_replica_that_fails_at_once_loses_to_idle_and_wins_over_loaded_ones() {
+fn a_replica_that_fails_immediately_loses_to_idle_and_wins_over_loaded_ones() {
     let mut harness = Harness::new(Settings { hedging_allowed: false, ..settings() }, 5);
     harness.list_replicas(3);
-    let bad = ReplicaId(0);
-    let mut to_bad = 0;
+    let failing = ReplicaId(0);
+    let mut sent_to_failing = 0;
     for i in 0..120 {
         let now = 30.0 * f64::from(i);
         let (_, parts) = harness.query(now, &[0]);
-        // It answers at once; the others answer nothing for now, and the failed part goes on to one of them.
+        // The failing replica returns errors immediately. The others do not answer for now, and the failed part is
+        // retried at one of them.
         while harness
             .in_flight
             .iter()
-            .any(|sent| sent.part == parts[0] && harness.replica_of(sent.part, sent.attempt) == bad)
+            .any(|sent| sent.part == parts[0] && harness.replica_of(sent.part, sent.attempt) == failing)
         {
-            to_bad += 1;
+            sent_to_failing += 1;
             let attempt = harness.sends.iter().filter(|sent| sent.part == parts[0]).count() as u32 - 1;
             harness.end_attempt(now + 1.0, parts[0], attempt, Outcome::Error, 1.0);
         }
@@ -135,12 +143,15 @@
             harness.end_all(now + 2.0, Outcome::Ok, 100.0);
         }
     }
-    assert!((20..80).contains(&to_bad), "{to_bad} of 120 parts went to the one that errs");
+    assert!(
+        (20..80).contains(&sent_to_failing),
+        "{sent_to_failing} of 120 parts were sent to the failing replica"
+    );
 }
 
-/// An aggregator that was stopped for a second does not count that gap against the replicas.
+/// An aggregator that stalled for a second does not count the stall against the replicas.
 #[test]
-fn a_stall_of_the_aggregator_itself_ejects_no_replica() {
+fn a_stall_of_the_aggregator_ejects_no_replica() {
     let mut harness = Harness::new(Settings { cells: 6, ..settings() }, 1);
     harness.list_replicas(6);
     for i in 0..60 {
@@ -152,13 +163,13 @@
     let sent = harness.sends.len();
     harness.actions.clear();
     harness.handle(2350.0, Event::Timer);
-    assert_eq!(harness.sends.len(), sent, "no hedged requests: the answers are in the same batch");
+    assert_eq!(harness.sends.len(), sent, "no hedged requests: the answers arrive right after the stall");
     harness.answer_all_except(2350.0, 1150.0, &[]);
     harness.handle(2370.0, Event::Timer);
     assert!(!harness.any_replica_ejected());
 }
 
-/// With all replicas refusing connections, parts wait; there is no burst onto the first one that returns.
+/// While all replicas refuse connections, parts wait; the first replica that returns receives no burst.
 #[test]
 fn replicas_that_all_refuse_connections_are_tried_one_part_at_a_time() {
     let mut harness = Harness::new(settings(), 4);
@@ -174,5 +185,5 @@
     for _ in 0..30 {
         harness.query(5500.0, &[0]);
     }
-    assert!(harness.sends.len() - from <= 3, "{} parts at once", harness.sends.len() - from);
+    assert!(harness.sends.len() - from <= 3, "{} parts sent at once", harness.sends.len() - from);
 }
--- a/tests/balancer/retries.rs
+++ b/tests/balancer/retries.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeSet;
 
 #[test]
-fn non_idempotent_parts_are_retried_only_if_they_never_ran() {
-    for (outcome, again) in [
+fn non_idempotent_parts_are_retried_only_if_never_executed() {
+    for (outcome, is_retried) in [
         (Outcome::Error, false),
         (Outcome::Reset, false),
         (Outcome::Rejected, true),
@@ -17,16 +17,16 @@
         harness.list_replicas(3);
         let (query, parts) = harness.query(1.0, &[0]);
         harness.end_attempt(10.0, parts[0], 0, outcome, 9.0);
-        assert_eq!(harness.sends.len(), if again { 2 } else { 1 }, "{outcome:?}");
+        assert_eq!(harness.sends.len(), if is_retried { 2 } else { 1 }, "{outcome:?}");
         assert_eq!(
             harness.has_action(&Action::Fail { query }),
-            !again,
-            "{outcome:?}: no rejection after it may have run"
+            !is_retried,
+            "{outcome:?}: no rejection after a possible execution"
         );
         harness.run_timer(10.0, 1400.0);
         assert_eq!(
             harness.sends.len(),
-            if again { 2 } else { 1 },
+            if is_retried { 2 } else { 1 },
             "no hedged request for a non-idempotent part"
         );
     }
@@ -39,7 +39,7 @@
     harness.list_replicas(3);
     let (_, parts) = harness.query(1.0, &[0]);
     harness.end_attempt(50.0, parts[0], 0, Outcome::Error, 49.0);
-    assert_eq!(harness.sends.len(), 2, "within the window the replica drops a duplicate");
+    assert_eq!(harness.sends.len(), 2, "the replica drops duplicates within the window");
     let mut harness = Harness::new(with_class(keyed), 1);
     harness.list_replicas(3);
     let (query, parts) = harness.query(1.0, &[0]);
@@ -48,9 +48,9 @@
     assert!(harness.has_action(&Action::Fail { query }));
 }
 
-/// A part that never ran is retried whatever the internal budget has left.
+/// A part that was never executed is retried even if the adaptive budget is used up.
 #[test]
-fn parts_that_never_ran_are_retried_beyond_the_internal_budget() {
+fn parts_that_were_never_executed_are_retried_beyond_the_adaptive_budget() {
     let mut harness = Harness::new(Settings { cells: 60, ..settings() }, 1);
     harness.list_replicas(60);
     let (_, parts) = harness.query(1.0, &(0..20).map(|i| i % 3).collect::<Vec<_>>());
@@ -81,7 +81,7 @@
     assert!(sends(&harness) < 3, "{} attempts in 3 ms", sends(&harness));
 }
 
-/// A slow attempt is waited for: cancelled work must be done again, which makes all replicas slower.
+/// A slow attempt is not cancelled early: cancelled work has to be repeated, which makes all replicas slower.
 #[test]
 fn an_attempt_times_out_after_six_tail_latencies() {
     let short = Class { latency_objective: 600.0, deadline: 600.0, ..class() };
@@ -98,16 +98,17 @@
     assert!(timeout.is_some_and(|t| (290.0..310.0).contains(&t)), "{timeout:?}");
 }
 
-/// A query for most replicas sends one part first; when that part and another crash their replicas, no more are sent.
+/// A query to most replicas sends one part first. If that part and another one crash their replicas, no more parts are
+/// sent.
 #[test]
 fn a_wide_query_sends_one_part_first() {
     let mut harness = Harness::new(Settings { cells: 6, ..settings() }, 1);
     harness.list_replicas(6);
     let (_, parts) = harness.query(1.0, &[0, 1, 2, 3, 4]);
-    assert_eq!(harness.sends.len(), 1, "one goes first");
+    assert_eq!(harness.sends.len(), 1, "one part is sent first");
     let first = harness.sends[0].part;
     harness.end_attempt(100.0, first, 0, Outcome::Ok, 99.0);
-    assert_eq!(harness.sends.len(), parts.len(), "the others follow");
+    assert_eq!(harness.sends.len(), parts.len(), "the other parts are sent after the first answer");
     let (crashing, _) = harness.query(200.0, &[0, 1, 2, 3, 4]);
     for at in [220.0, 240.0, 260.0, 280.0] {
         for InFlight { part, attempt } in
@@ -120,7 +121,7 @@
     assert!(crashed <= 4, "{crashed} replicas crashed by one query");
 }
 
-/// A part's age is no reason for an early hedged request while the latency objective is far.
+/// A late part causes no hedged request while the latency objective is far away.
 #[test]
 fn no_hedged_request_while_the_latency_objective_is_far() {
     let mut harness = Harness::new(settings(), 1);
@@ -129,15 +130,16 @@
     let sent = harness.sends.len();
     harness.query(3000.0, &[0]);
     harness.run_timer(3000.0, 3400.0);
-    assert_eq!(harness.sends.len(), sent + 1, "eight medians late, over a second left");
-    harness.run_timer(3400.0, 4450.0);
-    assert!(
-        harness.sends.len() > sent + 1,
-        "and before the latency objective passes there is a hedged request"
+    assert_eq!(
+        harness.sends.len(),
+        sent + 1,
+        "in flight for eight median latencies, with over a second left"
     );
+    harness.run_timer(3400.0, 4450.0);
+    assert!(harness.sends.len() > sent + 1, "a hedged request is sent before the latency objective");
 }
 
-/// Where every other replica is slow as well, a late part is not hedged: the shard is overloaded, not one replica.
+/// If all other replicas are slow as well, a late part is not hedged: the shard is overloaded, not just one replica.
 #[test]
 fn no_hedged_request_where_all_replicas_are_slow() {
     let run = |slow: &[u32]| {
@@ -155,11 +157,11 @@
         harness.run_timer(12_100.0, 13_550.0);
         harness.sends.len() - sent
     };
-    assert!(run(&[]) > 1, "late at a shard of quick replicas: hedged");
-    assert!(run(&[0, 1, 2]) <= 1, "late where all three are slow: not hedged");
+    assert!(run(&[]) > 1, "late part of a shard with fast replicas: hedged");
+    assert!(run(&[0, 1, 2]) <= 1, "late part of a shard with three slow replicas: not hedged");
 }
 
-/// Settings that allow this many retries in a minute.
+/// Settings with a retry budget of this many attempts per minute.
 fn with_retry_budget(free_attempts: f64) -> Settings {
     Settings { retry_budget: Some(RetryBudget { free_attempts, share: 0.0, window: 60_000.0 }), ..settings() }
 }
@@ -174,12 +176,12 @@
         harness.end_attempt(now + 1.0, parts[0], 0, Outcome::Error, 1.0);
     }
     harness.run_timer(1001.0, 3000.0);
-    let firsts: BTreeSet<PartId> = harness.sends.iter().map(|sent| sent.part).collect();
-    assert_eq!(harness.sends.len() - firsts.len(), 2);
+    let distinct_parts: BTreeSet<PartId> = harness.sends.iter().map(|sent| sent.part).collect();
+    assert_eq!(harness.sends.len() - distinct_parts.len(), 2);
 }
 
-/// With the configured budget used up, a query whose part failed is rejected at once, with a Retry-After in which its
-/// latency objective can still be met.
+/// If the configured budget is used up, a query with a failed part is rejected at once. Its Retry-After leaves enough
+/// time for a client retry to meet the latency objective.
 #[test]
 fn a_failed_part_beyond_the_retry_budget_rejects_its_query_at_once() {
     let mut harness = Harness::new(with_retry_budget(0.0), 1);
@@ -191,10 +193,10 @@
         _ => None,
     });
     let wait = retry_after.expect("rejected at once").expect("with a Retry-After");
-    assert!(wait < 500.0, "{wait} ms: in time for a client retry, not the longest Retry-After");
+    assert!(wait < 500.0, "Retry-After of {wait} ms is the maximum, too late for a client retry");
 }
 
-/// Hedged requests leave half of the configured budget to retries of failed parts.
+/// Hedged requests use at most half of the configured budget; the rest is reserved for retries of failed parts.
 #[test]
 fn hedged_requests_leave_half_of_the_retry_budget_to_retries() {
     let mut harness = Harness::new(with_retry_budget(4.0), 2);
@@ -208,7 +210,7 @@
     harness.query(6000.0, &[0; 18]);
     harness.answer_all_except(6050.0, 50.0, &[0]);
     let late = harness.in_flight.len();
-    assert!(late > 4, "{late} parts are in flight at the silent one");
+    assert!(late > 4, "{late} parts are in flight at the unresponsive replica");
     for i in 0..70 {
         harness.run_timer(6050.0 + 20.0 * f64::from(i), 6070.0 + 20.0 * f64::from(i));
         harness.answer_all_except(6070.0 + 20.0 * f64::from(i), 20.0, &[0]);
@@ -221,5 +223,5 @@
     let (_, parts) = harness.query(7450.0, &[0]);
     let before = harness.sends.len();
     harness.end_attempt(7460.0, parts[0], 0, Outcome::Rejected, 10.0);
-    assert_eq!(harness.sends.len(), before + 1, "a failed part still has its retry");
+    assert_eq!(harness.sends.len(), before + 1, "a failed part is still retried");
 }
