--- a/src/balancer/action.rs
+++ b/src/balancer/action.rs
@@ -40,7 +40,7 @@
         /// Why the query is rejected.
         reason: RejectReason,
     },
-    /// Fail a query that may have been executed, so that a retry may not be safe. Final.
+    /// Fail a query that may have been executed, so that a retry may not be safe, or whose class is unknown. Final.
     Fail {
         /// The query to fail.
         query: QueryId,
--- a/src/balancer/event.rs
+++ b/src/balancer/event.rs
@@ -35,7 +35,7 @@
 pub struct PartSpec {
     /// The identifier of the part.
     pub part: PartId,
-    /// The shard that answers it.
+    /// The shard that holds the part's data.
     pub shard: u32,
     /// Its share of the answer, from 0 to 1; the weights of the parts of a step add up to 1.
     pub weight: f64,
--- a/src/balancer/query_sending.rs
+++ b/src/balancer/query_sending.rs
@@ -15,7 +15,7 @@
 /// answer for up to [`MAX_CANARY_SHARE`] of the latency objective.
 const CANARY_PARTS_PER_REPLICA: f64 = 0.5;
 const MAX_CANARY_SHARE: f64 = 0.3;
-/// A query that sends a canary is rejected once attempts of more than this many parts were reset.
+/// A query that sends a canary is ended once attempts of more than this many parts were reset.
 const MAX_RESET_PARTS: usize = 1;
 /// A partial answer is sent this long before the latency objective, in units of the timer's granularity.
 const PARTIAL_MARGIN_TICKS: f64 = 2.0;
