--- a/src/aggregator/admin.rs
+++ b/src/aggregator/admin.rs
@@ -1,5 +1,5 @@
-//! Operators' commands on the admin address, and the overrides that they set. Overrides are shared by all processes of
-//! an aggregator and survive its restarts.
+//! Operators' commands on the admin address and the overrides that they set. Overrides are shared by all processes of an
+//! aggregator and persist across restarts.
 
 use super::reduce::Reduction;
 use super::{AdminCallId, Effect};
@@ -9,32 +9,33 @@
 use crate::hot_restart::{OverrideSubject, Overrides};
 use std::sync::Arc;
 
-/// The least time for which a cancelled override is kept, so that every process of the aggregator learns of it.
+/// Minimum time for which a cancelled override is kept, so that every process of the aggregator receives the
+/// cancellation.
 const MIN_OVERRIDE_RETENTION: Millis = 60_000.0;
 
 /// An operator's command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdminCommand {
-    /// Ask whether this process can serve.
+    /// Check whether this process can serve.
     CheckReady,
-    /// Send nothing more to the leaf server of that name.
+    /// Send no new parts to the leaf server with this name.
     Disable(Arc<str>),
-    /// The leaf server of that name may be given parts again.
+    /// Allow parts to be sent to the leaf server with this name again.
     Enable(Arc<str>),
-    /// Drain the aggregator: send its clients away.
+    /// Drain the aggregator: direct its clients to other aggregators.
     Drain,
-    /// Take clients again after [`AdminCommand::Drain`].
+    /// Cancel [`AdminCommand::Drain`].
     Resume,
 }
 
 /// The outcome of an [`AdminCommand`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdminOutcome {
-    /// Yes, or done.
+    /// The command was carried out; for a check, the answer is yes.
     Accepted,
-    /// No, or there are too many overrides.
+    /// There are too many overrides; for a check, the answer is no.
     Rejected,
-    /// No endpoint has that name.
+    /// There is no endpoint with that name.
     UnknownEndpoint,
 }
 
@@ -73,7 +74,7 @@
                 if changed {
                     self.apply_overrides();
                 }
-                // Stored even if nothing changed: the override may be in force here but not be stored yet.
+                // Stored even if unchanged: the override may be in force here but not stored yet.
                 self.effects.push(Effect::StoreOverrides(call, self.state.overrides.clone()));
             }
             Err(_) => self.reject_admin_command(call, AdminOutcome::Rejected),
@@ -85,7 +86,7 @@
         self.effects.push(Effect::AnswerAdmin(call, outcome));
     }
 
-    /// Merges stored overrides: those set in another process of this aggregator, or before this one started.
+    /// Merges stored overrides that were set in another process of this aggregator or before this one started.
     pub(super) fn overrides_loaded(&mut self, overrides: &Overrides, digest: u32) {
         if self.state.overrides.merge(overrides) {
             self.apply_overrides();
@@ -94,22 +95,22 @@
     }
 
     fn apply_overrides(&mut self) {
-        self.forget_old_overrides();
+        self.purge_old_overrides();
         let overrides = self.state.overrides.leaf_servers();
         let active = overrides.iter().filter(|(_, record)| record.active);
         let disabled: Vec<Arc<str>> = active.map(|(name, _)| name.clone()).collect();
         self.update_endpoints(Input::Overrides(overrides));
         for name in disabled {
             if let Some(replica) = self.state.replica_ids.get(&name).copied() {
-                // The balancer must not take this for a failure of the leaf server.
+                // The balancer must not count this as a failure of the leaf server.
                 self.withdraw_unsent_attempts(replica, Outcome::NotSent);
                 self.drain_connections(replica);
             }
         }
-        self.follow_drain_override();
+        self.apply_drain_override();
     }
 
-    fn forget_old_overrides(&mut self) {
+    fn purge_old_overrides(&mut self) {
         let retention = MIN_OVERRIDE_RETENTION.max(self.state.settings.balancer.slow_start_window);
         let wall_clock = self.now + self.state.wall_clock_offset;
         self.state.overrides.forget_before(wall_clock - retention);
--- a/src/aggregator/attempts.rs
+++ b/src/aggregator/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts of parts: started, assigned to connections, passed to their writers, answered and ended.
+//! Attempts of parts: starting, assignment to connections, submission to their writers, answers and outcomes.
 
 use super::leaf_connection::ConnectionPhase;
 use super::records::{Attempt, AttemptStage, PartKey};
@@ -18,7 +18,7 @@
         timeout: Millis,
         send_by: Option<Millis>,
     ) {
-        let id = AttemptId(self.state.fresh_id());
+        let id = AttemptId(self.state.allocate_id());
         let Some(record) = self.state.parts.get_mut(&part) else { return };
         let Some(query) = self.state.queries.get(&record.query) else { return };
         let part_key = PartKey { request_id: query.request_id.clone(), shard: record.shard };
@@ -50,8 +50,8 @@
         }
     }
 
-    /// Assigns an attempt to a connection that can take it: an established one, one that is being established, or a
-    /// new one.
+    /// Queues an attempt on a connection that can accept it: an established one, one that is being established, or a new
+    /// one.
     pub(super) fn queue_attempt(&mut self, id: AttemptId) {
         let Some(attempt) = self.state.attempts.get(&id) else { return };
         let replica = attempt.replica;
@@ -70,8 +70,8 @@
         }
     }
 
-    /// Passes the attempts that are queued on established connections to the writers. Attempts on one connection share
-    /// calls where the settings allow it.
+    /// Passes the attempts queued on established connections to the writers. Attempts on the same connection share calls
+    /// if the settings allow it.
     pub(super) fn flush_calls(&mut self) {
         let parts_per_call = self.state.settings.balancer.parts_per_call.max(1) as usize;
         let write_timeout_at = self.now + self.state.settings.connect_timeout;
@@ -104,7 +104,8 @@
         }
     }
 
-    /// Ends an attempt for the balancer. If its leaf server may still work on it, it is cancelled there.
+    /// Ends an attempt and reports its outcome to the balancer. If the leaf server may still be working on it, the
+    /// attempt is cancelled there.
     pub(super) fn end_attempt(&mut self, id: AttemptId, outcome: Outcome, report: Option<LoadReport>) {
         let Some(attempt) = self.state.attempts.get(&id) else { return };
         let part = attempt.part;
@@ -124,7 +125,7 @@
             }
         }
         self.count_attempt_outcome(outcome);
-        self.close_attempt_of_part(part, number, id);
+        self.remove_open_attempt(part, number, id);
         self.balancer_events.push_back(balancer::Event::AttemptEnded {
             part,
             attempt: number,
@@ -149,7 +150,7 @@
         *counter += 1;
     }
 
-    fn close_attempt_of_part(&mut self, part: PartId, number: u32, id: AttemptId) {
+    fn remove_open_attempt(&mut self, part: PartId, number: u32, id: AttemptId) {
         let Some(record) = self.state.parts.get_mut(&part) else { return };
         record.open_attempts.remove(&number);
         if record.waiting_attempt == Some(id) {
@@ -184,11 +185,11 @@
         report: Option<LoadReport>,
     ) {
         if let Some(record) = self.state.connections.get_mut(&connection) {
-            record.last_heard_at = self.now;
+            record.last_received_at = self.now;
         }
         self.state.counters.load_reports_received += u64::from(report.is_some());
         let Some(part) = self.part_in_flight_on(connection, id) else {
-            self.late_answer(connection, id);
+            self.late_answer_received(connection, id);
             return;
         };
         if part_outcome == PartOutcome::Served
@@ -205,7 +206,7 @@
         self.end_attempt(id, outcome, report);
     }
 
-    /// The part of an attempt that is in flight on a connection.
+    /// The part of an attempt, if the attempt is in flight on the connection.
     fn part_in_flight_on(&self, connection: ConnectionId, id: AttemptId) -> Option<PartId> {
         let attempt = self.state.attempts.get(&id)?;
         match attempt.stage {
@@ -222,7 +223,7 @@
         let stage = attempt.stage;
         self.end_attempt(id, Outcome::Timeout, None);
         if let AttemptStage::Submitted { connection, .. } = stage {
-            self.drain_if_silent(connection, started_at);
+            self.drain_if_unresponsive(connection, started_at);
         }
     }
 }
--- a/src/aggregator/cancellations.rs
+++ b/src/aggregator/cancellations.rs
@@ -1,5 +1,5 @@
-//! Cancellation of attempts that were passed to a connection's writer. A part's next attempt waits until the
-//! cancellation is written or the connection has ended: a leaf server could not tell the two attempts apart.
+//! Cancellation of attempts that were passed to a connection's writer. The next attempt of the part waits until the
+//! cancellation is written or the connection has ended, since a leaf server cannot distinguish the two attempts.
 
 use super::leaf_connection::ConnectionPhase;
 use super::records::AttemptStage;
@@ -9,7 +9,7 @@
 use crate::balancer::{Outcome, PartId};
 
 impl Reduction<'_> {
-    /// Cancels an attempt for the balancer, which knows it by its number within its part.
+    /// Cancels an attempt for the balancer, which identifies it by its number within its part.
     pub(super) fn cancel_attempt(&mut self, part: PartId, number: u32) {
         let Some(part) = self.state.parts.get(&part) else { return };
         if let Some(attempt) = part.open_attempts.get(&number).copied() {
@@ -17,7 +17,7 @@
         }
     }
 
-    /// Removes an attempt that was passed to a writer, after cancelling it if the leaf server may still work on it.
+    /// Ends an attempt that was passed to a writer. It is cancelled first if the leaf server may still be working on it.
     pub(super) fn end_submitted_attempt(
         &mut self,
         id: AttemptId,
@@ -49,8 +49,8 @@
         }
     }
 
-    /// A cancellation has been written. The leaf server may ignore it, so the attempt counts as a call in flight until
-    /// it is answered, and a connection at its limit of such calls is drained.
+    /// Handles a written cancellation. The leaf server may ignore it, so the attempt counts as a call in flight until it
+    /// is answered. A connection that reaches its limit of such calls is drained.
     pub(super) fn cancellation_written(&mut self, id: AttemptId, connection: ConnectionId) {
         let max_calls = (self.state.settings.calls_per_connection as usize).saturating_sub(1);
         if let Some(record) = self.state.connections.get_mut(&connection)
@@ -62,7 +62,8 @@
         self.confirm_cancellation(id);
     }
 
-    /// The leaf server can no longer confuse a cancelled attempt with the part's next one, so that may be sent.
+    /// Removes a cancelled attempt. The leaf server can no longer confuse it with the part's next attempt, which may now
+    /// be sent.
     pub(super) fn confirm_cancellation(&mut self, id: AttemptId) {
         let Some(part) = self.state.attempts.get(&id).map(|attempt| attempt.part) else { return };
         self.remove_attempt(id);
@@ -75,8 +76,8 @@
         }
     }
 
-    /// A leaf server has answered an attempt that is not in flight any more.
-    pub(super) fn late_answer(&mut self, connection: ConnectionId, id: AttemptId) {
+    /// Handles an answer to an attempt that is no longer in flight.
+    pub(super) fn late_answer_received(&mut self, connection: ConnectionId, id: AttemptId) {
         self.state.counters.late_answers_ignored += 1;
         if self.state.attempts.contains_key(&id) {
             self.confirm_cancellation(id);
--- a/src/aggregator/clients.rs
+++ b/src/aggregator/clients.rs
@@ -1,4 +1,4 @@
-//! Client connections: which idle ones are closed to free capacity, and how a request is answered.
+//! Client connections: limits on idle ones, and replies to requests.
 
 use super::records::Client;
 use super::reduce::Reduction;
@@ -7,28 +7,28 @@
 use crate::clock::Millis;
 use crate::ledger;
 
-/// A client that sends no request within this time after it connected is not expected to send one.
-const SILENT_CLIENT_AFTER: Millis = 2000.0;
+/// Time after connecting within which a client is expected to send its first request.
+const FIRST_REQUEST_WINDOW: Millis = 2000.0;
 
-/// Which idle clients are closed first when there are too many.
+/// The order in which idle clients are closed when there are too many.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum CloseOrder {
-    /// It never sent a request, and has had the time to.
-    Silent,
-    /// It has been answered: a close costs it a connection and no request.
+    /// Has sent no request within [`FIRST_REQUEST_WINDOW`].
+    NoRequestSent,
+    /// Has been answered: closing it loses no request.
     Answered,
-    /// Its first request may be on its way, and would be lost.
-    FirstRequestDue,
+    /// Has connected recently: its first request may be in transit and would be lost.
+    AwaitingFirstRequest,
 }
 
 impl Client {
     fn close_order(&self, now: Millis) -> CloseOrder {
         if self.answered {
             CloseOrder::Answered
-        } else if self.idle_since + SILENT_CLIENT_AFTER <= now {
-            CloseOrder::Silent
+        } else if self.idle_since + FIRST_REQUEST_WINDOW <= now {
+            CloseOrder::NoRequestSent
         } else {
-            CloseOrder::FirstRequestDue
+            CloseOrder::AwaitingFirstRequest
         }
     }
 
@@ -45,8 +45,8 @@
         self.enforce_client_limit();
     }
 
-    /// Closes an idle client if too many are connected. Clients keep their connections open for as long as they can,
-    /// and would use up the file descriptors.
+    /// Closes an idle client if too many clients are connected. Clients keep idle connections open, which would exhaust
+    /// the file descriptors.
     fn enforce_client_limit(&mut self) {
         let open = self.state.clients.values().filter(|client| !client.closing).count();
         if open <= self.state.limits.client_connections {
@@ -62,8 +62,8 @@
         }
     }
 
-    /// Closes the client that has been idle for the longest if too many are. Clients that send one request and keep the
-    /// connection would otherwise take the capacity of the next ones.
+    /// Closes the longest idle client if too many are idle. Otherwise clients that send a single request and keep the
+    /// connection would exhaust the capacity for new clients.
     fn enforce_idle_client_limit(&mut self) {
         let is_idle = |client: &Client| client.answered && client.is_idle();
         let idle_count = self.state.clients.values().filter(|client| is_idle(client)).count();
@@ -91,7 +91,7 @@
         if let Some(query) = client.query {
             self.count_outcome(ledger::Outcome::ClientDisconnected);
             self.record_in_ledger(query, ledger::Outcome::ClientDisconnected);
-            self.forget_query(query);
+            self.remove_query(query);
             self.balancer_events.push_back(balancer::Event::ClientDisconnected { query });
         }
     }
--- a/src/aggregator/connections.rs
+++ b/src/aggregator/connections.rs
@@ -1,4 +1,4 @@
-//! Connections to leaf servers: opened, shared, drained and closed, and what their end means for what was on them.
+//! Connections to leaf servers: opening, sharing, draining and closing, and the outcome of the work on a closed one.
 
 use super::leaf_connection::{ConnectionPhase, LeafConnection, PendingHealthCheck};
 use super::records::{AttemptStage, PartKey};
@@ -9,34 +9,35 @@
 use crate::clock::Millis;
 use std::collections::{BTreeSet, VecDeque};
 
-/// A connection with this many unwritten messages takes nothing new: bounds the queue of a stalled leaf server.
+/// Maximum number of unwritten messages on a connection; limits the queue for a stalled leaf server.
 const MAX_UNWRITTEN_MESSAGES: usize = 64;
-/// Share of the leaf servers' keep-alive after which an idle connection is closed. The aggregator has to close it
-/// first, or an attempt may cross the leaf server's close and be reset.
-const IDLE_TIMEOUT_SHARE: f64 = 0.8;
-/// The least time between the aggregator's close of an idle connection and the leaf server's.
+/// Fraction of the leaf servers' keep-alive after which the aggregator closes an idle connection. It must close before
+/// the leaf server does; otherwise an attempt may cross the leaf server's close and be reset.
+const IDLE_TIMEOUT_FRACTION: f64 = 0.8;
+/// Minimum time between the aggregator's close of an idle connection and the leaf server's.
 const MIN_IDLE_MARGIN: Millis = 500.0;
 
-/// How the work on a connection is to be ended.
+/// Determines the outcome of the work on a connection that is lost.
 struct ConnectionLoss {
     replica: ReplicaId,
     was_connecting: bool,
-    /// Messages that may have been written completely.
+    /// Number of messages that may have been written completely.
     messages_written: u64,
     /// The outcome of attempts in those messages.
     written_outcome: Outcome,
 }
 
 impl Reduction<'_> {
-    /// A connection to a leaf server for an attempt of a part, or for a health check. Never one on which another
-    /// attempt of the same part may yet be answered: the two answers could not be distinguished.
+    /// Selects or opens a connection to a leaf server for an attempt of a part, or for a health check. Excludes
+    /// connections on which another attempt of the same part may still be answered, since the two answers could not be
+    /// distinguished.
     pub(super) fn connection_for(
         &mut self,
         replica: ReplicaId,
         part: Option<&PartKey>,
     ) -> Option<ConnectionId> {
         let usable = self.state.connections.iter().filter(|(_, connection)| {
-            self.can_take_call(connection, replica)
+            self.can_accept_call(connection, replica)
                 && part.is_none_or(|part| !self.carries_part(connection, part))
         });
         let preference = |id: ConnectionId, connection: &LeafConnection| {
@@ -50,9 +51,9 @@
         self.open_connection(replica)
     }
 
-    fn can_take_call(&self, connection: &LeafConnection, replica: ReplicaId) -> bool {
-        // Every attempt counts as a call of its own, the most it can be. One call stays free: on a connection at its
-        // limit the leaf server reads no cancellations, and a retry of the part would run beside the first attempt.
+    fn can_accept_call(&self, connection: &LeafConnection, replica: ReplicaId) -> bool {
+        // Each attempt counts as a separate call, which is the worst case. One call is kept free: a leaf server reads no
+        // cancellations on a connection at its limit, so a retry of the part would run beside the first attempt.
         let max_calls = (self.state.settings.calls_per_connection as usize).saturating_sub(1).max(1);
         connection.replica == replica
             && !connection.draining
@@ -73,7 +74,7 @@
             return None;
         }
         let address = self.state.leaf_servers.get(&replica)?.address.clone();
-        let id = ConnectionId(self.state.fresh_id());
+        let id = ConnectionId(self.state.allocate_id());
         self.state.connections.insert(id, LeafConnection::new(replica, self.now));
         self.state.counters.connections_started += 1;
         let timeout_at = self.now + self.state.settings.connect_timeout;
@@ -88,7 +89,7 @@
             return;
         }
         connection.phase = ConnectionPhase::Established;
-        connection.last_heard_at = self.now;
+        connection.last_received_at = self.now;
         let health_checks = std::mem::take(&mut connection.queued_health_checks);
         self.state.counters.connections_established += 1;
         for _ in 0..health_checks {
@@ -128,8 +129,8 @@
         }
     }
 
-    /// Closes a connection whose oldest unwritten message has waited for too long. Otherwise messages to a leaf server
-    /// that reads nothing would pile up, arrive long after it began to drain, and delay retries of cancelled attempts.
+    /// Closes a connection whose oldest unwritten message has timed out. Otherwise messages to a leaf server that does
+    /// not read would accumulate, arrive long after it began to drain, and delay retries of cancelled attempts.
     pub(super) fn check_write_timeout(&mut self, id: ConnectionId) {
         let Some(connection) = self.state.connections.get(&id) else { return };
         if connection.phase != ConnectionPhase::Established {
@@ -174,8 +175,8 @@
         }
     }
 
-    /// Ends a connection from this side. Attempts whose messages were submitted stay unconfirmed until the end of the
-    /// connection is.
+    /// Closes a connection. Attempts whose messages were submitted remain as unconfirmed cancellations until the end of
+    /// the connection is confirmed.
     pub(super) fn close_connection(&mut self, id: ConnectionId) {
         let Some(connection) = self.state.connections.get_mut(&id) else { return };
         if connection.phase == ConnectionPhase::Closing {
@@ -184,7 +185,7 @@
         let loss = ConnectionLoss {
             replica: connection.replica,
             was_connecting: connection.phase == ConnectionPhase::Connecting,
-            // The writer may write a message completely before it sees the request to close.
+            // The writer may still write all messages before it receives the request to close.
             messages_written: connection.messages_submitted(),
             written_outcome: Outcome::Reset,
         };
@@ -196,8 +197,8 @@
         self.end_lost_work(&attempts, &health_checks, &loss);
     }
 
-    /// Ends the attempts and health checks of a connection that is lost. An attempt whose message was written
-    /// completely may have run; any other never did.
+    /// Ends the attempts and health checks on a lost connection. An attempt whose message was written completely may have
+    /// run; any other has not.
     fn end_lost_work(
         &mut self,
         attempts: &BTreeSet<AttemptId>,
@@ -229,13 +230,13 @@
         }
     }
 
-    /// Closes a connection that has been idle for too long, or sets the timer for the next check.
+    /// Closes a connection that has exceeded its idle timeout, or sets the timer for the next check.
     pub(super) fn check_idle_timeout(&mut self, id: ConnectionId) {
         let Some(connection) = self.state.connections.get(&id) else { return };
         let keep_alive = self.state.settings.idle_timeout;
-        let by_share = IDLE_TIMEOUT_SHARE * keep_alive;
+        let by_fraction = IDLE_TIMEOUT_FRACTION * keep_alive;
         let by_margin = (keep_alive - MIN_IDLE_MARGIN).max(0.0);
-        let idle_timeout = by_share.min(by_margin).max(1.0);
+        let idle_timeout = by_fraction.min(by_margin).max(1.0);
         let idle_since = if connection.is_unused() { connection.last_used_at } else { self.now };
         let timeout_at = idle_since + idle_timeout;
         if timeout_at <= self.now {
@@ -245,11 +246,11 @@
         }
     }
 
-    /// Drains a connection on which nothing was received since a time. Its leaf server may have vanished, or restarted
-    /// without knowing the connection; new work finds that out on a new one.
-    pub(super) fn drain_if_silent(&mut self, id: ConnectionId, since: Millis) {
+    /// Drains a connection on which nothing has been received since a given time. The leaf server may have crashed, or
+    /// restarted and lost the connection's state; new work is sent on a new connection, which detects this.
+    pub(super) fn drain_if_unresponsive(&mut self, id: ConnectionId, since: Millis) {
         let Some(connection) = self.state.connections.get_mut(&id) else { return };
-        if connection.last_heard_at < since {
+        if connection.last_received_at < since {
             connection.draining = true;
             self.close_if_drained(id);
         }
--- a/src/aggregator/counters.rs
+++ b/src/aggregator/counters.rs
@@ -1,16 +1,17 @@
-//! Counters of what the aggregator has received, sent and answered.
+//! Counters of queries, attempts, connections, endpoint lists and the ledger, for `/metrics`.
 
-/// Declares [`Counters`]: each field with the name that it has on `/metrics` and its help text.
+/// Declares [`Counters`]: each field with its metric name on `/metrics` and its help text.
 macro_rules! counters {
     ($($field:ident as $metric:literal: $help:literal,)*) => {
-        /// Counts since the start of the process. On `/metrics` some have older names.
+        /// Counts since the start of the process. The metric names on `/metrics` are stable and may differ from the
+        /// field names.
         #[derive(Clone, Debug, Default, PartialEq, Eq)]
         pub struct Counters {
             $(#[doc = $help] pub $field: u64,)*
         }
 
         impl Counters {
-            /// All counters in the text form that metric collectors read.
+            /// All counters in the Prometheus text format.
             pub fn text(&self) -> String {
                 let mut text = String::new();
                 $(text += &format!(
--- a/src/aggregator/effect.rs
+++ b/src/aggregator/effect.rs
@@ -1,4 +1,4 @@
-//! What the aggregator asks its caller to do. The event loop of `net` carries these out.
+//! Outputs of the aggregator. The event loop of `net` executes them.
 
 use super::{AdminCallId, AdminOutcome, AttemptId, ClientId, ConnectionId, Lifecycle, Reply};
 use crate::balancer::{self, ReplicaId};
@@ -8,59 +8,59 @@
 use crate::ledger::Entry;
 use std::sync::Arc;
 
-/// An output of [`reduce`](super::reduce); effects are carried out in their order.
+/// An output of [`reduce`](super::reduce); the caller executes effects in order.
 #[derive(Clone, Debug)]
 pub enum Effect {
-    /// Answer a client.
+    /// Reply to a client.
     Reply {
         /// The client.
         client: ClientId,
-        /// The answer.
+        /// The reply.
         reply: Reply,
-        /// Close the client's connection after the answer.
+        /// Whether to close the client's connection after the reply.
         close: bool,
     },
     /// Close a client's connection as soon as no request is in flight on it.
     CloseClient(ClientId),
     /// Open a connection to the leaf server at an address.
     Connect(ConnectionId, Arc<str>),
-    /// Write one call with one or more parts; a message for [`Event::Written`](super::Event::Written).
+    /// Write a call with one or more parts. Counts as a message of [`Event::Written`](super::Event::Written).
     SendCall(ConnectionId, Vec<CallPart>),
-    /// Write that an attempt is cancelled; a message for [`Event::Written`](super::Event::Written).
+    /// Write the cancellation of an attempt. Counts as a message of [`Event::Written`](super::Event::Written).
     SendCancellation(ConnectionId, AttemptId),
-    /// Write a health check; a message for [`Event::Written`](super::Event::Written).
+    /// Write a health check. Counts as a message of [`Event::Written`](super::Event::Written).
     SendHealthCheck(ConnectionId),
-    /// End a connection to a leaf server at once;
+    /// Close a connection to a leaf server immediately;
     /// [`Event::ConnectionEnded`](super::Event::ConnectionEnded) confirms it.
     CloseConnection(ConnectionId),
-    /// Accept the clients in the listener's backlog and no more;
+    /// Accept the clients in the listener's backlog, then close the listener;
     /// [`Event::ListenerClosed`](super::Event::ListenerClosed) confirms it.
     StopAccepting,
-    /// Set the number of client connections that may be open at once.
+    /// Set the maximum number of open client connections.
     SetClientCapacity(usize),
-    /// Answer an operator's call.
+    /// Answer an operator's command.
     AnswerAdmin(AdminCallId, AdminOutcome),
-    /// Store the overrides where all processes of this aggregator find them; the call is answered after that.
+    /// Store the overrides for all processes of this aggregator, then answer the command.
     StoreOverrides(AdminCallId, Overrides),
-    /// The stored overrides with this digest are in force in this process.
+    /// Publish that the stored overrides with this digest are in force in this process.
     OverridesApplied(u32),
-    /// The lifecycle has entered a state of another name.
+    /// Report that the lifecycle has entered a different state.
     LifecycleChanged {
-        /// The old state.
+        /// The previous state.
         from: Lifecycle,
         /// The new state.
         to: Lifecycle,
-        /// This process can serve, as `/-/ready` defines it.
+        /// Whether this process can serve, as reported on `/-/ready`.
         ready: bool,
     },
-    /// Graceful shutdown is complete: the process can end.
+    /// Exit the process: the graceful shutdown is complete.
     Exit,
     /// Log a change of state.
     Log(LogEvent),
-    /// Log a change of the endpoint list for the operators.
+    /// Log a change of the endpoint list.
     EndpointAudit(AuditEvent),
-    /// Record a query in the ledger. The entry's time is by the aggregator's clock. The effect precedes the reply to
-    /// the client, if there is one.
+    /// Record a query in the ledger. The entry's time is on the aggregator's clock. If the client gets a reply, this
+    /// effect precedes it.
     LedgerEntry(ClientId, Entry),
 }
 
@@ -73,35 +73,35 @@
     pub request_id: Arc<str>,
     /// The shard that the part is for.
     pub shard: u32,
-    /// How long the aggregator will wait for the answer.
+    /// Time within which the aggregator expects the answer.
     pub timeout: Millis,
     /// The query's payload.
     pub payload: Arc<str>,
-    /// The query's idempotency key, if any.
+    /// The query's idempotency key; `None` if the client sent none.
     pub idempotency_key: Option<Arc<str>>,
 }
 
-/// A change of the aggregator's state that operators want to see.
+/// A change of the aggregator's state that is logged.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LogEvent {
-    /// The balancer's judgement of a replica or of the load has changed.
+    /// A replica's outlier state or the balancer's load shedding has changed.
     Balancer(balancer::LogEvent),
     /// A query was rejected.
     QueryRejected {
-        /// The client's identifier for it.
+        /// The client's identifier of the query.
         request_id: Arc<str>,
-        /// Its class.
+        /// Name of its class.
         class: Arc<str>,
-        /// Why.
+        /// The balancer's reason.
         reason: balancer::RejectReason,
     },
     /// A graceful shutdown has begun.
     ShutdownRequested,
-    /// A connection to a leaf server has ended other than by the aggregator.
+    /// A connection to a leaf server has failed or was closed by the leaf server.
     LeafConnectionEnded {
-        /// The balancer's number of the leaf server.
+        /// The balancer's identifier of the leaf server.
         replica: ReplicaId,
-        /// The reason, as the connection's task has reported it.
+        /// The reason reported by the connection's task.
         reason: String,
     },
 }
--- a/src/aggregator/endpoint_updates.rs
+++ b/src/aggregator/endpoint_updates.rs
@@ -1,5 +1,5 @@
-//! Changes of the endpoint list: their effects on attempts, connections and the balancer, and when a leaf server that
-//! was removed is forgotten.
+//! Changes of the endpoint list: their effects on attempts, connections and the balancer, and the removal of records of
+//! leaf servers that are no longer listed.
 
 use super::Effect;
 use super::records::LeafServer;
@@ -12,14 +12,14 @@
 use crate::endpoints::{AuditEvent, Endpoint, EndpointList, EndpointState, Input, Output};
 use std::collections::HashSet;
 
-/// Leaf servers that a new endpoint list changes.
+/// Leaf servers that are changed by a new endpoint list.
 #[derive(Default)]
 struct ChangedServers {
-    /// Off the list, or at another address: their connections are drained.
+    /// Removed from the list or moved to another address; their connections are drained.
     connections_outdated: Vec<ReplicaId>,
-    /// In another cell.
+    /// Moved to another cell.
     moved: Vec<ReplicaId>,
-    /// Not ready any more.
+    /// Draining or removed.
     not_ready: Vec<ReplicaId>,
 }
 
@@ -91,17 +91,17 @@
             self.drain_connections(replica);
         }
         for replica in changed.moved {
-            // It may no longer hold the shards of these attempts.
+            // The leaf server may no longer hold the shards of these attempts.
             self.withdraw_unsent_attempts(replica, Outcome::ConnectFailed);
         }
         for replica in changed.not_ready {
             self.shorten_send_deadlines(replica);
         }
-        self.forget_removed_servers();
+        self.purge_removed_servers();
         self.balancer_events.push_back(balancer::Event::EndpointList { complete: list.complete, entries });
     }
 
-    /// Marks the leaf servers that are not on a complete list as removed.
+    /// Marks leaf servers that are missing from a complete list as removed.
     fn mark_absent_servers(&mut self, endpoints: &[Endpoint], changed: &mut ChangedServers) {
         let replica_ids = &self.state.replica_ids;
         let listed = endpoints.iter().filter_map(|endpoint| replica_ids.get(&endpoint.name));
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Applies one entry of a list; returns it in the balancer's form.
+    /// Applies an entry of the list and converts it for the balancer.
     fn apply_endpoint(&mut self, endpoint: Endpoint, changed: &mut ChangedServers) -> ReplicaEntry {
         let state = &mut *self.state;
         let replica = *state.replica_ids.entry(endpoint.name).or_insert_with(|| {
@@ -133,7 +133,7 @@
         server.removed_at = is_gone.then_some(self.now);
         if server.started_at_unix != endpoint.started_at_unix {
             server.started_at_unix = endpoint.started_at_unix;
-            // If the wall clock is wrong, the start may lie in the future.
+            // With a wrong wall clock the start time may be in the future.
             let started_at = (endpoint.started_at_unix - state.wall_clock_offset).min(self.now);
             server.started_at = (endpoint.started_at_unix > 0.0).then_some(started_at);
         }
@@ -158,9 +158,9 @@
         }
     }
 
-    /// Forgets leaf servers that were removed longer ago than the slow start window. Where each release brings new
-    /// names, the old ones would pile up otherwise.
-    fn forget_removed_servers(&mut self) {
+    /// Drops the records of leaf servers that were removed longer ago than the slow start window. Otherwise they would
+    /// accumulate in deployments where every release has new server names.
+    fn purge_removed_servers(&mut self) {
         let State { leaf_servers, replica_ids, connections, settings, counters, .. } = &mut *self.state;
         let retention = settings.balancer.slow_start_window;
         let count_before = leaf_servers.len();
@@ -168,9 +168,9 @@
             let is_recent = server.removed_at.is_none_or(|removed_at| self.now - removed_at < retention);
             is_recent || connections.values().any(|connection| connection.replica == *replica)
         });
-        let forgotten = count_before - leaf_servers.len();
-        if forgotten > 0 {
-            counters.leaf_servers_forgotten += forgotten as u64;
+        let purged = count_before - leaf_servers.len();
+        if purged > 0 {
+            counters.leaf_servers_forgotten += purged as u64;
             replica_ids.retain(|_, replica| leaf_servers.contains_key(replica));
         }
     }
--- a/src/aggregator/event.rs
+++ b/src/aggregator/event.rs
@@ -1,4 +1,4 @@
-//! What the aggregator reacts to. The event loop of `net` builds these from sockets, files, signals and timers.
+//! Inputs of the aggregator. The event loop of `net` builds them from sockets, files, signals and timers.
 
 use super::{
     AdminCallId, AdminCommand, AttemptId, ClientId, ConnectionId, Limits, NewQuery, PartOutcome, Siblings,
@@ -20,58 +20,58 @@
     ClientClosed(ClientId),
     /// A client's query has been read completely.
     QueryReceived(ClientId, NewQuery),
-    /// A request could not be read as a query; the listener has answered it with a 4xx status. No client is named for
-    /// a Flight call: those are numbered only once their query has been read.
+    /// A request could not be parsed as a query; the listener has answered it with a 4xx status. `None` for a Flight call,
+    /// which gets its number only after its query has been parsed.
     RequestMalformed(Option<ClientId>),
-    /// A client asks on `/healthz` whether this aggregator takes queries.
+    /// A client has requested `/healthz`.
     HealthRequested(ClientId),
-    /// A client asks for the counters.
+    /// A client has requested `/metrics`.
     MetricsRequested(ClientId),
     /// A connection to a leaf server is established.
     Connected(ConnectionId),
-    /// All messages of the connection up to this one (counted from 1) have been written to the last byte.
+    /// All messages of the connection up to this one (counted from 1) have been written completely.
     Written(ConnectionId, u64),
     /// A leaf server has answered an attempt.
     AttemptAnswered {
-        /// The connection that the answer came on.
+        /// The connection on which the answer was received.
         connection: ConnectionId,
-        /// The attempt answered.
+        /// The attempt that was answered.
         attempt: AttemptId,
-        /// How the leaf server answered.
+        /// The outcome reported by the leaf server.
         outcome: PartOutcome,
-        /// The rows of the part's value; meaningful only if it was served.
+        /// The rows of the part's value; used only if the part was served.
         rows: Vec<Bytes>,
-        /// The load report that came with the answer.
+        /// The load report sent with the answer; `None` if it was missing or not readable.
         report: Option<LoadReport>,
     },
     /// A leaf server has answered the oldest health check on a connection.
     HealthCheckEnded {
-        /// The connection that the answer came on.
+        /// The connection on which the answer was received.
         connection: ConnectionId,
-        /// Whether the leaf server says that it is healthy.
+        /// Whether the leaf server reported that it is healthy.
         healthy: bool,
-        /// The load report that came with the answer.
+        /// The load report sent with the answer; `None` if it was missing or not readable.
         report: Option<LoadReport>,
     },
-    /// A connection to a leaf server could not be established or has ended, whichever side closed it: nothing more is
-    /// sent or received on it.
+    /// A connection to a leaf server could not be established, or was closed by either side. Nothing more is sent or
+    /// received on it.
     ConnectionEnded {
         /// The connection.
         connection: ConnectionId,
-        /// The reason for the log; `None` for an ordinary close, which is not logged.
+        /// The reason, for the log; `None` for an orderly close, which is not logged.
         reason: Option<String>,
-        /// The leaf server sent bytes that cannot be read: the answers due on this connection are lost, but the
-        /// server has not failed.
+        /// The leaf server sent malformed bytes: answers pending on this connection are lost, but the server itself has
+        /// not failed.
         protocol_error: bool,
     },
-    /// Discovery has sent the endpoint list or changes to it.
+    /// Discovery has sent the complete endpoint list or changes to it.
     EndpointList {
-        /// The list or its changes.
+        /// The complete list, or its changes.
         list: EndpointList,
         /// How far the wall clock is ahead of the aggregator's clock.
         wall_clock_offset: Millis,
     },
-    /// Inventory files or the settings have changed what is known of the endpoints.
+    /// The endpoint sources have been read at startup, or an inventory file has changed since.
     EndpointSourceChanged {
         /// The change.
         input: Input,
@@ -80,27 +80,27 @@
     },
     /// Discovery is being polled for its list.
     DiscoveryPolled,
-    /// The watch of the endpoint list has ended or timed out.
+    /// The watch on the endpoint list has ended or timed out.
     DiscoveryWatchLost {
-        /// It ended because of an answer that could not be read; the last good list stays in force.
+        /// It ended because of a malformed response; the last valid list stays in force.
         malformed_response: bool,
     },
-    /// The ledger's writer reports a change of its state.
+    /// The ledger writer's state has changed.
     Ledger(LedgerEvent),
-    /// The configuration was reloaded.
+    /// The configuration has been reloaded.
     SettingsReloaded(Box<SiteSettings>, Limits),
-    /// The configuration was to be reloaded, but is invalid.
+    /// A reload failed because the configuration is invalid.
     ReloadRejected,
-    /// An operator's call on the admin address.
+    /// An operator has sent a command to the admin address.
     AdminCommand(AdminCallId, AdminCommand),
-    /// The overrides stored for all processes of this aggregator, and their digest.
+    /// The overrides stored for all processes of this aggregator have been loaded; with their digest.
     OverridesLoaded(Overrides, u32),
-    /// Other processes of this aggregator have started, become ready or ended.
+    /// Sibling processes of this aggregator have started, become ready or exited.
     SiblingsChanged(Siblings),
     /// The listener is closed, and an event has been delivered for every client that it accepted.
     ListenerClosed,
-    /// The time named by [`State::next_timer`](super::State::next_timer) has come.
+    /// The time returned by [`State::next_timer`](super::State::next_timer) has been reached.
     TimerFired,
-    /// The process was asked to end gracefully (SIGTERM).
+    /// The process has received SIGTERM, which requests a graceful shutdown.
     ShutdownRequested,
 }
--- a/src/aggregator/health_checks.rs
+++ b/src/aggregator/health_checks.rs
@@ -1,4 +1,4 @@
-//! Health checks of leaf servers; the balancer decides when one is worth its cost.
+//! Health checks of leaf servers. The balancer decides when a check is worth its cost.
 
 use super::leaf_connection::{ConnectionPhase, PendingHealthCheck};
 use super::reduce::Reduction;
@@ -7,7 +7,7 @@
 use crate::balancer::{self, LoadReport, Outcome, ReplicaId};
 use crate::clock::Millis;
 
-/// A health check that is not answered within this time has failed.
+/// Time after which an unanswered health check has failed.
 const HEALTH_CHECK_TIMEOUT: Millis = 1000.0;
 
 impl Reduction<'_> {
@@ -43,7 +43,7 @@
         report: Option<LoadReport>,
     ) {
         let Some(connection) = self.state.connections.get_mut(&id) else { return };
-        connection.last_heard_at = self.now;
+        connection.last_received_at = self.now;
         let replica = connection.replica;
         let answered = connection.health_checks.pop_front();
         if let Some(check) = answered.filter(|check| !check.reported) {
@@ -86,7 +86,7 @@
         }
         for sent_at in overdue {
             self.report_health_check(replica, Outcome::Timeout, self.now - sent_at, None);
-            self.drain_if_silent(id, sent_at);
+            self.drain_if_unresponsive(id, sent_at);
         }
     }
 }
--- a/src/aggregator/id.rs
+++ b/src/aggregator/id.rs
@@ -1,6 +1,6 @@
-//! Identifiers that tie events and effects to clients, connections, attempts and admin calls.
+//! Identifiers of clients, connections, attempts and admin calls in events and effects.
 
-/// A client's HTTP connection or Flight call, numbered by the listeners. It has at most one query at a time.
+/// A client's HTTP connection or Flight call, numbered by the listeners. It has at most one query in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClientId(pub u64);
 
--- a/src/aggregator/ledger_entries.rs
+++ b/src/aggregator/ledger_entries.rs
@@ -1,4 +1,4 @@
-//! What the ledger records of each query with a final answer, the counters by tenant, and the ledger's own events.
+//! Ledger entries for queries with a final answer, the counters by tenant, and events of the ledger writer.
 
 use super::Effect;
 use super::records::Part;
@@ -7,7 +7,7 @@
 use crate::balancer::QueryId;
 use crate::ledger::{self, LedgerEvent, PriceList, TenantMetrics};
 
-/// The prices and the counters by tenant, where a ledger is kept.
+/// Prices and counters by tenant.
 pub(super) struct Billing {
     prices: PriceList,
     metrics: TenantMetrics,
@@ -18,7 +18,7 @@
         Billing { prices, metrics: TenantMetrics::default() }
     }
 
-    /// The counters by tenant in the text form that metric collectors read.
+    /// The counters by tenant in the Prometheus text format.
     pub fn metrics_text(&self) -> String {
         self.metrics.text()
     }
@@ -29,7 +29,7 @@
 }
 
 impl Reduction<'_> {
-    /// Records the end of a query, if a ledger is kept. The query's parts must not be forgotten yet.
+    /// Records a query's outcome if a ledger is kept. Must be called before the query and its parts are removed.
     pub(super) fn record_in_ledger(&mut self, query: QueryId, outcome: ledger::Outcome) {
         let State { billing, queries, parts, counters, .. } = &mut *self.state;
         let Some(billing) = billing else { return };
--- a/src/aggregator/lifecycle.rs
+++ b/src/aggregator/lifecycle.rs
@@ -1,5 +1,5 @@
 //! The lifecycle of the process: startup, readiness, draining, hot restart and graceful shutdown.
-//! `docs/design/operations.md` draws its states.
+//! See `docs/design/operations.md` for the state diagram.
 
 use super::records::Client;
 use super::reduce::Reduction;
@@ -8,52 +8,52 @@
 use crate::clock::Millis;
 use crate::hot_restart::OverrideSubject;
 
-/// How long a draining process serves its clients as before: load balancers notice a drain only after a while, and
-/// clients whose connections are closed at once may find no other aggregator yet.
+/// Time for which a draining process keeps serving clients normally. Load balancers detect a drain with a delay, so
+/// clients whose connections are closed immediately may not find another aggregator yet.
 const CLIENT_GRACE_PERIOD: Millis = 650.0;
-/// After the grace period, a client without a request for this long counts as idle and is closed.
-const IDLE_CLIENT_AFTER: Millis = 100.0;
-/// A process with an endpoint list becomes ready after this time even if discovery, which may be down, has not
-/// answered.
+/// After the grace period, a client without a request for this time is considered idle and closed.
+const CLIENT_IDLE_TIMEOUT: Millis = 100.0;
+/// Time after which a starting process with an endpoint list becomes ready even if discovery, which may be down, has
+/// not answered.
 const MAX_DISCOVERY_WAIT: Millis = 1000.0;
 
-/// The state of the lifecycle. Times are by the aggregator's clock.
+/// The lifecycle state of the process. Times are on the aggregator's clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Lifecycle {
     /// There is no endpoint list yet, or discovery has not answered.
     Starting {
-        /// When the process began to start.
+        /// When startup began.
         since: Millis,
     },
     /// Serving.
     Ready,
-    /// Serving, and sending its clients away until an operator cancels the drain.
+    /// Serving, and sending clients to other aggregators until an operator cancels the drain.
     Draining {
         /// When the drain began.
         since: Millis,
     },
     /// Shutting down while another process of this aggregator takes over.
     HotRestarting {
-        /// When clients were first sent away.
+        /// When the shutdown began, or the drain that preceded it.
         since: Millis,
     },
     /// Shutting down without a successor.
     ShuttingDown {
-        /// When clients were first sent away.
+        /// When the shutdown began, or the drain that preceded it.
         since: Millis,
     },
 }
 
-/// When a draining process closes its clients' connections.
+/// Times at which a draining process closes client connections.
 struct ClientDrain {
-    /// From when on a reply closes its connection.
+    /// Time from which a connection is closed after its reply.
     close_after_reply_from: Millis,
-    /// From when on idle clients are closed.
+    /// Time from which idle clients are closed.
     close_idle_from: Millis,
 }
 
 impl Lifecycle {
-    /// The state's name in the log.
+    /// The state's name in log messages.
     pub fn name(self) -> &'static str {
         match self {
             Self::Starting { .. } => "starting",
@@ -64,19 +64,19 @@
         }
     }
 
-    /// Whether the process is to end.
+    /// Whether the process is shutting down, with or without a successor.
     pub fn is_shutting_down(self) -> bool {
         matches!(self, Self::HotRestarting { .. } | Self::ShuttingDown { .. })
     }
 
-    /// Whether this process can serve, as `/-/ready` reports it.
+    /// Whether this process can serve, as reported on `/-/ready`.
     pub fn can_serve(self) -> bool {
         matches!(self, Self::Ready | Self::Draining { .. })
     }
 
-    /// Whether load balancers should send clients to this aggregator, as `/healthz` reports it. During a hot restart
-    /// they should: another process takes them.
-    fn wants_clients(self) -> bool {
+    /// Whether `/healthz` may direct load balancers to this aggregator. This includes a hot restart, where another
+    /// process accepts the clients.
+    fn advertises_healthy(self) -> bool {
         matches!(self, Self::Starting { .. } | Self::Ready | Self::HotRestarting { .. })
     }
 
@@ -94,7 +94,7 @@
         }
     }
 
-    /// From when on no client is accepted.
+    /// Time from which no clients are accepted; `None` if the listener stays open.
     fn stops_accepting_at(self) -> Option<Millis> {
         match self {
             Self::HotRestarting { since } => Some(since),
@@ -116,19 +116,19 @@
 
     // ---- Startup ---------------------------------------------------------------------------------------
 
-    /// Startup begins when the endpoint sources are first known.
+    /// Begins the startup, once the endpoint sources have been read.
     pub(super) fn begin_startup(&mut self) {
         self.state.lifecycle = Lifecycle::Starting { since: self.now };
     }
 
-    /// Ends the startup if there is an endpoint list; discovery has answered or is not used.
+    /// Ends the startup if there is an endpoint list. Called once discovery has answered, or if it is not used.
     pub(super) fn finish_startup(&mut self) {
         if self.startup_with_endpoints().is_some() {
             self.start_serving();
         }
     }
 
-    /// Ends the startup if there is an endpoint list and discovery has been silent for too long.
+    /// Ends the startup if there is an endpoint list and the wait for discovery has timed out.
     pub(super) fn await_discovery(&mut self) {
         let Some(since) = self.startup_with_endpoints() else { return };
         let wait_ends_at = since + MAX_DISCOVERY_WAIT;
@@ -139,7 +139,7 @@
         }
     }
 
-    /// When the startup began, if the process is starting and has an endpoint list.
+    /// When startup began; `None` if the process is not starting or has no endpoint list.
     fn startup_with_endpoints(&self) -> Option<Millis> {
         match self.state.lifecycle {
             Lifecycle::Starting { since } if !self.state.leaf_servers.is_empty() => Some(since),
@@ -158,8 +158,8 @@
 
     // ---- Draining and shutdown -------------------------------------------------------------------------
 
-    /// Begins or ends a drain as the operators' overrides say.
-    pub(super) fn follow_drain_override(&mut self) {
+    /// Begins or ends a drain according to the operators' overrides.
+    pub(super) fn apply_drain_override(&mut self) {
         let must_drain = self.has_drain_override();
         match self.state.lifecycle {
             Lifecycle::Ready if must_drain => {
@@ -174,12 +174,12 @@
         self.state.overrides.is_active(&OverrideSubject::Aggregator)
     }
 
-    /// Begins the graceful shutdown that SIGTERM asks for.
+    /// Begins the graceful shutdown requested by SIGTERM.
     pub(super) fn begin_shutdown(&mut self) {
         if self.state.lifecycle.is_shutting_down() {
             return;
         }
-        // Clients that a drain has sent away already need no second grace period.
+        // After a drain, clients have already had their grace period.
         let since = match self.state.lifecycle {
             Lifecycle::Draining { since } => since,
             _ => self.now,
@@ -193,20 +193,21 @@
         });
     }
 
-    /// Whether a client's connection is to be closed after its reply.
+    /// Whether client connections are closed after a reply.
     pub(super) fn closes_after_reply(&self) -> bool {
         let drain = self.state.lifecycle.client_drain();
         drain.is_some_and(|drain| self.now >= drain.close_after_reply_from)
     }
 
-    /// Whether this aggregator takes clients, as `/healthz` reports it.
+    /// Whether load balancers should send clients to this aggregator, as reported on `/healthz`.
     pub(super) fn is_healthy(&self) -> bool {
-        self.state.lifecycle.wants_clients()
+        self.state.lifecycle.advertises_healthy()
             && !self.state.leaf_servers.is_empty()
             && !self.has_drain_override()
     }
 
-    /// The next step of a drain: stops accepting clients when that is due, and closes idle ones after the grace period.
+    /// Performs the next step of a drain: stops accepting clients when due, and closes idle clients after the grace
+    /// period.
     pub(super) fn drain_clients(&mut self) {
         let Some(drain) = self.state.lifecycle.client_drain() else { return };
         self.stop_accepting_if_due();
@@ -215,10 +216,10 @@
             return;
         }
         let is_idle =
-            |client: &Client| client.query.is_none() && client.idle_since + IDLE_CLIENT_AFTER <= self.now;
+            |client: &Client| client.query.is_none() && client.idle_since + CLIENT_IDLE_TIMEOUT <= self.now;
         let idle = self.state.clients.iter().filter(|(_, client)| is_idle(client));
         self.effects.extend(idle.map(|(id, _)| Effect::CloseClient(*id)));
-        self.state.set_timer(self.now + IDLE_CLIENT_AFTER, Timer::DrainClients);
+        self.state.set_timer(self.now + CLIENT_IDLE_TIMEOUT, Timer::DrainClients);
     }
 
     fn stop_accepting_if_due(&mut self) {
@@ -229,7 +230,7 @@
         }
     }
 
-    /// Ends the process once its shutdown is complete: no client is left, and none can come.
+    /// Exits the process once its shutdown is complete: no clients are left, and no new ones can connect.
     pub(super) fn check_exit(&mut self) {
         let state = &mut *self.state;
         let is_complete =
--- a/src/aggregator/limits.rs
+++ b/src/aggregator/limits.rs
@@ -1,23 +1,24 @@
-//! How many connections the process may hold open.
+//! Limits on the number of open connections.
 
-/// Descriptors kept for everything but clients and leaf servers: listeners, Flight gateways, discovery and files.
+/// File descriptors reserved for listeners, Flight gateways, discovery and files.
 const RESERVED_DESCRIPTORS: usize = 32;
 
-/// Bounds on open connections.
+/// Limits on open connections.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Connections to leaf servers.
+    /// Maximum number of connections to leaf servers.
     pub leaf_connections: usize,
-    /// Client connections beyond which idle ones are closed.
+    /// Number of client connections above which idle ones are closed.
     pub client_connections: usize,
-    /// Client connections that may stand idle after an answer.
+    /// Maximum number of client connections that are idle after an answer.
     pub idle_client_connections: usize,
 }
 
 impl Limits {
-    /// Divides the descriptors that the process may open: a quarter for leaf servers, a few in reserve, and of the
-    /// rest nine tenths for clients; the last tenth allows for connections that are being closed. Idle clients may
-    /// take a sixth of all, or clients that ask only once would leave no capacity for the next ones.
+    /// Divides the file descriptors that the process may open: a quarter for leaf servers, a fixed reserve, and nine
+    /// tenths of the rest for clients. The remaining tenth allows for connections that are being closed. Idle clients
+    /// may use a sixth of all descriptors; otherwise clients that send a single request and keep the connection would
+    /// leave no capacity for new ones.
     pub fn from_max_descriptors(descriptors: usize) -> Self {
         let leaf_connections = descriptors / 4;
         let client_connections =
@@ -30,7 +31,7 @@
         }
     }
 
-    /// The limits of each of several processes that together are one aggregator.
+    /// The limits for each process of an aggregator that consists of several processes.
     pub fn divided_among(self, processes: usize) -> Self {
         let per_process = |total: usize| (total / processes.max(1)).max(1);
         Limits {
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Client connections that may be open at once, including those that are being closed.
+    /// Maximum number of client connections open at once, including those that are being closed.
     pub fn max_client_connections(self) -> usize {
         self.client_connections + self.client_connections / 9
     }
--- a/src/aggregator/mod.rs
+++ b/src/aggregator/mod.rs
@@ -1,9 +1,9 @@
-//! The aggregator as a sans-IO state machine. The event loop of `net` turns sockets, files, signals and timers into
-//! [`Event`]s, gives them to [`reduce`] and carries out the [`Effect`]s that come back, in their order.
+//! The aggregator as a sans-IO state machine. The event loop of `net` turns input from sockets, files, signals and
+//! timers into [`Event`]s, passes them to [`reduce`] and executes the returned [`Effect`]s in order.
 //!
-//! [`reduce`] is the only function that changes the [`State`]. It reads no clock and does no input or output, so a test
-//! can play any order of events. Which replica gets a part, and when, is decided by the [`balancer`](crate::balancer);
-//! this module keeps the queries, attempts and connections that those decisions are about.
+//! [`reduce`] is the only function that changes the [`State`]. It reads no clock and performs no I/O, so tests can run
+//! any sequence of events. The [`balancer`](crate::balancer) decides which replica gets a part and when; this module
+//! tracks the queries, attempts and connections.
 
 mod admin;
 mod attempts;
--- a/src/aggregator/queries.rs
+++ b/src/aggregator/queries.rs
@@ -1,4 +1,4 @@
-//! Queries from their arrival to their one final answer.
+//! The life cycle of a query, from its arrival to its single final answer.
 
 use super::query_validation::{QueryIndices, validate_query};
 use super::records::{AttemptStage, Part, Query};
@@ -27,7 +27,7 @@
     fn validate(&self, client: ClientId, new: &NewQuery) -> Result<QueryIndices, QueryError> {
         let indices = validate_query(new, &self.state.settings)?;
         let client_is_busy = self.state.clients.get(&client).is_some_and(|client| client.query.is_some());
-        // Leaf servers identify a part by the query's name and the shard.
+        // Leaf servers identify a part by request id and shard, so the id must be unique among queries in flight.
         if client_is_busy || self.state.request_ids.contains(&new.request_id) {
             return Err(QueryError::RequestIdInUse);
         }
@@ -38,9 +38,9 @@
         let state = &mut *self.state;
         state.counters.queries_received += 1;
         state.counters.parts_received += new.parts.len() as u64;
-        let query = QueryId(state.fresh_id());
+        let query = QueryId(state.allocate_id());
         let class_deadline = state.settings.balancer.classes[indices.class].deadline;
-        // The balancer ends the query by the deadline of its class in any case.
+        // The balancer ends every query by the deadline of its class.
         let time_left = new.time_left.map_or(class_deadline, |time_left| time_left.min(class_deadline));
         let parts: Vec<PartSpec> = new.parts.iter().map(|part| self.add_part(query, part)).collect();
 
@@ -73,7 +73,7 @@
     }
 
     fn add_part(&mut self, query: QueryId, new: &NewPart) -> PartSpec {
-        let part = PartId(self.state.fresh_id());
+        let part = PartId(self.state.allocate_id());
         let record = Part {
             query,
             shard: new.shard,
@@ -87,8 +87,8 @@
         PartSpec { part, shard: new.shard, weight: new.weight, cost_hint: new.cost_hint }
     }
 
-    /// Marks a query that the balancer has just found to exceed its tenant's quota.
-    pub(super) fn note_quota_use(&mut self, query: QueryId) {
+    /// Records whether the query that the balancer has just handled exceeds its tenant's quota.
+    pub(super) fn record_quota_share(&mut self, query: QueryId) {
         let within_quota = self.state.balancer.last_query_within_quota();
         if let Some(query) = self.state.queries.get_mut(&query)
             && !within_quota
@@ -97,24 +97,24 @@
         }
     }
 
-    /// The values of a query's served parts, in the order of its parts.
+    /// The values of a query's served parts, in the order of the parts in the query.
     pub(super) fn answer_values(&self, query: QueryId) -> Vec<(u32, Vec<Bytes>)> {
         let Some(query) = self.state.queries.get(&query) else { return Vec::new() };
         let parts = query.parts.iter().filter_map(|part| self.state.parts.get(part));
         parts.filter_map(|part| Some((part.shard, part.value.clone()?))).collect()
     }
 
-    /// Gives a query its final answer.
+    /// Ends a query with its final reply.
     pub(super) fn finish_query(&mut self, query: QueryId, reply: Reply) {
         let Some(client) = self.state.queries.get(&query).map(|query| query.client) else { return };
         let outcome = ledger_outcome(&reply);
         self.count_outcome(outcome);
         self.record_in_ledger(query, outcome);
-        self.forget_query(query);
+        self.remove_query(query);
         self.reply(client, reply);
     }
 
-    /// Counts how a query ended.
+    /// Counts a query's outcome.
     pub(super) fn count_outcome(&mut self, outcome: ledger::Outcome) {
         let counters = &mut self.state.counters;
         let counter = match outcome {
@@ -128,7 +128,7 @@
         *counter += 1;
     }
 
-    /// The balancer ends every query before its deadline; this is the last resort should it fail to.
+    /// Fallback for a query that the balancer has not ended before its deadline.
     pub(super) fn query_expired(&mut self, query: QueryId) {
         if self.state.queries.contains_key(&query) {
             self.finish_query(query, Reply::Expired);
@@ -136,9 +136,9 @@
         }
     }
 
-    /// Drops a query, and its attempts that were not passed to a writer. The others stay until the balancer cancels
-    /// them or they end.
-    pub(super) fn forget_query(&mut self, query: QueryId) {
+    /// Removes a query and its attempts that were not passed to a writer. The other attempts remain until they end or
+    /// the balancer cancels them.
+    pub(super) fn remove_query(&mut self, query: QueryId) {
         let Some(query) = self.state.queries.remove(&query) else { return };
         self.state.request_ids.remove(&query.request_id);
         for part in query.parts {
@@ -158,7 +158,7 @@
     }
 }
 
-/// How a query with this final answer ended.
+/// The ledger's outcome for a query with this final reply.
 fn ledger_outcome(reply: &Reply) -> ledger::Outcome {
     match reply {
         Reply::Answer { complete: true, .. } => ledger::Outcome::Complete,
--- a/src/aggregator/query.rs
+++ b/src/aggregator/query.rs
@@ -1,49 +1,49 @@
-//! A client's query as a listener has read it, and a leaf server's verdict on a part.
+//! A client's query as received by a listener, and the outcome of a part at a leaf server.
 
 use crate::clock::Millis;
 use std::sync::Arc;
 
-/// A query as read by a listener; not validated yet.
+/// A query as received by a listener; not validated yet.
 #[derive(Clone, Debug)]
 pub struct NewQuery {
-    /// The client's identifier for it, fresh with every retry by the client.
+    /// The client's identifier of the query; each retry by the client has a new one.
     pub request_id: Arc<str>,
-    /// The name of its class.
+    /// Name of its class.
     pub class: String,
-    /// The name of its tenant, if any.
+    /// Name of its tenant; `None` if the client sent none.
     pub tenant: Option<String>,
-    /// Time until the client gives up; the deadline of its class if the client has named none.
+    /// Time until the client's deadline; `None` means the deadline of the query's class.
     pub time_left: Option<Millis>,
-    /// The client marked it as a retry of an earlier query.
+    /// Whether the client marked it as a retry of an earlier query.
     pub is_retry: bool,
-    /// The text that is sent with each part.
+    /// Sent to the leaf servers with each part.
     pub payload: Arc<str>,
-    /// The idempotency key by which leaf servers drop duplicates, if the client gave one.
+    /// The idempotency key by which leaf servers drop duplicates; `None` if the client sent none.
     pub idempotency_key: Option<Arc<str>>,
-    /// Its parts.
+    /// The parts, one for each shard that is queried.
     pub parts: Vec<NewPart>,
 }
 
 /// One part of a [`NewQuery`].
 #[derive(Clone, Copy, Debug)]
 pub struct NewPart {
-    /// The shard that it is for.
+    /// The shard that it queries.
     pub shard: u32,
-    /// Its share of the complete answer; the weights of a query's parts sum to one.
+    /// Its fraction of the complete answer; the weights of a query's parts sum to one.
     pub weight: f64,
-    /// Estimated work of the leaf server, if the client gave an estimate.
+    /// The client's estimate of the work for the leaf server; `None` if it sent none.
     pub cost_hint: Option<Millis>,
 }
 
-/// How a leaf server answered a part.
+/// The outcome of a part at a leaf server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PartOutcome {
-    /// Served.
+    /// Answered with a value.
     Served,
-    /// An error; the part may have run.
+    /// Answered with an error; the part may have run.
     Failed,
     /// Rejected; the part never ran.
     Rejected,
-    /// The answer broke off while the connection stays open; the part may have run.
+    /// The answer was truncated while the connection stays open; the part may have run.
     Truncated,
 }
--- a/src/aggregator/query_validation.rs
+++ b/src/aggregator/query_validation.rs
@@ -1,31 +1,31 @@
-//! Whether a query that was read can be run under the settings in force.
+//! Validation of queries against the settings in force.
 
 use super::{NewPart, NewQuery};
 use crate::config::SiteSettings;
 use std::error::Error;
 use std::fmt;
 
-/// How far the weights of a query's parts may be from a sum of one, since they are rounded.
+/// Maximum difference from one of the sum of a query's weights, since clients round them.
 const WEIGHT_TOLERANCE: f64 = 0.01;
 
-/// Why a query is invalid. The texts go to the client.
+/// The reason why a query is invalid. The messages are sent to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueryError {
-    /// The settings have no class of that name.
+    /// The settings have no class with that name.
     UnknownClass,
-    /// The settings list tenants, and this one is not among them.
+    /// The settings list tenants, but not this one.
     UnknownTenant,
     /// The query has no parts.
     NoParts,
-    /// Two parts are for the same shard.
+    /// Two parts query the same shard.
     DuplicateShard,
-    /// A part is for a shard beyond the number of shards.
+    /// A part queries a shard that does not exist.
     UnknownShard,
     /// A weight, cost hint or time is negative, infinite or NaN.
     InvalidNumber,
     /// A weight is zero, or the weights do not sum to one.
     InvalidWeights,
-    /// The client has a query in flight, or the query's identifier is in use.
+    /// The client already has a query in flight, or another query in flight has the same request id.
     RequestIdInUse,
 }
 
@@ -52,14 +52,14 @@
     }
 }
 
-/// What a valid query's names stand for in the balancer's settings.
+/// Indices of a valid query's class and tenant in the balancer's settings.
 pub(super) struct QueryIndices {
     pub class: usize,
-    /// None without a tenant, or where the settings list no tenants.
+    /// `None` if the query has no tenant or the settings list no tenants.
     pub tenant: Option<usize>,
 }
 
-/// Checks all of a query that does not depend on what is in flight.
+/// Performs the checks that do not depend on the queries in flight.
 pub(super) fn validate_query(query: &NewQuery, settings: &SiteSettings) -> Result<QueryIndices, QueryError> {
     let class = settings.classes.iter().position(|name| *name == query.class);
     let class = class.ok_or(QueryError::UnknownClass)?;
@@ -75,7 +75,7 @@
 fn find_tenant(query: &NewQuery, settings: &SiteSettings) -> Result<Option<usize>, QueryError> {
     let Some(name) = &query.tenant else { return Ok(None) };
     let tenant = settings.tenants.iter().position(|known| known == name);
-    // Where tenants have quotas, an unknown one would be served on nobody's quota.
+    // If tenants have quotas, queries of an unknown tenant would not be limited by any quota.
     if tenant.is_none() && !settings.tenants.is_empty() {
         return Err(QueryError::UnknownTenant);
     }
@@ -86,7 +86,7 @@
     let mut shards: Vec<u32> = parts.iter().map(|part| part.shard).collect();
     shards.sort_unstable();
     let Some(last) = shards.last() else { return Err(QueryError::NoParts) };
-    // Leaf servers identify a part by query and shard.
+    // Leaf servers identify a part by request id and shard.
     if shards.windows(2).any(|pair| pair[0] == pair[1]) {
         return Err(QueryError::DuplicateShard);
     }
--- a/src/aggregator/records.rs
+++ b/src/aggregator/records.rs
@@ -1,4 +1,4 @@
-//! Records of what is in flight: clients, queries, their parts and attempts, and the leaf servers.
+//! Records of clients, queries, parts, attempts and leaf servers.
 
 use super::{AttemptId, ClientId, ConnectionId};
 use crate::balancer::{PartId, QueryId, ReplicaId};
@@ -10,51 +10,51 @@
 
 /// A client's connection.
 pub(super) struct Client {
-    /// The query in flight.
+    /// The query in flight, if any.
     pub query: Option<QueryId>,
-    /// Since when no query is in flight.
+    /// When the client became idle: it connected, or its last request ended.
     pub idle_since: Millis,
-    /// It has been answered at least once.
+    /// Whether it has been answered at least once.
     pub answered: bool,
-    /// It is being closed to free capacity for others.
+    /// Whether it is being closed to free capacity for other clients.
     pub closing: bool,
 }
 
 /// A query in flight.
 pub(super) struct Query {
     pub client: ClientId,
-    /// The class by name, since a reload may renumber the classes.
+    /// Name of the class, since a reload may renumber the classes.
     pub class: Arc<str>,
-    /// The tenant as the client named it.
+    /// Name of the tenant as sent by the client.
     pub tenant: Option<String>,
-    /// The settings list that tenant.
+    /// Whether the settings list that tenant.
     pub tenant_is_known: bool,
-    /// Whether it was within its tenant's quota.
+    /// Whether the query was within its tenant's quota.
     pub share: QuotaShare,
-    /// The client's identifier for it.
+    /// The client's identifier of the query.
     pub request_id: Arc<str>,
     pub payload: Arc<str>,
     pub idempotency_key: Option<Arc<str>>,
     pub parts: Vec<PartId>,
 }
 
-/// A part of a query; it outlives the query while attempts are open.
+/// A part of a query. The record is kept until the query and all attempts of the part have ended.
 pub(super) struct Part {
     pub query: QueryId,
     pub shard: u32,
-    /// Attempts that the balancer has asked for; numbers the next one.
+    /// Number of attempts that the balancer has requested; the number of the next attempt.
     pub attempts_started: u32,
-    /// Attempts whose end was not reported to the balancer yet, by their number.
+    /// Attempts whose outcome has not been reported to the balancer yet, by number.
     pub open_attempts: BTreeMap<u32, AttemptId>,
-    /// Cancelled attempts whose cancellation may not have been written yet.
+    /// Number of cancelled attempts whose cancellation may not have been written yet.
     pub unconfirmed_cancellations: u32,
-    /// The next attempt, which waits until all cancellations are confirmed.
+    /// The next attempt, waiting for all cancellations to be confirmed.
     pub waiting_attempt: Option<AttemptId>,
-    /// The rows of its value, once served.
+    /// The rows of the part's value; `None` until it is served.
     pub value: Option<Vec<Bytes>>,
 }
 
-/// What leaf servers identify a part by.
+/// The key by which leaf servers identify a part.
 #[derive(Clone, PartialEq, Eq)]
 pub(super) struct PartKey {
     /// The client's identifier of the query.
@@ -62,16 +62,16 @@
     pub shard: u32,
 }
 
-/// How far an attempt has come.
+/// The stage of an attempt.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum AttemptStage {
-    /// Waits until the cancellations of earlier attempts of its part are confirmed.
+    /// Waiting for the cancellations of earlier attempts of its part to be confirmed.
     Waiting,
-    /// Assigned to a connection, but not passed to its writer.
+    /// Assigned to a connection, but not passed to its writer yet.
     Queued { connection: ConnectionId },
-    /// Passed to the connection's writer as the message of this number.
+    /// Passed to the connection's writer in the message with this number.
     Submitted { connection: ConnectionId, message: u64 },
-    /// Cancelled; that is confirmed once the connection has ended or the message of this number is written.
+    /// Cancelled. Confirmed once the connection has ended or the message with this number, if any, is written.
     Cancelled { connection: ConnectionId, message: Option<u64> },
 }
 
@@ -82,23 +82,24 @@
     /// Its number among the attempts of its part.
     pub number: u32,
     pub replica: ReplicaId,
-    /// When the balancer asked for it.
+    /// When the balancer requested it.
     pub started_at: Millis,
     /// When it times out.
     pub timeout_at: Millis,
-    /// When it must have been written, if at all.
+    /// Deadline for writing it; `None` if there is no such deadline.
     pub send_by: Option<Millis>,
     pub stage: AttemptStage,
 }
 
-/// A leaf server on the endpoint list, or lately removed from it.
+/// A leaf server that is on the endpoint list or was recently removed from it.
 pub(super) struct LeafServer {
     pub address: Arc<str>,
     pub cell: u32,
-    /// When its process started by the wall clock, as the endpoint list says; 0 if unknown.
+    /// Start time of its process by the wall clock, from the endpoint list; 0 if unknown.
     pub started_at_unix: Millis,
-    /// The same by the aggregator's clock. It is converted only once: a new conversion would look like a restart.
+    /// The same time on the aggregator's clock. It is converted only once, since another conversion would give a
+    /// slightly different time, which looks like a restart.
     pub started_at: Option<Millis>,
-    /// Since when it is off the endpoint list.
+    /// When it was removed from the endpoint list; `None` while it is listed.
     pub removed_at: Option<Millis>,
 }
--- a/src/aggregator/reduce.rs
+++ b/src/aggregator/reduce.rs
@@ -1,5 +1,5 @@
-//! The entry point of the state machine: [`reduce`] dispatches an event, then runs the balancer until it has no more
-//! events to handle. The methods of [`Reduction`] are in the modules of their concerns.
+//! The entry point of the state machine: [`reduce`] dispatches an event, then runs the balancer until it has no pending
+//! events. The methods of [`Reduction`] are spread over the modules of this directory, by topic.
 
 use super::state::State;
 use super::timer::Timer;
@@ -9,8 +9,8 @@
 use crate::endpoints::Input;
 use std::collections::VecDeque;
 
-/// Applies an event to the state, at a time by the aggregator's clock. The caller carries out the effects in their
-/// order.
+/// Applies an event to the state and returns the effects, which the caller executes in order. `now` is on the
+/// aggregator's clock.
 pub fn reduce(state: &mut State, now: Millis, event: Event) -> Vec<Effect> {
     let mut reduction = Reduction { state, now, effects: Vec::new(), balancer_events: VecDeque::new() };
     reduction.apply(event);
@@ -21,13 +21,13 @@
     reduction.effects
 }
 
-/// One call of [`reduce`].
+/// The context of one call of [`reduce`].
 pub(super) struct Reduction<'a> {
     pub(super) state: &'a mut State,
     pub(super) now: Millis,
-    /// What the caller is to do, in order.
+    /// Effects for the caller to execute, in order.
     pub(super) effects: Vec<Effect>,
-    /// Events that the balancer has not handled yet, in order.
+    /// Pending events for the balancer, in order.
     pub(super) balancer_events: VecDeque<balancer::Event>,
 }
 
@@ -91,7 +91,7 @@
         match timer {
             Timer::Balancer => self.balancer_events.push_back(balancer::Event::Timer),
             Timer::QueryDeadline(query) => {
-                // After a stall the balancer's timer is due as well: its decision comes first.
+                // After a stall the balancer's timer may be due as well; its decision takes precedence.
                 self.run_balancer();
                 self.query_expired(query);
             }
@@ -107,18 +107,18 @@
         }
     }
 
-    /// Passes all pending events to the balancer and applies its actions, until no event is left. An action may add
-    /// further events.
+    /// Passes pending events to the balancer and applies its actions until no events are left. Actions may add further
+    /// events.
     fn run_balancer(&mut self) {
         let mut actions = Vec::new();
         while let Some(event) = self.balancer_events.pop_front() {
-            let tenants_query = match &event {
+            let query_with_tenant = match &event {
                 balancer::Event::Query { query, tenant: Some(_), .. } => Some(*query),
                 _ => None,
             };
             self.state.balancer.handle(self.now, event, &mut actions);
-            if let Some(query) = tenants_query {
-                self.note_quota_use(query);
+            if let Some(query) = query_with_tenant {
+                self.record_quota_share(query);
             }
             for action in actions.drain(..) {
                 self.apply_action(action);
--- a/src/aggregator/rejections.rs
+++ b/src/aggregator/rejections.rs
@@ -1,16 +1,16 @@
-//! Counters of rejected queries by the balancer's reason.
+//! Counters of rejected queries, by the balancer's reason.
 
 use super::effect::{Effect, LogEvent};
 use super::reduce::Reduction;
 use crate::balancer::{QueryId, RejectReason};
 use std::collections::BTreeMap;
 
-/// Queries rejected, by reason.
+/// Number of rejected queries, by reason.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RejectionCounters(BTreeMap<RejectReason, u64>);
 
 impl RejectionCounters {
-    /// The counters in the text form that metric collectors read; reasons without a query are 0.
+    /// The counters in the Prometheus text format; reasons that have not occurred are reported as 0.
     pub fn text(&self) -> String {
         let mut text = "# HELP sailmux_rejections Queries rejected, by reason.\n\
                         # TYPE sailmux_rejections counter\n"
@@ -24,7 +24,7 @@
 }
 
 impl Reduction<'_> {
-    /// Counts and logs a query that the balancer rejects.
+    /// Counts and logs the rejection of a query by the balancer.
     pub(super) fn record_rejection(&mut self, query: QueryId, reason: RejectReason) {
         *self.state.rejections.0.entry(reason).or_default() += 1;
         let Some(record) = self.state.queries.get(&query) else { return };
--- a/src/aggregator/reload.rs
+++ b/src/aggregator/reload.rs
@@ -1,4 +1,4 @@
-//! Reload of the settings while the process runs.
+//! Reloading of settings in a running process.
 
 use super::Limits;
 use super::reduce::Reduction;
@@ -6,14 +6,14 @@
 use crate::endpoints::Input;
 
 impl Reduction<'_> {
-    /// Takes over new settings. They hold for new queries; queries in flight go on under the old ones.
+    /// Applies new settings. They are used for new queries; queries in flight continue under the old ones.
     pub(super) fn reload_settings(&mut self, settings: SiteSettings, limits: Limits) {
         let old = &self.state.settings;
         let old_index = |name: &String| old.classes.iter().position(|class| class == name);
         let old_class_indices: Vec<Option<usize>> = settings.classes.iter().map(old_index).collect();
         let zones_changed = settings.zones != old.zones;
         let reconfigured = self.state.balancer.reconfigure(settings.balancer.clone(), &old_class_indices);
-        // The settings were validated when they were read, so this is not expected.
+        // Not expected: the settings are validated when the configuration is loaded.
         if reconfigured.is_err() {
             self.state.counters.reloads_rejected += 1;
             return;
--- a/src/aggregator/reply.rs
+++ b/src/aggregator/reply.rs
@@ -1,35 +1,35 @@
-//! What a client is answered.
+//! Replies to client requests.
 
 use super::QueryError;
 use crate::clock::Millis;
 use bytes::Bytes;
 
-/// The answer to a client's request; the listeners put it into the form of their protocol.
+/// The reply to a client's request; the listeners encode it for their protocol.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
     /// The query was served.
     Answer {
-        /// It holds all parts that a complete answer needs.
+        /// Whether the answer is complete rather than partial.
         complete: bool,
-        /// The shards with the rows of their values, as the leaf servers sent them.
+        /// The rows of each served shard, as sent by the leaf servers.
         values: Vec<(u32, Vec<Bytes>)>,
     },
-    /// The query was rejected before it had any effect; a retry is harmless.
+    /// The query was rejected before it had any effect; it is safe to retry.
     Rejected {
-        /// When to retry.
+        /// Value of the Retry-After header; `None` if clients are sent none.
         retry_after: Option<Millis>,
     },
-    /// The query has failed.
+    /// The query failed; it may have had effects.
     Failed,
     /// The query's deadline has passed.
     Expired,
     /// The query is invalid.
     BadRequest(QueryError),
-    /// The answer on `/healthz`.
+    /// The response to `/healthz`.
     Health {
-        /// This aggregator takes queries.
+        /// Whether load balancers should send queries to this aggregator.
         ready: bool,
     },
-    /// The counters in the text form that metric collectors read.
+    /// The counters in the Prometheus text format.
     Metrics(String),
 }
--- a/src/aggregator/send_deadlines.rs
+++ b/src/aggregator/send_deadlines.rs
@@ -1,4 +1,5 @@
-//! Attempts that must not be sent any more: their send deadline has passed, or their leaf server must not get them.
+//! Withdrawal of attempts that must not be sent: their send deadline has passed, or their leaf server must not receive
+//! them.
 
 use super::AttemptId;
 use super::leaf_connection::{ConnectionPhase, LeafConnection};
@@ -9,8 +10,8 @@
 use crate::balancer::{Outcome, ReplicaId};
 
 impl Reduction<'_> {
-    /// An attempt's send deadline has passed. If its message is stuck in the writer, only closing the connection keeps
-    /// the rest of it from being sent.
+    /// Handles a passed send deadline. If the message is still in the writer, only closing the connection prevents the
+    /// rest of it from being sent.
     pub(super) fn send_deadline_passed(&mut self, id: AttemptId) {
         let Some(attempt) = self.state.attempts.get(&id) else { return };
         match attempt.stage {
@@ -27,8 +28,8 @@
         }
     }
 
-    /// Bounds the send deadlines of attempts for a leaf server that no longer accepts new work: what is not written
-    /// within half of its grace period is not sent.
+    /// Limits the send deadlines of attempts for a leaf server that no longer accepts new work: an attempt that is not
+    /// written within half of the grace period is not sent.
     pub(super) fn shorten_send_deadlines(&mut self, replica: ReplicaId) {
         let State { attempts, timers, settings, .. } = &mut *self.state;
         let latest = self.now + settings.drain_grace / 2.0;
@@ -43,8 +44,8 @@
         }
     }
 
-    /// Ends the attempts that are queued on established connections and whose send deadline has passed by the clock,
-    /// though its timer has not fired yet.
+    /// Ends the attempts queued on established connections whose send deadline has passed but whose timer has not fired
+    /// yet.
     pub(super) fn withdraw_overdue_attempts(&mut self) {
         let State { connections, attempts, .. } = &*self.state;
         let is_overdue = |id: &&AttemptId| {
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Ends the attempts for a leaf server that were not passed to a writer yet.
+    /// Ends the attempts for a leaf server that have not been passed to a writer.
     pub(super) fn withdraw_unsent_attempts(&mut self, replica: ReplicaId, outcome: Outcome) {
         let is_unsent =
             |stage: AttemptStage| matches!(stage, AttemptStage::Waiting | AttemptStage::Queued { .. });
--- a/src/aggregator/siblings.rs
+++ b/src/aggregator/siblings.rs
@@ -1,14 +1,14 @@
-//! Other processes of the same aggregator, which run beside this one during a hot restart.
+//! Sibling processes: other processes of the same aggregator, which run during a hot restart.
 
 use super::Effect;
 use super::reduce::Reduction;
 
-/// What is known of the other processes of this aggregator.
+/// The state of the other processes of this aggregator.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Siblings {
-    /// How many of them run.
+    /// Number of other processes that are running.
     pub others: usize,
-    /// At least one of them has reported that it is ready.
+    /// Whether at least one of them has reported that it is ready.
     pub any_ready: bool,
 }
 
--- a/src/aggregator/state.rs
+++ b/src/aggregator/state.rs
@@ -24,7 +24,7 @@
 
     pub(super) clients: BTreeMap<ClientId, Client>,
     pub(super) queries: BTreeMap<QueryId, Query>,
-    /// Names of the queries in flight: leaf servers identify parts by them.
+    /// Request ids of the queries in flight; leaf servers identify parts by request id and shard.
     pub(super) request_ids: BTreeSet<Arc<str>>,
     pub(super) parts: BTreeMap<PartId, Part>,
     pub(super) attempts: BTreeMap<AttemptId, Attempt>,
@@ -36,34 +36,34 @@
     pub(super) connections: BTreeMap<ConnectionId, LeafConnection>,
 
     pub(super) timers: TimerQueue,
-    /// How far the wall clock was last known to be ahead of the aggregator's clock.
+    /// Difference of the wall clock and the aggregator's clock, as last reported.
     pub(super) wall_clock_offset: Millis,
-    /// The last number given to a query, part, attempt or connection.
+    /// The last identifier allocated to a query, part, attempt or connection.
     pub(super) last_id: u64,
 
     pub(super) lifecycle: Lifecycle,
-    /// Overrides that operators have set on the admin address.
+    /// Overrides set by operators on the admin address.
     pub(super) overrides: Overrides,
     pub(super) siblings: Siblings,
-    /// Limits of a process that has no siblings.
+    /// Limits of the aggregator as a whole; in force if this process has no siblings.
     pub(super) undivided_limits: Limits,
-    /// Limits in force: this process's share of them.
+    /// Limits in force: this process's share of `undivided_limits`.
     pub(super) limits: Limits,
-    /// The listener has not been asked to close.
+    /// `false` once [`Effect::StopAccepting`](super::Effect::StopAccepting) has been emitted.
     pub(super) accepting_clients: bool,
-    /// The listener is closed, and every client that it accepted is known.
+    /// The listener is closed, and every client that it accepted is in `clients` or has disconnected.
     pub(super) listener_closed: bool,
     /// [`Effect::Exit`](super::Effect::Exit) has been emitted.
     pub(super) exited: bool,
-    /// Set where a ledger is kept.
+    /// `None` if no ledger is kept.
     pub(super) billing: Option<Billing>,
 }
 
 impl State {
-    /// The state of a process that has just started. `seed` makes the balancer's random choices repeatable.
+    /// The state of a process that has just started. `seed` makes the balancer's random choices reproducible.
     ///
     /// # Errors
-    /// The balancer does not accept the settings.
+    /// The balancer rejects the settings.
     pub fn new(
         settings: SiteSettings,
         limits: Limits,
@@ -100,17 +100,17 @@
         })
     }
 
-    /// Records each final answer in a ledger from now on, billed by these prices.
+    /// Starts recording each final answer in a ledger, billed at the given prices.
     pub fn enable_ledger(&mut self, prices: PriceList) {
         self.billing = Some(Billing::new(prices));
     }
 
-    /// When the aggregator next wants an [`Event::TimerFired`](super::Event::TimerFired).
+    /// The time at which the next [`Event::TimerFired`](super::Event::TimerFired) is due; `None` if no timer is set.
     pub fn next_timer(&self) -> Option<Millis> {
         self.timers.next_due()
     }
 
-    /// The state of the lifecycle.
+    /// The current lifecycle state of the process.
     pub fn lifecycle(&self) -> Lifecycle {
         self.lifecycle
     }
@@ -120,17 +120,17 @@
         &self.settings
     }
 
-    /// The endpoint list, and where each of its entries comes from.
+    /// The endpoint list, with the source of each entry.
     pub fn endpoints(&self) -> &EndpointRegistry {
         &self.endpoints
     }
 
-    /// The counters so far.
+    /// The counters since the start of the process.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// All counters in the text form that metric collectors read; those by tenant come last.
+    /// All counters in the Prometheus text format; counters by tenant come last.
     pub fn counters_text(&self) -> String {
         let mut text = self.counters.text();
         text += &self.rejections.text();
@@ -140,8 +140,8 @@
         text
     }
 
-    /// A number that was not used before.
-    pub(super) fn fresh_id(&mut self) -> u64 {
+    /// Allocates an identifier that is unique in this process.
+    pub(super) fn allocate_id(&mut self) -> u64 {
         self.last_id += 1;
         self.last_id
     }
--- a/src/aggregator/timer.rs
+++ b/src/aggregator/timer.rs
@@ -1,54 +1,53 @@
-//! The timers that the aggregator has set.
+//! The aggregator's timers.
 
 use super::{AttemptId, ConnectionId};
 use crate::balancer::QueryId;
 use crate::clock::Millis;
 use std::collections::BTreeSet;
 
-/// What a timer is for; one whose subject no longer exists does nothing. Timers that are due at the same time fire in
-/// the order of these variants.
+/// The purpose of a timer. A timer whose subject no longer exists has no effect. Timers that are due at the same time
+/// fire in the order of these variants.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
-    /// The balancer asked for it.
+    /// A timer requested by the balancer.
     Balancer,
-    /// The deadline of a query has passed.
+    /// The deadline of a query.
     QueryDeadline(QueryId),
-    /// An attempt should have been answered.
+    /// Timeout for the answer to an attempt.
     AttemptTimeout(AttemptId),
-    /// An attempt that is not written yet must not be sent any more.
+    /// Time after which an attempt that is not written yet must not be sent.
     SendDeadline(AttemptId),
-    /// A connection should be established.
+    /// Timeout for establishing a connection.
     ConnectTimeout(ConnectionId),
-    /// The oldest unwritten message of a connection may have waited too long.
+    /// Check whether the oldest unwritten message of a connection has timed out.
     WriteTimeout(ConnectionId),
-    /// A connection may have been idle for too long.
+    /// Check whether a connection has exceeded its idle timeout.
     IdleTimeout(ConnectionId),
-    /// A health check on a connection should have been answered.
+    /// Timeout for the answer to a health check on a connection.
     HealthCheckTimeout(ConnectionId),
-    /// The next step of draining clients is due.
+    /// The next step of draining clients.
     DrainClients,
-    /// The wait for discovery at startup is over.
+    /// Timeout for the first answer of discovery at startup.
     DiscoveryWait,
-    /// The endpoint registry asked for it.
+    /// A timer requested by the endpoint registry.
     EndpointRegistry,
 }
 
-/// Timers by the time at which they are due. The same timer set twice for the same time fires once.
+/// Timers ordered by due time. A timer set twice for the same time fires once.
 #[derive(Default)]
 pub(super) struct TimerQueue(BTreeSet<(DueTime, Timer)>);
 
 impl TimerQueue {
-    /// Sets a timer.
     pub fn set(&mut self, due_at: Millis, timer: Timer) {
         self.0.insert((due_at.into(), timer));
     }
 
-    /// When the first timer is due.
+    /// Due time of the first timer; `None` if no timer is set.
     pub fn next_due(&self) -> Option<Millis> {
         self.0.first().map(|(due_at, _)| due_at.millis())
     }
 
-    /// Takes the first timer that is due at a time.
+    /// Removes and returns the first timer if it is due.
     pub fn pop_due(&mut self, now: Millis) -> Option<Timer> {
         let (due_at, _) = self.0.first()?;
         if *due_at > now.into() {
@@ -58,7 +57,7 @@
     }
 }
 
-/// A point of time that can be ordered. Times are never negative or NaN, so their bits sort as their values do.
+/// A time with a total order. Times are never negative or NaN, so the order of their bits is that of their values.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct DueTime(u64);
 
