--- a/tests/aggregator.rs
+++ b/tests/aggregator.rs
@@ -1,5 +1,5 @@
-//! The aggregator's state machine without sockets: endpoint lists that change while parts are in flight, deadlines for
-//! sending, connections that stall or break, the validation of queries, and the names of its metrics.
+//! Tests of the aggregator's state machine without sockets: endpoint list changes while parts are in flight, send
+//! deadlines, connections that stall or break, query validation and metric names.
 
 mod common;
 
@@ -10,12 +10,12 @@
 use sailmux::inventory::{Bundle, BundleFile, Options, Role, read};
 use std::sync::Arc;
 
-/// When the simulated time begins, in milliseconds.
+/// Start of the simulated time, in milliseconds.
 const START: f64 = 1e6;
 /// Two leaf servers for cell 0, two for cell 1 and one for cell 2.
 const FIVE_SERVERS: &str = "a,h,1,0\nb,h,2,0\nc,h,3,1\nd,h,4,1\ne,h,5,2\n";
 
-fn inventory(rows: &str) -> Arc<FileList> {
+fn inventory_list(rows: &str) -> Arc<FileList> {
     let file = BundleFile {
         name: "n.csv".into(),
         key: "n.csv".into(),
@@ -30,27 +30,27 @@
     reduce(state, now, Event::EndpointSourceChanged { input, wall_clock_offset: 0.0 })
 }
 
-/// An aggregator with these leaf servers and a configuration.
-fn aggregator_configured(servers: &str, config: &str) -> State {
+/// An aggregator with the given leaf servers and configuration.
+fn aggregator_with_config(servers: &str, config: &str) -> State {
     let path = scratch_dir("aggregator").join("config.json");
-    std::fs::write(&path, config).expect("written");
+    std::fs::write(&path, config).expect("the configuration can be written");
     let settings = Config::at(&path).expect("a valid configuration").settings;
     let limits = Limits::from_max_descriptors(1024);
     let mut state = State::new(settings, limits, 7, GuardSettings::default()).expect("valid settings");
-    let files = vec![inventory(servers)];
+    let files = vec![inventory_list(servers)];
     change_endpoints(&mut state, START, Input::Started { known: None, files });
     state
 }
 
-/// An aggregator with these leaf servers, and with one text of its configuration replaced by another.
-fn aggregator_with(servers: &str, setting: &str, replacement: &str) -> State {
+/// An aggregator with the given leaf servers and one setting of its configuration replaced.
+fn aggregator_with_setting(servers: &str, setting: &str, replacement: &str) -> State {
     let config = Setup::new(&[]).config();
     assert!(config.contains(setting), "{setting}");
-    aggregator_configured(servers, &config.replace(setting, replacement))
+    aggregator_with_config(servers, &config.replace(setting, replacement))
 }
 
 fn aggregator() -> State {
-    aggregator_configured(FIVE_SERVERS, &Setup::new(&[]).config())
+    aggregator_with_config(FIVE_SERVERS, &Setup::new(&[]).config())
 }
 
 /// A valid query with one part, for shard 0.
@@ -72,17 +72,17 @@
     reduce(state, now, Event::QueryReceived(ClientId(client), query))
 }
 
-/// An aggregator with a query for shard 0, and the connection that its part waits for, with its address.
+/// An aggregator with a query for shard 0 whose part waits for a connection; returns the connection and its address.
 fn aggregator_with_waiting_part() -> (State, ConnectionId, String) {
     let mut state = aggregator();
     let new = NewQuery { time_left: Some(5000.0), ..query("q") };
     let effects = send_query(&mut state, START + 1.0, 1, new);
-    let (connection, address) = connects(&effects).pop().expect("a connection");
+    let (connection, address) = opened_connections(&effects).pop().expect("a connection");
     (state, connection, address)
 }
 
-/// The connections that are opened, with their addresses.
-fn connects(effects: &[Effect]) -> Vec<(ConnectionId, String)> {
+/// The connections opened by the effects, with their addresses.
+fn opened_connections(effects: &[Effect]) -> Vec<(ConnectionId, String)> {
     let connect = |effect: &Effect| match effect {
         Effect::Connect(connection, address) => Some((*connection, address.to_string())),
         _ => None,
@@ -94,7 +94,7 @@
     effects.iter().filter(|effect| matches!(effect, Effect::SendCall(..))).count()
 }
 
-/// The first attempt that is sent.
+/// The first attempt sent by the effects.
 fn sent_attempt(effects: &[Effect]) -> AttemptId {
     let first_attempt = |effect: &Effect| match effect {
         Effect::SendCall(_, parts) => Some(parts[0].attempt),
@@ -107,7 +107,7 @@
     effects.iter().any(|effect| matches!(effect, Effect::CloseConnection(closed) if *closed == connection))
 }
 
-fn is_answered_completely(effects: &[Effect]) -> bool {
+fn has_complete_answer(effects: &[Effect]) -> bool {
     let is_complete =
         |effect: &Effect| matches!(effect, Effect::Reply { reply: Reply::Answer { complete: true, .. }, .. });
     effects.iter().any(is_complete)
@@ -117,7 +117,7 @@
     effects.iter().any(|effect| matches!(effect, Effect::Reply { reply: Reply::Failed, .. }))
 }
 
-/// An answer without a load report.
+/// A leaf server's answer without a load report.
 fn answer(connection: ConnectionId, attempt: AttemptId, outcome: PartOutcome) -> Event {
     let rows = if outcome == PartOutcome::Served { vec!["v".into()] } else { vec![] };
     Event::AttemptAnswered { connection, attempt, outcome, rows, report: None }
@@ -128,16 +128,16 @@
     let (mut state, connection, address) = aggregator_with_waiting_part();
     let row_in_cell = |cell: u32| format!("{},{cell}", address.replace(':', ","));
     let moved = FIVE_SERVERS.replace(&row_in_cell(0), &row_in_cell(1));
-    let mut effects = change_endpoints(&mut state, START + 2.0, Input::File(0, inventory(&moved)));
+    let mut effects = change_endpoints(&mut state, START + 2.0, Input::File(0, inventory_list(&moved)));
     effects.extend(reduce(&mut state, START + 3.0, Event::Connected(connection)));
-    assert_eq!(call_count(&effects), 0, "it does not hold the shard any more");
-    // The balancer sends the part to the other holder, at once or after a backoff.
+    assert_eq!(call_count(&effects), 0, "the moved leaf server no longer holds the shard");
+    // The balancer sends the part to the other holder, immediately or after a backoff.
     let mut now = START + 3.0;
-    while connects(&effects).is_empty() && now < START + 2000.0 {
+    while opened_connections(&effects).is_empty() && now < START + 2000.0 {
         now += 5.0;
         effects.extend(reduce(&mut state, now, Event::TimerFired));
     }
-    let (other_connection, other_address) = connects(&effects).pop().expect("another connection");
+    let (other_connection, other_address) = opened_connections(&effects).pop().expect("another connection");
     assert_ne!(other_address, address);
     let effects = reduce(&mut state, now + 1.0, Event::Connected(other_connection));
     assert_eq!(call_count(&effects), 1);
@@ -153,20 +153,24 @@
         let attempt = sent_attempt(&effects);
         reduce(&mut state, START + 2.5, Event::Written(connection, 1));
         let replaced = FIVE_SERVERS.replace(old_row, new_row);
-        let effects = change_endpoints(&mut state, START + 3.0, Input::File(0, inventory(&replaced)));
-        assert!(!is_closed(&effects, connection), "a part is in flight on it");
+        let effects = change_endpoints(&mut state, START + 3.0, Input::File(0, inventory_list(&replaced)));
+        assert!(!is_closed(&effects, connection), "a part is in flight on the connection");
         let served = answer(connection, attempt, PartOutcome::Served);
         let effects = reduce(&mut state, START + 9.0, served);
-        assert!(is_answered_completely(&effects), "{effects:?}");
+        assert!(has_complete_answer(&effects), "{effects:?}");
         let is_replaced = address == replaced_address;
-        assert_eq!(is_closed(&effects, connection), is_replaced, "closed once drained, if replaced");
+        assert_eq!(
+            is_closed(&effects, connection),
+            is_replaced,
+            "closed after draining only if the leaf server was replaced"
+        );
     }
 }
 
 #[test]
 fn endpoint_lists_held_back_or_rejected_are_counted_and_audited() {
     let (mut state, ..) = aggregator_with_waiting_part();
-    let effects = change_endpoints(&mut state, START + 2.0, Input::File(0, inventory("a,h,1,0\n")));
+    let effects = change_endpoints(&mut state, START + 2.0, Input::File(0, inventory_list("a,h,1,0\n")));
     assert!(effects.iter().any(|effect| matches!(effect, Effect::EndpointAudit(_))));
     change_endpoints(&mut state, START + 3.0, Input::FileRejected(0, "torn".into()));
     let counters = state.counters();
@@ -176,24 +180,24 @@
     assert_eq!(state.endpoints().endpoints().len(), 5);
 }
 
-/// A retry has been passed to the writer of a connection that takes no bytes. When the idempotency window ends, the
-/// connection is closed and the query fails: nothing of the retry may be sent later.
+/// A retry is passed to the writer of a connection that writes nothing. When the idempotency window ends, the connection
+/// is closed and the query fails, so that the retry cannot be sent later.
 #[test]
 fn a_retry_that_is_not_written_within_the_idempotency_window_is_withdrawn() {
     const KEYED: &str = "\"effect\":\"dedup\",\"group\":\"all\",\"windowMs\":200";
-    let mut state = aggregator_with("a,h,1,0\nb,h,2,0\n", "\"effect\":\"retryable\"", KEYED);
+    let mut state = aggregator_with_setting("a,h,1,0\nb,h,2,0\n", "\"effect\":\"retryable\"", KEYED);
     let effects = send_query(&mut state, START + 1.0, 1, query("q"));
-    let (first, _) = connects(&effects).pop().expect("a connection");
+    let (first, _) = opened_connections(&effects).pop().expect("a connection");
     let attempt = sent_attempt(&reduce(&mut state, START + 2.0, Event::Connected(first)));
     reduce(&mut state, START + 2.0, Event::Written(first, 1));
     let failed = answer(first, attempt, PartOutcome::Failed);
     let effects = reduce(&mut state, START + 100.0, failed);
-    let (second, _) = connects(&effects).pop().expect("another connection");
+    let (second, _) = opened_connections(&effects).pop().expect("another connection");
     assert_eq!(call_count(&reduce(&mut state, START + 101.0, Event::Connected(second))), 1);
     let mut now = START + 101.0;
     let mut effects = Vec::new();
     while now < START + 210.0 {
-        assert!(!is_closed(&effects, second), "at {now}: the window is still open");
+        assert!(!is_closed(&effects, second), "closed at {now}, within the idempotency window");
         now += 5.0;
         effects = reduce(&mut state, now, Event::TimerFired);
         if is_closed(&effects, second) {
@@ -201,16 +205,16 @@
         }
     }
     assert!(now < START + 205.0 && is_closed(&effects, second), "withdrawn at {now}: {effects:?}");
-    assert!(has_failed(&effects), "the client is answered at once: {effects:?}");
+    assert!(has_failed(&effects), "the client gets its error immediately: {effects:?}");
 }
 
-/// Several messages wait on a connection that writes one now and then. Each of them is written within the connect
-/// timeout, or the connection is closed: a part must not be sent long after its leaf server began to drain.
+/// Several messages wait on a connection that writes slowly. The connection is closed unless each of them is written
+/// within the connect timeout: a part must not be sent long after its leaf server began to drain.
 #[test]
 fn no_message_waits_on_a_connection_for_longer_than_the_connect_timeout() {
-    let mut state = aggregator_with("a,h,1,0\n", "\"streamsPerConn\":32", "\"streamsPerConn\":100");
+    let mut state = aggregator_with_setting("a,h,1,0\n", "\"streamsPerConn\":32", "\"streamsPerConn\":100");
     let effects = send_query(&mut state, START, 1, query("q1"));
-    let (connection, _) = connects(&effects).pop().expect("a connection");
+    let (connection, _) = opened_connections(&effects).pop().expect("a connection");
     for client in 2..=8 {
         send_query(&mut state, START, client, query(&format!("q{client}")));
     }
@@ -223,15 +227,16 @@
     assert!(is_closed(&effects, connection), "the third message has waited for 251 ms");
 }
 
-/// A connection breaks while a message is written to it. A message not written completely never ran, so even a part
-/// that is not idempotent is retried. A message written completely may have run, and the part is not retried.
+/// A connection breaks while a message is written to it. If the message was not written completely, the part has not run
+/// and is retried even if it is not idempotent. If it was, the part may have run and is not retried.
 #[test]
 fn a_part_on_a_broken_connection_is_retried_only_if_it_was_not_written_completely() {
     for written in [false, true] {
         let servers = "a,h,1,0\nb,h,2,0\n";
-        let mut state = aggregator_with(servers, "\"effect\":\"retryable\"", "\"effect\":\"fragile\"");
+        let mut state =
+            aggregator_with_setting(servers, "\"effect\":\"retryable\"", "\"effect\":\"fragile\"");
         let effects = send_query(&mut state, START + 1.0, 1, query("q"));
-        let (connection, _) = connects(&effects).pop().expect("a connection");
+        let (connection, _) = opened_connections(&effects).pop().expect("a connection");
         assert_eq!(call_count(&reduce(&mut state, START + 2.0, Event::Connected(connection))), 1);
         if written {
             reduce(&mut state, START + 2.0, Event::Written(connection, 1));
@@ -239,14 +244,14 @@
         let ended = Event::ConnectionEnded { connection, reason: None, protocol_error: false };
         let effects = reduce(&mut state, START + 3.0, ended);
         assert_eq!(has_failed(&effects), written, "{effects:?}");
-        assert_eq!(connects(&effects).is_empty(), written, "{effects:?}");
+        assert_eq!(opened_connections(&effects).is_empty(), written, "{effects:?}");
         let counters = state.counters();
         assert_eq!(counters.attempts_reset, u64::from(written));
         assert_eq!(counters.attempts_connect_failed, u64::from(!written));
     }
 }
 
-/// The first check that a query fails decides, and its text is what the client gets.
+/// The client receives the message of the first check that fails.
 #[test]
 fn an_invalid_query_is_answered_with_the_reason() {
     let part = |shard: u32, weight: f64| NewPart { shard, weight, cost_hint: None };
@@ -279,7 +284,7 @@
     assert_eq!(state.counters().queries_received, 1);
 }
 
-/// Operators' dashboards know the metrics by these names; the code's own names may change.
+/// Dashboards depend on the metric names, which must not change with the names in the code.
 #[test]
 fn metrics_keep_their_published_names_and_order() {
     let text = aggregator().counters_text();
@@ -313,7 +318,7 @@
 
 #[test]
 fn a_query_whose_deadline_passes_in_a_stall_is_ended_by_the_balancer() {
-    // Guards against 504 in place of 503 (or of an answer from less) where all timers of a stall are due at once.
+    // Guards against a 504 instead of a 503 or a partial answer when all timers of a stall are due at the same time.
     let (mut state, connection, _) = aggregator_with_waiting_part();
     reduce(&mut state, START + 2.0, Event::Connected(connection));
     let mut now = START + 2.0;
--- a/tests/aggregator_process.rs
+++ b/tests/aggregator_process.rs
@@ -1,4 +1,4 @@
-//! The aggregator as a process: endpoint list from discovery, configuration, reload and shutdown.
+//! Tests of the aggregator process: endpoint lists from discovery, configuration, reload and shutdown.
 
 mod common;
 
@@ -33,7 +33,7 @@
     assert_eq!(aggregator.counters()["attempts_sent"], 10);
 }
 
-/// A watch that falls silent, one that ends, and one that starts again with the complete list.
+/// One watch sends nothing more, the next one is closed by discovery, and the third begins with a complete list.
 #[test]
 fn discovery_watch_resumes_from_the_last_generation() {
     let (a, b) = (LeafServer::new(), LeafServer::new());
@@ -46,7 +46,7 @@
     assert!(second.request.contains("after=7"), "{}", second.request);
     drop(second);
     let mut third = discovery.accept();
-    // The list is complete: leaf server a is removed, and b holds its shard.
+    // The list is complete, so leaf server a is removed; b holds its shard.
     third.send_event(&list(3, true, &[listed("b", b.address, 0)]));
     aggregator.wait_for_counter("lists_taken", 3);
     let mut client = Client::connect(aggregator.address);
@@ -57,13 +57,13 @@
     assert_eq!(client.response().status, 200);
     let counters = aggregator.counters();
     assert!(counters["watches_lost"] >= 2);
-    // Each watch that was lost had been requested.
+    // Each lost watch counts as a poll.
     assert!(counters["list_calls"] >= counters["watches_lost"], "{counters:?}");
 }
 
-/// Leaf servers under ever new names replace each other: what is known of the old ones is dropped.
+/// Leaf servers with new names replace each other; the records of the old ones are dropped.
 #[test]
-fn removed_leaves_are_forgotten() {
+fn records_of_removed_leaf_servers_are_dropped() {
     let leaves: Vec<LeafServer> = (0..3).map(|_| LeafServer::new()).collect();
     let discovery = Discovery::new();
     let setup = Setup { discovery: discovery.address(), ..with_leaves(&[&leaves[0]]) };
@@ -89,8 +89,8 @@
 fn sigterm_answers_queries_in_flight_and_exits() {
     let leaf = LeafServer::new();
     let mut aggregator = with_leaves(&[&leaf]).start();
-    let mut idle = Client::connect(aggregator.address);
-    assert_eq!(idle.request("GET /healthz HTTP/1.1\r\n\r\n").status, 200);
+    let mut idle_client = Client::connect(aggregator.address);
+    assert_eq!(idle_client.request("GET /healthz HTTP/1.1\r\n\r\n").status, 200);
     let mut in_flight = Client::connect(aggregator.address);
     in_flight.send(query("q1", "9000m", &[0]));
     let mut connection = leaf.accept();
@@ -98,19 +98,19 @@
     aggregator.signal("-TERM");
     aggregator.wait_for_log("graceful shutdown");
     assert_eq!(
-        idle.request("GET /healthz HTTP/1.1\r\n\r\n").status,
+        idle_client.request("GET /healthz HTTP/1.1\r\n\r\n").status,
         503,
-        "still served during the grace period"
+        "clients are still served during the grace period"
     );
-    let mut late = Client::connect(aggregator.address);
-    late.send(query("q2", "9000m", &[0]));
+    let mut late_client = Client::connect(aggregator.address);
+    late_client.send(query("q2", "9000m", &[0]));
     let second = connection.next_part();
     assert_eq!(Client::connect(aggregator.address).request("GET /healthz HTTP/1.1\r\n\r\n").status, 503);
     connection.answer(&second, "good", "v");
-    let reply = late.response();
+    let reply = late_client.response();
     assert_eq!((reply.status, reply.header("Connection")), (200, None));
-    idle.wait_until_closed();
-    late.wait_until_closed();
+    idle_client.wait_until_closed();
+    late_client.wait_until_closed();
     connection.answer(&first, "good", "v");
     let reply = in_flight.response();
     assert_eq!((reply.status, reply.header("Connection")), (200, Some("close")));
@@ -122,25 +122,26 @@
 #[test]
 fn invalid_configuration_fails_the_start_and_names_the_field() {
     use std::io::Read;
-    let good = with_leaves(&[]).config();
+    let valid_config = with_leaves(&[]).config();
     let cases = [
-        (good.replace("\"maxOpen\":2000", "\"maxOpen\":\"many\""), "settings.limits.maxOpen"),
-        (good.replace("\"seed\":\"8c1f30d27a5be964\"", "\"seed\":\"xyz\""), "field seed"),
-        (good.replace("127.0.0.1:0", "nowhere"), "field listen"),
-        (good.replace("\"aimMs\"", "\"aims\""), "settings.categories[0].aimMs"),
-        (good.replace("\"width\":1", "\"width\":9"), "layout"),
+        (valid_config.replace("\"maxOpen\":2000", "\"maxOpen\":\"many\""), "settings.limits.maxOpen"),
+        (valid_config.replace("\"seed\":\"8c1f30d27a5be964\"", "\"seed\":\"xyz\""), "field seed"),
+        (valid_config.replace("127.0.0.1:0", "nowhere"), "field listen"),
+        (valid_config.replace("\"aimMs\"", "\"aims\""), "settings.categories[0].aimMs"),
+        (valid_config.replace("\"width\":1", "\"width\":9"), "layout"),
         ("{".to_owned(), "JSON"),
     ];
-    for (config, named) in cases {
+    for (config, field) in cases {
         let mut child = spawn(&config, None);
-        let mut fields = String::new();
-        child.stderr.take().expect("piped").read_to_string(&mut fields).expect("text");
-        assert!(!child.wait().expect("it ends").success());
-        assert!(fields.contains("config.json") && fields.contains(named), "{named}: {fields}");
+        let mut errors = String::new();
+        child.stderr.take().expect("stderr is piped").read_to_string(&mut errors).expect("stderr is UTF-8");
+        assert!(!child.wait().expect("the process exits").success());
+        assert!(errors.contains("config.json") && errors.contains(field), "{field}: {errors}");
     }
 }
 
-/// Discovery moves while a query is in flight; then the file is invalid, and the settings in force stay.
+/// A reload moves discovery to another address while a query is in flight. Later reloads with an invalid file leave the
+/// settings in force unchanged.
 #[test]
 fn sighup_reloads_the_configuration_while_queries_are_in_flight() {
     let (a, b) = (LeafServer::new(), LeafServer::new());
@@ -155,18 +156,18 @@
     let mut connection = a.accept();
     let part = connection.next_part();
     let moved = Setup { discovery: new.address(), ..setup }.config();
-    std::fs::write(&aggregator.config, &moved).expect("written");
+    std::fs::write(&aggregator.config, &moved).expect("the configuration can be written");
     aggregator.signal("-HUP");
     first.wait_until_closed();
     let mut second = new.accept();
     assert!(second.request.contains("after=7"), "{}", second.request);
-    // It started long ago: a leaf server that is warming up is drawn by chance alone, which may take longer than the test.
+    // Started long ago: a leaf server that is warming up is drawn only occasionally, which may take longer than the test.
     let warm = Listed { started: 1, ..listed("b", b.address, 1) };
     second.send_event(&list(8, false, &[warm]));
     aggregator.wait_for_counter("lists_taken", 3);
     connection.answer(&part, "good", "v");
     assert_eq!(in_flight.response().status, 200);
-    for (bad, why) in [
+    for (invalid, expected) in [
         (moved.replace("\"maxOpen\":2000", "\"maxOpen\":\"many\""), "settings.limits.maxOpen"),
         (moved.replace("\"hardLimitMs\":10000", "\"hardLimitMs\":0"), "class 0"),
         (moved.replace("\"maxAttempts\":3", "\"maxAttempts\":0"), "max_attempts"),
@@ -176,9 +177,9 @@
             "settings.tariffs.probe",
         ),
     ] {
-        std::fs::write(&aggregator.config, bad).expect("written");
+        std::fs::write(&aggregator.config, invalid).expect("the configuration can be written");
         aggregator.signal("-HUP");
-        assert!(aggregator.wait_for_new_log("config.json: field ").contains(why), "{why}");
+        assert!(aggregator.wait_for_new_log("config.json: field ").contains(expected), "{expected}");
     }
     in_flight.send(query("q2", "9000m", &[1]));
     let mut connection = b.accept();
--- a/tests/leaf_connections.rs
+++ b/tests/leaf_connections.rs
@@ -1,4 +1,4 @@
-//! The connections to leaf servers, on real sockets: calls, cancellations, outcomes of attempts, and limits.
+//! Tests of the connections to leaf servers, on real sockets: calls, cancellations, outcomes of attempts and limits.
 
 mod common;
 
@@ -7,7 +7,8 @@
 use std::io::Write;
 use std::time::{Duration, Instant};
 
-/// The leaf server must know that the first attempt is over before the second leaves: never two in flight at once.
+/// The cancellation of the first attempt must be written before the second one is sent, so that leaf servers never
+/// process both at the same time.
 #[test]
 fn cancellation_is_written_before_the_next_attempt_is_sent() {
     let (a, b) = (LeafServer::new(), LeafServer::new());
@@ -15,12 +16,12 @@
     let mut client = Client::connect(aggregator.address);
     client.send(query("q1", "2400m", &[0]));
     let mut connections = [accept_first(&[&a, &b]), accept_first(&[&a, &b])];
-    // The second attempt has arrived: the first connection must hold its part and the cancellation already.
+    // The second attempt has arrived, so the first part and its cancellation must already be readable.
     connections[0].stream.set_nonblocking(true).expect("set");
     assert_eq!(connections[0].next_part(), "q1.0");
     assert_eq!(connections[0].next_frame(), Some(('n', "q1.0".to_owned())));
     assert_eq!(connections[1].next_part(), "q1.0");
-    // A late answer to the cancelled attempt is ignored: only the second one counts.
+    // A late answer to the cancelled attempt is ignored; only the answer to the second one is used.
     connections[0].answer("q1.0", "good", "late");
     aggregator.wait_for_counter("attempts_timed_out", 1);
     connections[1].answer("q1.0", "good", "in time");
@@ -41,7 +42,7 @@
         ("attempts_bad", |connection, part| connection.send_frame('q', &format!("{part} good x -\nv"))),
         ("attempts_bad", |connection, part| connection.send_frame('q', &format!("{part} good 17 - v"))),
         ("attempts_bad", |connection, part| connection.send_frame('q', &format!("z{part} good 17 -\nv"))),
-        // A length that does not fit, and one of 3 GB.
+        // A wrong frame length, and a length of 3 GB.
         ("attempts_bad", |connection, part| {
             connection.send_truncated_frame('q', &format!("{part} good 17 -\nv"));
         }),
@@ -71,7 +72,7 @@
 }
 
 #[test]
-fn refused_connection_proves_that_the_part_never_ran() {
+fn part_is_sent_elsewhere_after_a_refused_connection() {
     let leaf = LeafServer::new();
     let aggregator =
         Setup::new(&[listed("a", unreachable_address(), 0), listed("b", leaf.address, 0)]).start();
@@ -105,8 +106,9 @@
         connection.answer(&part, "bad", "");
     }
     let reply = client.response();
-    let wait: f64 = reply.header("Retry-After").and_then(|w| w.parse().ok()).expect("advice");
-    assert!(reply.status == 503 && wait > 0.0, "{reply:?}");
+    let retry_after: f64 =
+        reply.header("Retry-After").and_then(|value| value.parse().ok()).expect("a Retry-After header");
+    assert!(reply.status == 503 && retry_after > 0.0, "{reply:?}");
     assert_eq!(aggregator.counters()["attempts_sent"], 3);
 }
 
@@ -139,7 +141,7 @@
         connection.answer(&part, "good", "v");
         std::mem::forget(connection);
     }
-    assert!(clients.iter_mut().all(|c| c.response().status == 200));
+    assert!(clients.iter_mut().all(|client| client.response().status == 200));
 }
 
 #[test]
@@ -156,20 +158,22 @@
     assert_eq!(aggregator.counters()["connections_closed"], 1);
 }
 
-/// A leaf server that reads nothing delays no other, and what waits for it is bounded.
+/// A leaf server that does not read must not delay others, and the queue of messages for it is bounded.
 #[test]
 fn stalled_leaf_does_not_block_the_aggregator() {
     let (stalled, leaf) = (LeafServer::new(), LeafServer::new());
     let aggregator = Setup { calls_per_connection: 1000, ..with_leaves(&[&stalled, &leaf]) }.start();
-    let mut waiting = Vec::new();
+    let mut waiting_clients = Vec::new();
     for i in 0..150 {
-        let text = "x".repeat(60_000);
+        let payload = "x".repeat(60_000);
         let mut client = Client::connect(aggregator.address);
-        let big = query(&format!("big{i}"), "5000m", &[0]).replace("c41e77d0", &text);
-        let length = format!("Content-Length: {}", big.split_once("\r\n\r\n").expect("a body").1.len());
-        let old = big.lines().find(|l| l.starts_with("Content-Length")).expect("a length").to_owned();
-        client.send(big.replace(&old, &length));
-        waiting.push(client);
+        let request = query(&format!("big{i}"), "5000m", &[0]).replace("c41e77d0", &payload);
+        let new_length =
+            format!("Content-Length: {}", request.split_once("\r\n\r\n").expect("a body").1.len());
+        let old_length =
+            request.lines().find(|line| line.starts_with("Content-Length")).expect("a length").to_owned();
+        client.send(request.replace(&old_length, &new_length));
+        waiting_clients.push(client);
     }
     let mut client = Client::connect(aggregator.address);
     client.send(query("small", "9000m", &[1]));
@@ -178,46 +182,47 @@
     connection.answer(&part, "good", "v");
     assert_eq!(client.response().status, 200);
     aggregator.wait_for_counter("connections_closed", 1);
-    for mut client in waiting {
+    for mut client in waiting_clients {
         assert_eq!(client.response().status, 503);
     }
 }
 
-/// A leaf server reads no cancellation on a full connection, and may work on what was cancelled until it answers.
+/// A leaf server reads no cancellations on a connection at its limit of calls, and may continue to work on a cancelled
+/// attempt until it answers.
 #[test]
-fn cancellation_never_waits_behind_a_full_connection() {
+fn cancellation_is_not_delayed_by_a_full_connection() {
     let leaf = LeafServer::new();
     let aggregator = Setup { calls_per_connection: 3, ..with_leaves(&[&leaf]) }.start();
-    let ask = |id: &str| {
+    let send_query = |id: &str| {
         let mut client = Client::connect(aggregator.address);
         client.send(query(id, "9000m", &[0]));
         client
     };
-    let leaver = ask("q0");
+    let disconnecting = send_query("q0");
     let mut full = leaf.accept();
     assert_eq!(full.next_part(), "q0.0");
-    let _stays = ask("q1");
+    let _first = send_query("q1");
     assert_eq!(full.next_part(), "q1.0");
-    let _second = ask("q2");
+    let _second = send_query("q2");
     let mut other = leaf.accept();
     assert_eq!(other.next_part(), "q2.0", "a full connection keeps one call of three free");
-    drop(leaver);
+    drop(disconnecting);
     assert_eq!(full.next_frame(), Some(('n', "q0.0".to_owned())));
     aggregator.wait_for_counter("attempts_cancelled", 1);
-    let _third = ask("q3");
-    assert_eq!(other.next_part(), "q3.0", "a cancelled attempt counts until it is answered");
+    let _third = send_query("q3");
+    assert_eq!(other.next_part(), "q3.0", "a cancelled attempt counts as a call until it is answered");
     full.answer("q0.0", "good", "late");
     aggregator.wait_for_counter("answers_ignored", 1);
-    let _fourth = ask("q4");
-    assert_eq!(full.next_part(), "q4.0", "an answer frees it");
+    let _fourth = send_query("q4");
+    assert_eq!(full.next_part(), "q4.0", "an answer to the cancelled attempt frees its call");
 }
 
-/// Noise around a served answer takes nothing from it: not in its load report, nor right behind it.
+/// Malformed data in the load report of a served answer, or right after the answer, must not affect the answer.
 #[test]
-fn served_answer_counts_despite_noise_around_it() {
-    for (report, behind, read) in [
+fn served_answer_is_used_despite_malformed_data_around_it() {
+    for (report, trailing_bytes, reports_read) in [
         ("inflight=7, util = what", "", 1),
-        // By the names of the settings' `report.fields`: unread, every choice would be blind.
+        // Field names from the settings' `report.fields`; without them the balancer would have no load reports.
         ("served_ps=31.5,busy_reqs=9", "", 1),
         ("cpu_share=0.5", "", 1),
         ("inflight=NaN,queue=-3,util=inf", "", 0),
@@ -233,21 +238,25 @@
         let part = connection.next_part();
         let rest = format!("{part} good 17 {report}\nv");
         let mut bytes = (rest.len() as u32 + 1).to_be_bytes().to_vec();
-        bytes.extend(format!("q{rest}{behind}").as_bytes());
+        bytes.extend(format!("q{rest}{trailing_bytes}").as_bytes());
         connection.stream.write_all(&bytes).expect("the aggregator reads");
-        assert_eq!(client.response().status, 200, "{report:?} {behind:?}");
-        if !behind.is_empty() {
-            assert_eq!(connection.next_frame(), None, "of no further use");
+        assert_eq!(client.response().status, 200, "{report:?} {trailing_bytes:?}");
+        if !trailing_bytes.is_empty() {
+            assert_eq!(connection.next_frame(), None, "closed after the malformed bytes");
         }
         let counters = aggregator.counters();
-        assert_eq!((counters["attempts_good"], counters["attempts_bad"]), (1, 0), "{report:?} {behind:?}");
-        assert_eq!(counters["reports_read"], read, "{report:?}");
+        assert_eq!(
+            (counters["attempts_good"], counters["attempts_bad"]),
+            (1, 0),
+            "{report:?} {trailing_bytes:?}"
+        );
+        assert_eq!(counters["reports_read"], reports_read, "{report:?}");
     }
 }
 
-/// Guards against 504 in place of 503 where the aggregator stands still as a query's deadline passes.
+/// Guards against a 504 instead of a 503 when the aggregator is paused while a query's deadline passes.
 #[test]
-fn a_query_whose_deadline_passes_while_the_aggregator_stands_still_is_rejected() {
+fn a_query_whose_deadline_passes_while_the_aggregator_is_paused_is_rejected() {
     let leaf = LeafServer::new();
     let aggregator = with_leaves(&[&leaf]).start();
     let mut client = Client::connect(aggregator.address);
--- a/tests/lifecycle.rs
+++ b/tests/lifecycle.rs
@@ -1,5 +1,6 @@
-//! The lifecycle of an aggregator, with its old and new process on one clock, drawn as a timeline. Overrides that one
-//! process stores are found by the other 40 ms later, as with the directory that processes share.
+//! Tests of the aggregator's lifecycle, with an old and a new process on a simulated clock; the events are recorded as a
+//! timeline. Overrides stored by one process are loaded by the other one 40 ms later, as with the directory that the
+//! processes share.
 
 mod common;
 
@@ -10,11 +11,11 @@
 use sailmux::endpoints::{AuditEvent, Endpoint, EndpointList, EndpointState, GuardSettings, Input};
 use sailmux::hot_restart::{Overrides, snapshot};
 
-/// How long after overrides are stored the other processes find them.
+/// Time after which the other processes load stored overrides.
 const OVERRIDES_POLL_MS: f64 = 40.0;
-/// The time step of the simulation.
+/// Time step of the simulation.
 const STEP_MS: f64 = 10.0;
-/// The processes' clock when the timeline is at 0.
+/// Time on the processes' clock at the start of the timeline.
 const CLOCK_START_MS: f64 = 1e9;
 
 struct Process {
@@ -24,14 +25,14 @@
     is_ready: bool,
 }
 
-/// Overrides that a process has stored.
+/// Overrides stored by a process.
 struct StoredOverrides {
     stored_at: f64,
     stored_by: &'static str,
     overrides: Overrides,
 }
 
-/// The processes of one aggregator, on a clock that begins at 0.
+/// The processes of one aggregator, on a simulated clock that starts at 0.
 struct Simulation {
     now: f64,
     timeline: Timeline,
@@ -63,8 +64,8 @@
         }
     }
 
-    fn note(&mut self, name: &str, what: impl Into<String>) {
-        self.timeline.add(self.now, name, what);
+    fn record(&mut self, name: &str, entry: impl Into<String>) {
+        self.timeline.add(self.now, name, entry);
     }
 
     fn process(&mut self, name: &str) -> &mut Process {
@@ -82,12 +83,12 @@
 
     fn start(&mut self, name: &'static str) {
         let path = scratch_dir("lifecycle").join("config.json");
-        std::fs::write(&path, Setup::new(&[]).config()).expect("written");
+        std::fs::write(&path, Setup::new(&[]).config()).expect("the configuration can be written");
         let settings = Config::at(&path).expect("a valid configuration").settings;
         let limits = Limits::from_max_descriptors(256);
         let state = State::new(settings, limits, 7, GuardSettings::default()).expect("valid settings");
         self.processes.push(Process { name, state, is_running: true, is_ready: false });
-        self.note(name, "starts");
+        self.record(name, "starts");
         let mut overrides = Overrides::default();
         for stored in &self.stored {
             overrides.merge(&stored.overrides);
@@ -100,7 +101,7 @@
         self.update_siblings();
     }
 
-    /// Tells each process which others run.
+    /// Sends each process the state of its siblings.
     fn update_siblings(&mut self) {
         let names: Vec<&'static str> = self.running().map(|process| process.name).collect();
         for name in names {
@@ -117,51 +118,51 @@
     }
 
     fn deliver(&mut self, name: &'static str, event: Event) {
-        assert!(self.is_running(name), "{name} has ended");
+        assert!(self.is_running(name), "{name} has exited");
         let clock = CLOCK_START_MS + self.now;
         let effects = reduce(&mut self.process(name).state, clock, event);
         for effect in effects {
-            self.carry_out(name, effect);
+            self.execute(name, effect);
         }
     }
 
-    fn carry_out(&mut self, name: &'static str, effect: Effect) {
+    fn execute(&mut self, name: &'static str, effect: Effect) {
         match effect {
             Effect::LifecycleChanged { from, to, ready } => {
-                self.note(name, format!("{} -> {}", from.name(), to.name()));
+                self.record(name, format!("{} -> {}", from.name(), to.name()));
                 self.process(name).is_ready = ready;
             }
             Effect::StoreOverrides(_, overrides) => {
                 self.stored.push(StoredOverrides { stored_at: self.now, stored_by: name, overrides });
             }
-            Effect::AnswerAdmin(_, outcome) => self.note(name, format!("answers {outcome:?}")),
+            Effect::AnswerAdmin(_, outcome) => self.record(name, format!("answers {outcome:?}")),
             Effect::StopAccepting => {
-                self.note(name, "stops accepting");
+                self.record(name, "stops accepting");
                 self.deliver(name, Event::ListenerClosed);
             }
             Effect::CloseClient(client) => {
-                self.note(name, format!("closes client {}", client.0));
+                self.record(name, format!("closes client {}", client.0));
                 self.deliver(name, Event::ClientClosed(client));
             }
             Effect::EndpointAudit(AuditEvent::OverrideChanged { name: server, active }) => {
                 let change = if active { "disabled" } else { "enabled" };
-                self.note(name, format!("{server} {change}"));
+                self.record(name, format!("{server} {change}"));
             }
             Effect::Reply { reply: Reply::Health { ready }, close, .. } => {
                 let answer = if ready { "yes" } else { "no" };
                 let closing = if close { ", closing" } else { "" };
-                self.note(name, format!("healthz {answer}{closing}"));
+                self.record(name, format!("healthz {answer}{closing}"));
             }
             Effect::Exit => {
-                self.note(name, "exits");
+                self.record(name, "exits");
                 self.process(name).is_running = false;
             }
             _ => {}
         }
     }
 
-    fn admin(&mut self, name: &'static str, command: AdminCommand) {
-        self.note(name, format!("<- {command:?}").replace('"', ""));
+    fn send_admin_command(&mut self, name: &'static str, command: AdminCommand) {
+        self.record(name, format!("<- {command:?}").replace('"', ""));
         self.admin_calls += 1;
         self.deliver(name, Event::AdminCommand(AdminCallId(self.admin_calls), command));
     }
@@ -181,7 +182,7 @@
         self.deliver(name, Event::EndpointList { list, wall_clock_offset: 0.0 });
     }
 
-    /// Lets time pass: timers fire, and processes find the overrides that others have stored.
+    /// Advances the time: timers fire, and processes load the overrides that others have stored.
     fn run_until(&mut self, end: f64) {
         while self.now < end {
             self.now += STEP_MS;
@@ -190,7 +191,7 @@
                 if self.is_running(name) {
                     self.deliver(name, Event::TimerFired);
                 }
-                for overrides in self.overrides_found_now(name) {
+                for overrides in self.overrides_due(name) {
                     if self.is_running(name) {
                         self.load_overrides(name, overrides);
                     }
@@ -200,15 +201,15 @@
         }
     }
 
-    fn overrides_found_now(&self, name: &str) -> Vec<Overrides> {
-        let is_found = |stored: &&StoredOverrides| {
+    fn overrides_due(&self, name: &str) -> Vec<Overrides> {
+        let is_due = |stored: &&StoredOverrides| {
             stored.stored_by != name && stored.stored_at + OVERRIDES_POLL_MS == self.now
         };
-        self.stored.iter().filter(is_found).map(|stored| stored.overrides.clone()).collect()
+        self.stored.iter().filter(is_due).map(|stored| stored.overrides.clone()).collect()
     }
 }
 
-/// A drain, its cancellation, and a drain during which the process is asked to end.
+/// A drain, its cancellation, and a shutdown during another drain.
 #[test]
 fn a_drain_closes_clients_after_the_grace_period_and_can_be_cancelled() {
     let mut simulation = Simulation::new(&["n0"]);
@@ -216,46 +217,46 @@
     simulation.answer_discovery("n0");
     simulation.open_client("n0", 1);
     simulation.run_until(100.0);
-    simulation.admin("n0", AdminCommand::Drain);
+    simulation.send_admin_command("n0", AdminCommand::Drain);
     simulation.check_health("n0", 90);
     simulation.run_until(400.0);
     simulation.open_client("n0", 2);
     simulation.run_until(1000.0);
     simulation.check_health("n0", 91);
-    simulation.admin("n0", AdminCommand::Drain);
-    simulation.admin("n0", AdminCommand::Resume);
+    simulation.send_admin_command("n0", AdminCommand::Drain);
+    simulation.send_admin_command("n0", AdminCommand::Resume);
     simulation.check_health("n0", 92);
     simulation.run_until(1200.0);
     simulation.open_client("n0", 3);
-    simulation.admin("n0", AdminCommand::Drain);
+    simulation.send_admin_command("n0", AdminCommand::Drain);
     simulation.run_until(1500.0);
     simulation.deliver("n0", Event::ShutdownRequested);
-    simulation.admin("n0", AdminCommand::CheckReady);
+    simulation.send_admin_command("n0", AdminCommand::CheckReady);
     simulation.run_until(2500.0);
     insta::assert_snapshot!(simulation.timeline);
 }
 
-/// A new version takes over. A leaf server is disabled at the old process while the new one starts, and enabled at the
-/// new one.
+/// A new process takes over. Leaf servers are disabled at the old process before and after the new one starts, and one
+/// is enabled at the new process.
 #[test]
 fn a_hot_restart_carries_overrides_in_both_directions() {
     let mut simulation = Simulation::new(&["old", "new"]);
     simulation.start("old");
     simulation.run_until(500.0);
-    simulation.admin("old", AdminCommand::CheckReady);
+    simulation.send_admin_command("old", AdminCommand::CheckReady);
     simulation.run_until(1100.0);
-    simulation.admin("old", AdminCommand::CheckReady);
-    simulation.admin("old", AdminCommand::Disable("a".into()));
-    simulation.admin("old", AdminCommand::Disable("nobody".into()));
+    simulation.send_admin_command("old", AdminCommand::CheckReady);
+    simulation.send_admin_command("old", AdminCommand::Disable("a".into()));
+    simulation.send_admin_command("old", AdminCommand::Disable("nobody".into()));
     simulation.open_client("old", 1);
     simulation.run_until(1200.0);
     simulation.start("new");
-    simulation.admin("new", AdminCommand::CheckReady);
-    simulation.admin("old", AdminCommand::Disable("b".into()));
+    simulation.send_admin_command("new", AdminCommand::CheckReady);
+    simulation.send_admin_command("old", AdminCommand::Disable("b".into()));
     simulation.run_until(1300.0);
     simulation.answer_discovery("new");
-    simulation.admin("new", AdminCommand::CheckReady);
-    simulation.admin("new", AdminCommand::Enable("a".into()));
+    simulation.send_admin_command("new", AdminCommand::CheckReady);
+    simulation.send_admin_command("new", AdminCommand::Enable("a".into()));
     simulation.run_until(1400.0);
     simulation.deliver("old", Event::ShutdownRequested);
     simulation.check_health("old", 90);
@@ -264,7 +265,7 @@
     insta::assert_snapshot!(simulation.timeline);
 }
 
-/// The new process is not ready when the old one is asked to end.
+/// The new process is not ready when the old one receives the request to shut down.
 #[test]
 fn without_a_ready_successor_the_old_process_shuts_down_as_if_alone() {
     let mut simulation = Simulation::new(&["old", "new"]);
