--- a/tests/endings/client_disconnects.rs
+++ b/tests/endings/client_disconnects.rs
@@ -1,14 +1,14 @@
-//! Clients that disconnect while something of theirs is in flight, pipelined or incomplete.
+//! Clients that disconnect while a request of theirs is in flight, pipelined or incomplete.
 
 use crate::common::process::*;
 use crate::{assert_serves, send_query, with_leaf_server, with_long_dial_timeout};
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A client's FIN arrives behind all requests that it pipelined. Its attempt is cancelled, and no pipelined request is
-/// forwarded.
+/// A client's FIN arrives after all requests that it pipelined. The attempt in flight is cancelled, and no further
+/// pipelined request is forwarded.
 #[test]
-fn a_disconnect_behind_pipelined_requests_is_noticed() {
+fn a_disconnect_after_pipelined_requests_is_detected() {
     for pipelined in [4, 40, 400] {
         let leaf_server = LeafServer::new();
         let aggregator = with_leaf_server(&leaf_server).start();
@@ -17,12 +17,12 @@
         let mut connection = leaf_server.accept();
         assert_eq!(connection.next_part(), "q0.0");
         drop(client);
-        let disconnected = Instant::now();
+        let disconnected_at = Instant::now();
         assert_eq!(connection.next_frame(), Some(('n', "q0.0".to_owned())), "{pipelined} pipelined");
         assert!(
-            disconnected.elapsed() < Duration::from_millis(1500),
-            "{pipelined}: noticed after {:?}",
-            disconnected.elapsed()
+            disconnected_at.elapsed() < Duration::from_millis(1500),
+            "{pipelined}: detected after {:?}",
+            disconnected_at.elapsed()
         );
         aggregator.wait_for_counter("clients_gone", 1);
         assert_serves(&aggregator, &mut connection, "next");
@@ -30,16 +30,16 @@
     }
 }
 
-/// Requests that are read only after their clients have disconnected: none is forwarded.
+/// Requests that are read only after their clients have disconnected are not forwarded.
 #[test]
 fn a_request_read_after_its_client_disconnected_is_not_forwarded() {
     let leaf_server = LeafServer::new();
     let aggregator = with_leaf_server(&leaf_server).start();
-    let mut before = send_query(&aggregator, "before");
+    let mut first_client = send_query(&aggregator, "before");
     let mut connection = leaf_server.accept();
     let part = connection.next_part();
     connection.answer(&part, "good", "v");
-    assert_eq!(before.response().status, 200);
+    assert_eq!(first_client.response().status, 200);
     aggregator.pause();
     for (i, pipelined) in [1, 3, 60, 400].into_iter().enumerate() {
         let mut client = Client::connect(aggregator.address);
@@ -48,16 +48,16 @@
         );
         client.disconnect();
     }
-    before.send(query("last", "9000m", &[0]));
-    before.disconnect();
+    first_client.send(query("last", "9000m", &[0]));
+    first_client.disconnect();
     aggregator.resume();
     aggregator.wait_until_clients_disconnected();
     assert_serves(&aggregator, &mut connection, "next");
     assert_eq!(aggregator.counters()["attempts_sent"], 2);
 }
 
-/// The disconnect and the answer to the part can be read together. Whichever is read first, no attempt stays in flight
-/// once the disconnect is known: one that was sent upon the answer is cancelled at once.
+/// The disconnect and the answer to the part may be read at the same time. Whichever is read first, no attempt remains in
+/// flight after the disconnect is detected: a retry sent because of the answer is cancelled immediately.
 #[test]
 fn a_disconnect_as_the_part_is_answered_leaves_nothing_in_flight() {
     for outcome in ["good", "bad", "later"] {
@@ -72,25 +72,29 @@
             connection.answer("q.0", outcome, "v");
             aggregator.resume();
             aggregator.wait_until_clients_disconnected();
-            let known = Instant::now();
+            let detected_at = Instant::now();
             if let Some(mut other) = [&a, &b].into_iter().find_map(LeafServer::try_accept) {
-                assert!(outcome != "good", "answered, and sent again");
-                other.stream.set_read_timeout(Some(Duration::from_secs(1))).expect("set");
+                assert!(outcome != "good", "sent again although it was answered");
+                other.stream.set_read_timeout(Some(Duration::from_secs(1))).expect("the timeout can be set");
                 match other.next_frame() {
-                    // The dial was for an attempt that was withdrawn before the connection was up.
+                    // The attempt was withdrawn before its connection was established.
                     None => continue,
                     first => {
                         assert_eq!(first.map(|(letter, _)| letter), Some('m'), "{outcome}");
                         assert_eq!(other.next_frame(), Some(('n', "q.0".to_owned())), "{outcome}");
                     }
                 }
-                assert!(known.elapsed() < Duration::from_millis(1500), "{outcome}: {:?}", known.elapsed());
+                assert!(
+                    detected_at.elapsed() < Duration::from_millis(1500),
+                    "{outcome}: {:?}",
+                    detected_at.elapsed()
+                );
             }
         }
     }
 }
 
-/// A client disconnects while its part waits for the time of its retry at the only holder: the retry is never sent.
+/// A client disconnects while its part waits for a retry at the only holder. The retry is never sent.
 #[test]
 fn a_disconnect_before_a_retry_is_due_cancels_the_retry() {
     let leaf_server = LeafServer::new();
@@ -102,13 +106,14 @@
     aggregator.wait_for_counter("attempts_bad", 1);
     drop(client);
     aggregator.wait_for_counter("clients_gone", 1);
-    // A holder is retried after a median latency, at the start 0.15 of the shortest latency objective of 10 s.
+    // The backoff of a retry is the median latency, which is initially 0.15 of the shortest latency objective of 10 s.
     thread::sleep(Duration::from_millis(1800));
     assert_serves(&aggregator, &mut connection, "next");
     assert_eq!(aggregator.counters()["attempts_sent"], 2);
 }
 
-/// The disconnect and the attempt's timeout are due together: what the timeout sends is cancelled at once.
+/// The disconnect and the attempt's timeout are due at the same time. An attempt sent because of the timeout is cancelled
+/// immediately.
 #[test]
 fn a_disconnect_as_the_attempt_times_out_leaves_nothing_in_flight() {
     let (a, b) = (LeafServer::new(), LeafServer::new());
@@ -120,19 +125,19 @@
     assert_eq!(connection.next_part(), "q.0");
     aggregator.pause();
     client.disconnect();
-    // A third of the deadline, where three attempts may be made one after the other.
+    // Longer than an attempt's timeout: a third of the deadline, since three attempts are allowed.
     thread::sleep(Duration::from_millis(900));
     aggregator.resume();
     aggregator.wait_until_clients_disconnected();
     assert_eq!(connection.next_frame(), Some(('n', "q.0".to_owned())));
     if let Some(mut other) = [&a, &b].into_iter().find_map(LeafServer::try_accept) {
-        other.stream.set_read_timeout(Some(Duration::from_millis(500))).expect("set");
+        other.stream.set_read_timeout(Some(Duration::from_millis(500))).expect("the timeout can be set");
         let frames: Vec<char> = std::iter::from_fn(|| other.next_frame()).map(|(letter, _)| letter).collect();
         assert!(frames.is_empty() || frames == ['m', 'n'], "{frames:?}");
     }
 }
 
-/// A client disconnects as the connection with its part in flight breaks: the cancellation goes nowhere, and the next
+/// A client disconnects while the connection with its part in flight breaks. The cancellation is not sent, and the next
 /// query is served.
 #[test]
 fn a_cancellation_on_a_connection_that_breaks_affects_no_other_query() {
@@ -149,7 +154,7 @@
         aggregator.resume();
         aggregator.wait_until_clients_disconnected();
         aggregator.wait_for_counter("connections_broken", 2 * round + 1);
-        // Nothing is in flight: the next query is served on a new connection.
+        // Nothing is left in flight, and the next query is served on a new connection.
         let mut next = send_query(&aggregator, &format!("next{round}"));
         let mut connection = leaf_server.accept();
         assert_eq!(connection.next_part(), format!("next{round}.0"));
@@ -160,7 +165,7 @@
     }
 }
 
-/// The part waits for a connection that is being dialled: when that is up, nothing is written to it.
+/// The part waits for a connection that is being established. Once it is established, nothing is written to it.
 #[test]
 fn a_disconnect_while_a_leaf_connection_is_dialled_sends_nothing() {
     let mut slow = LeafServer::backlogged();
@@ -177,14 +182,14 @@
     assert_eq!(aggregator.counters()["attempts_sent"], 1);
 }
 
-/// A client disconnects before the end of its body: nothing of it is forwarded, and the next client is served.
+/// A client disconnects before the end of its request body. Its query is not forwarded, and the next client is served.
 #[test]
 fn a_disconnect_within_a_body_forwards_nothing() {
     let leaf_server = LeafServer::new();
     let aggregator = with_leaf_server(&leaf_server).start();
-    let whole = query("half", "9000m", &[0]);
+    let request = query("half", "9000m", &[0]);
     let mut client = Client::connect(aggregator.address);
-    client.send(&whole[..whole.len() - 1]);
+    client.send(&request[..request.len() - 1]);
     client.disconnect();
     aggregator.wait_until_clients_disconnected();
     let mut next = send_query(&aggregator, "next");
@@ -195,17 +200,17 @@
     assert_eq!(aggregator.counters()["attempts_sent"], 1);
 }
 
-/// The deadline of a pipelined request runs from its arrival, not from the end of those before it.
+/// The deadline of a pipelined request is measured from its arrival, not from the end of the previous request.
 #[test]
 fn the_deadline_of_a_pipelined_request_runs_from_its_arrival() {
     let leaf_server = LeafServer::new();
     let aggregator = with_leaf_server(&leaf_server).start();
     let mut client = Client::connect(aggregator.address);
     client.send(query("q1", "9000m", &[0]) + &query("q2", "400m", &[0]));
-    let sent = Instant::now();
+    let sent_at = Instant::now();
     let mut connection = leaf_server.accept();
     assert_eq!(connection.next_part(), "q1.0");
-    thread::sleep(Duration::from_millis(450).saturating_sub(sent.elapsed()));
+    thread::sleep(Duration::from_millis(450).saturating_sub(sent_at.elapsed()));
     connection.answer("q1.0", "good", "v");
     assert_eq!(client.response().status, 200);
     assert_ne!(client.response().status, 200, "its deadline had passed before it was read");
--- a/tests/endings/leaf_connections.rs
+++ b/tests/endings/leaf_connections.rs
@@ -1,11 +1,11 @@
-//! Connections to leaf servers that close, or are still being dialled as the server drains.
+//! Connections that a leaf server closes, or that are being established while the leaf server drains.
 
 use crate::common::process::*;
 use crate::{send_query, with_leaf_server, with_long_dial_timeout};
 use std::time::{Duration, Instant};
 
-/// The server closes an idle connection as a part is written to it: the part may have run, and is retried where it is
-/// idempotent.
+/// The leaf server closes an idle connection while a part is written to it. The part may have run, and is retried because
+/// it is idempotent.
 #[test]
 fn a_part_crossing_the_servers_close_is_retried() {
     let leaf_server = LeafServer::new();
@@ -19,14 +19,14 @@
     drop(connection);
     client.send(query("q2", "9000m", &[0]));
     aggregator.resume();
-    let mut again = leaf_server.accept();
-    assert_eq!(again.next_part(), "q2.0");
-    again.answer("q2.0", "good", "v");
+    let mut new_connection = leaf_server.accept();
+    assert_eq!(new_connection.next_part(), "q2.0");
+    new_connection.answer("q2.0", "good", "v");
     assert_eq!(client.response().status, 200);
 }
 
-/// A part waits for a connection that is being dialled when its server starts to drain. It is sent elsewhere; when the
-/// connection is up, after the grace period for new parts, nothing is written to it.
+/// A part waits for a connection that is being established when its leaf server starts to drain. It is sent to another
+/// leaf server. Nothing is written to the connection, which is established only after the grace period for new parts.
 #[test]
 fn a_part_waiting_for_a_draining_server_is_sent_elsewhere() {
     for lifecycle in ["Terminating", "Gone"] {
@@ -48,15 +48,18 @@
         let mut connection = other.accept();
         assert!(
             draining_since.elapsed() < Duration::from_secs(1),
-            "{lifecycle}: elsewhere after {:?}",
+            "{lifecycle}: sent to another leaf server after {:?}",
             draining_since.elapsed()
         );
         assert_eq!(connection.next_part(), "q.0");
         slow.clear();
         if lifecycle == "Terminating" {
-            let mut late = slow.server.accept();
-            late.stream.set_read_timeout(Some(Duration::from_millis(300))).expect("set");
-            assert_eq!(late.next_frame(), None, "nothing is written to it");
+            let mut late_connection = slow.server.accept();
+            late_connection
+                .stream
+                .set_read_timeout(Some(Duration::from_millis(300)))
+                .expect("the timeout can be set");
+            assert_eq!(late_connection.next_frame(), None, "nothing is written to it");
         } else {
             aggregator.wait_for_counter("connections_closed", 1);
         }
--- a/tests/endings/main.rs
+++ b/tests/endings/main.rs
@@ -1,6 +1,6 @@
-//! What ends while something is in flight: clients, requests, attempts, connections, watches, settings and the aggregator
-//! itself, on the real program. Each test forces its race: by a stopped process, a peer that does nothing, an order of
-//! bytes. `docs/design/endings.md` has a row for each.
+//! Tests of races between work in flight and the end of a client, request, attempt, connection, watch, configuration or
+//! process, on the real program. Each test forces its race: by pausing the process, by an unresponsive peer, or by the
+//! order of bytes. `docs/design/endings.md` lists the cases.
 
 mod attempts;
 mod client_disconnects;
@@ -13,15 +13,15 @@
 
 use common::process::*;
 
-/// An aggregator with one leaf server, which holds every shard that is queried here.
+/// An aggregator with one leaf server, which holds all queried shards.
 fn with_leaf_server(leaf_server: &LeafServer) -> Setup {
     Setup::new(&[listed("a", leaf_server.address, 0)])
 }
 
-/// Sends and serves one query: all that arrived before it has been handled by then.
+/// Sends and serves a query. All frames sent before it have been read by then.
 fn assert_serves(aggregator: &Aggregator, connection: &mut LeafConnection, id: &str) {
     let mut client = send_query(aggregator, id);
-    assert_eq!(connection.next_part(), format!("{id}.0"), "nothing else comes before it");
+    assert_eq!(connection.next_part(), format!("{id}.0"), "no other frame precedes it");
     connection.answer(&format!("{id}.0"), "good", "v");
     assert_eq!(client.response().status, 200);
 }
@@ -39,7 +39,7 @@
     aggregator.wait_for_log("graceful shutdown");
 }
 
-/// The configuration with a dial timeout that outlasts the test.
+/// The configuration with a connect timeout longer than the test.
 fn with_long_dial_timeout(config: &str) -> String {
     config.replace("\"dialTimeoutMs\":250", "\"dialTimeoutMs\":5000")
 }
--- a/tests/endings/reload.rs
+++ b/tests/endings/reload.rs
@@ -1,12 +1,12 @@
-//! Settings that are reloaded while a query is in flight.
+//! Reloading the settings while a query is in flight.
 
 use crate::common::process::*;
 use crate::{send_query, with_leaf_server};
 
-/// Classes are removed and reordered and a tenant is renamed while a query is in flight: that query keeps the rules and
-/// names it began with. Later ones go by the new settings, and removed names get a 4xx.
+/// Classes are removed and reordered and a tenant is renamed while a query is in flight. That query keeps the settings
+/// with which it started. Later queries use the new settings, and removed names get a 4xx.
 #[test]
-fn classes_and_tenants_renamed_while_a_query_is_in_flight_keep_its_rules() {
+fn a_query_in_flight_keeps_its_settings_when_classes_and_tenants_are_renamed() {
     let leaf_server = LeafServer::new();
     let setup = with_leaf_server(&leaf_server);
     let class = |name: &str, effect: &str| {
@@ -16,19 +16,19 @@
     };
     let config_with = |classes: &[String], tenant: &str| {
         let config = setup.config().replace("\"acme\"", &format!("\"{tenant}\""));
-        let from = config.find("\"categories\":[").expect("there");
-        let to = from + config[from..].find("],").expect("ends");
-        let many = |figure: &str| vec![figure; classes.len()].join(",");
-        (config[..from].to_owned() + "\"categories\":[" + &classes.join(",") + &config[to..])
-            .replace("\"classPartial\":[0.9]", &format!("\"classPartial\":[{}]", many("0.9")))
-            .replace("\"completeFrom\":[1]", &format!("\"completeFrom\":[{}]", many("1")))
-            .replace("\"fetchParts\":[0]", &format!("\"fetchParts\":[{}]", many("0")))
-            .replace("\"floorByClass\":[1]", &format!("\"floorByClass\":[{}]", many("1")))
+        let start = config.find("\"categories\":[").expect("a list of classes");
+        let end = start + config[start..].find("],").expect("the end of the list");
+        let per_class = |value: &str| vec![value; classes.len()].join(",");
+        (config[..start].to_owned() + "\"categories\":[" + &classes.join(",") + &config[end..])
+            .replace("\"classPartial\":[0.9]", &format!("\"classPartial\":[{}]", per_class("0.9")))
+            .replace("\"completeFrom\":[1]", &format!("\"completeFrom\":[{}]", per_class("1")))
+            .replace("\"fetchParts\":[0]", &format!("\"fetchParts\":[{}]", per_class("0")))
+            .replace("\"floorByClass\":[1]", &format!("\"floorByClass\":[{}]", per_class("1")))
     };
     let query_of = |id: &str, class: &str, tenant: &str| {
         query(id, "9000m", &[0]).replace("Req-Kind: c", &format!("Req-Kind: {class}")).replace("acme", tenant)
     };
-    // The query in flight is of a non-idempotent class, whose name and position an idempotent one takes.
+    // The query in flight has a non-idempotent class; the reload gives its name and position to idempotent ones.
     let before = config_with(&[class("plain", "\"retryable\""), class("once", "\"fragile\"")], "acme");
     let aggregator = Aggregator::start(&before, None);
     let mut in_flight = Client::connect(aggregator.address);
@@ -36,7 +36,7 @@
     let mut connection = leaf_server.accept();
     assert_eq!(connection.next_part(), "in_flight.0");
     let after = config_with(&[class("once", "\"retryable\""), class("new", "\"retryable\"")], "other");
-    std::fs::write(&aggregator.config, &after).expect("written");
+    std::fs::write(&aggregator.config, &after).expect("the configuration can be written");
     aggregator.signal("-HUP");
     aggregator.wait_for_counter("reloads", 1);
     for (id, class, tenant, status) in
@@ -46,21 +46,21 @@
         assert_eq!(reply.status, status, "{class} of {tenant}");
     }
     assert_eq!(aggregator.counters()["queries_malformed"], 3);
-    // Under the rules of the class that now has its name and position it would be retried.
+    // Under the new settings of its class it would be retried.
     connection.answer("in_flight.0", "bad", "");
     assert_eq!(in_flight.response().status, 502);
     let mut client = Client::connect(aggregator.address);
     client.send(query_of("d", "new", "other"));
     assert_eq!(connection.next_part(), "d.0");
     connection.answer("d.0", "bad", "");
-    assert_eq!(connection.next_part(), "d.0", "its class may be retried");
+    assert_eq!(connection.next_part(), "d.0", "parts of its class may be retried");
     connection.answer("d.0", "good", "v");
     assert_eq!(client.response().status, 200);
 }
 
-/// Where the settings name no tenants, any tenant is accepted.
+/// If the settings list no tenants, any tenant is accepted.
 #[test]
-fn without_tenants_every_owner_is_served() {
+fn any_tenant_is_accepted_if_the_settings_list_none() {
     let leaf_server = LeafServer::new();
     let config = with_leaf_server(&leaf_server).config();
     let config = config.replace("\"tenants\":[{\"name\":\"acme\",\"quotaPerS\":10}]", "\"tenants\":[]");
