--- a/src/aggregator/admin.rs
+++ b/src/aggregator/admin.rs
@@ -18,9 +18,9 @@
 pub enum AdminCommand {
     /// Check whether this process can serve.
     CheckReady,
-    /// Send no new parts to the leaf server with this name.
+    /// Stop using the leaf server with this name.
     Disable(Arc<str>),
-    /// Allow parts to be sent to the leaf server with this name again.
+    /// Cancel [`AdminCommand::Disable`] of the leaf server with this name.
     Enable(Arc<str>),
     /// Drain the aggregator: direct its clients to other aggregators.
     Drain,
--- a/src/aggregator/event.rs
+++ b/src/aggregator/event.rs
@@ -18,7 +18,7 @@
     ClientOpened(ClientId),
     /// A client's connection has ended, whichever side closed it.
     ClientClosed(ClientId),
-    /// A client's query has been read completely.
+    /// A client's query has been received completely.
     QueryReceived(ClientId, NewQuery),
     /// A request could not be parsed as a query; the listener has answered it with a 4xx status. `None` for a Flight call,
     /// which gets its number only after its query has been parsed.
@@ -73,12 +73,12 @@
     },
     /// The endpoint sources have been read at startup, or an inventory file has changed since.
     EndpointSourceChanged {
-        /// The change.
+        /// The input for the endpoint registry.
         input: Input,
         /// How far the wall clock is ahead of the aggregator's clock.
         wall_clock_offset: Millis,
     },
-    /// Discovery is being polled for its list.
+    /// A request for the endpoint list is being sent to discovery.
     DiscoveryPolled,
     /// The watch on the endpoint list has ended or timed out.
     DiscoveryWatchLost {
--- a/src/aggregator/query_validation.rs
+++ b/src/aggregator/query_validation.rs
@@ -74,7 +74,7 @@
 
 fn find_tenant(query: &NewQuery, settings: &SiteSettings) -> Result<Option<usize>, QueryError> {
     let Some(name) = &query.tenant else { return Ok(None) };
-    let tenant = settings.tenants.iter().position(|known| known == name);
+    let tenant = settings.tenants.iter().position(|listed| listed == name);
     // If tenants have quotas, queries of an unknown tenant would not be limited by any quota.
     if tenant.is_none() && !settings.tenants.is_empty() {
         return Err(QueryError::UnknownTenant);
--- a/src/aggregator/state.rs
+++ b/src/aggregator/state.rs
@@ -36,7 +36,7 @@
     pub(super) connections: BTreeMap<ConnectionId, LeafConnection>,
 
     pub(super) timers: TimerQueue,
-    /// Difference of the wall clock and the aggregator's clock, as last reported.
+    /// How far the wall clock is ahead of the aggregator's clock, as last reported.
     pub(super) wall_clock_offset: Millis,
     /// The last identifier allocated to a query, part, attempt or connection.
     pub(super) last_id: u64,
--- a/tests/client_connections.rs
+++ b/tests/client_connections.rs
@@ -146,7 +146,7 @@
     let leaf = LeafServer::new();
     let aggregator = with_leaves(&[&leaf]).start();
     let started = std::time::Instant::now();
-    let mut silent = Client::connect(aggregator.address);
+    let mut client_without_request = Client::connect(aggregator.address);
     let mut incomplete_head = Client::connect(aggregator.address);
     incomplete_head.send("POST /api/1 HTTP/1.1\r\nA: ");
     let mut incomplete_body = Client::connect(aggregator.address);
@@ -159,7 +159,7 @@
         assert_eq!(huge.response().status, 413);
         huge.wait_until_closed();
     }
-    silent.wait_until_closed();
+    client_without_request.wait_until_closed();
     assert_eq!((incomplete_head.response().status, incomplete_body.response().status), (408, 408));
     assert!(started.elapsed() < Duration::from_secs(3), "{:?}", started.elapsed());
 }
--- a/tests/endings/attempts.rs
+++ b/tests/endings/attempts.rs
@@ -1,7 +1,7 @@
 //! Attempts with a late, duplicate, unknown or truncated answer, and attempts whose idempotency window ends.
 
 use crate::common::process::*;
-use crate::{assert_serves, send_query, with_leaf_server, with_long_dial_timeout};
+use crate::{assert_serves, send_query, with_leaf_server, with_long_connect_timeout};
 use std::thread;
 use std::time::{Duration, Instant};
 
@@ -9,7 +9,7 @@
 fn with_keyed_class(config: &str, window_ms: u32) -> String {
     let effect = format!("\"effect\":\"dedup\",\"group\":\"all\",\"windowMs\":{window_ms}");
     let config = config.replace("\"effect\":\"retryable\"", &effect);
-    with_long_dial_timeout(&config)
+    with_long_connect_timeout(&config)
 }
 
 /// The idempotency window ends while the retry waits for its connection. The retry is not written once the connection is
--- a/tests/endings/client_disconnects.rs
+++ b/tests/endings/client_disconnects.rs
@@ -1,7 +1,7 @@
 //! Clients that disconnect while a request of theirs is in flight, pipelined or incomplete.
 
 use crate::common::process::*;
-use crate::{assert_serves, send_query, with_leaf_server, with_long_dial_timeout};
+use crate::{assert_serves, send_query, with_leaf_server, with_long_connect_timeout};
 use std::thread;
 use std::time::{Duration, Instant};
 
@@ -137,8 +137,8 @@
     }
 }
 
-/// A client disconnects while the connection with its part in flight breaks. The cancellation is not sent, and the next
-/// query is served.
+/// A client disconnects while the connection with its part in flight breaks. The cancellation cannot be sent, and the
+/// next query is served.
 #[test]
 fn a_cancellation_on_a_connection_that_breaks_affects_no_other_query() {
     let leaf_server = LeafServer::new();
@@ -169,7 +169,7 @@
 #[test]
 fn a_disconnect_while_a_leaf_connection_is_dialled_sends_nothing() {
     let mut slow = LeafServer::backlogged();
-    let config = with_long_dial_timeout(&with_leaf_server(&slow.server).config());
+    let config = with_long_connect_timeout(&with_leaf_server(&slow.server).config());
     let aggregator = Aggregator::start(&config, None);
     let client = send_query(&aggregator, "q");
     aggregator.wait_for_counter("connections_dialled", 1);
--- a/tests/endings/leaf_connections.rs
+++ b/tests/endings/leaf_connections.rs
@@ -1,7 +1,7 @@
 //! Connections that a leaf server closes, or that are being established while the leaf server drains.
 
 use crate::common::process::*;
-use crate::{send_query, with_leaf_server, with_long_dial_timeout};
+use crate::{send_query, with_leaf_server, with_long_connect_timeout};
 use std::time::{Duration, Instant};
 
 /// The leaf server closes an idle connection while a part is written to it. The part may have run, and is retried because
@@ -33,7 +33,7 @@
         let (mut slow, other) = (LeafServer::backlogged(), LeafServer::new());
         let discovery = Discovery::new();
         let setup = Setup { discovery: discovery.address(), ..with_leaf_server(&slow.server) };
-        let aggregator = Aggregator::start(&with_long_dial_timeout(&setup.config()), None);
+        let aggregator = Aggregator::start(&with_long_connect_timeout(&setup.config()), None);
         let mut watch = discovery.accept();
         let mut client = send_query(&aggregator, "q");
         aggregator.wait_for_counter("connections_dialled", 1);
--- a/tests/endings/main.rs
+++ b/tests/endings/main.rs
@@ -18,7 +18,7 @@
     Setup::new(&[listed("a", leaf_server.address, 0)])
 }
 
-/// Sends and serves a query. All frames sent before it have been read by then.
+/// Sends and serves a query. The aggregator has handled all earlier input by then.
 fn assert_serves(aggregator: &Aggregator, connection: &mut LeafConnection, id: &str) {
     let mut client = send_query(aggregator, id);
     assert_eq!(connection.next_part(), format!("{id}.0"), "no other frame precedes it");
@@ -40,6 +40,6 @@
 }
 
 /// The configuration with a connect timeout longer than the test.
-fn with_long_dial_timeout(config: &str) -> String {
+fn with_long_connect_timeout(config: &str) -> String {
     config.replace("\"dialTimeoutMs\":250", "\"dialTimeoutMs\":5000")
 }
