--- a/src/net/chunked.rs
+++ b/src/net/chunked.rs
@@ -1,9 +1,9 @@
-//! Decodes HTTP/1.1 bodies in chunked transfer encoding. Clients' requests and discovery's answers use it.
+//! Decodes HTTP/1.1 bodies in chunked transfer encoding, both of client requests and of discovery's responses.
 
 use bytes::{Buf, BytesMut};
 use std::fmt;
 
-/// Longest line of trailers or of a chunk's size, in bytes.
+/// Maximum length of a chunk-size or trailer line.
 const MAX_LINE_BYTES: usize = 4096;
 
 /// A body that violates the chunked transfer encoding.
@@ -12,46 +12,46 @@
 
 impl fmt::Display for MalformedChunk {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("a bad chunk")
+        f.write_str("malformed chunk")
     }
 }
 
 impl std::error::Error for MalformedChunk {}
 
-/// Whether a body has ended.
+/// Whether a body is complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum BodyState {
-    /// More is to come.
+    /// More input is needed.
     Incomplete,
-    /// The last chunk and its trailers are in.
+    /// The last chunk and its trailers have been received.
     Complete,
 }
 
-/// What the decoder expects next.
+/// The element that the decoder expects next.
 #[derive(Clone, Copy, Debug, Default)]
 enum Expected {
     /// A chunk's size.
     #[default]
     Size,
-    /// Data of a chunk, so many bytes of it.
+    /// The rest of a chunk's data.
     Data { remaining_bytes: u64 },
     /// The line break after a chunk.
     LineBreak,
-    /// Trailers, up to an empty line.
+    /// Trailers, terminated by an empty line.
     Trailers,
 }
 
-/// Decodes one body as it arrives.
+/// Incremental decoder of one body.
 #[derive(Debug, Default)]
 pub(super) struct ChunkDecoder {
     expected: Expected,
 }
 
 impl ChunkDecoder {
-    /// Moves what has arrived of the body from `raw` to `body`.
+    /// Consumes encoded bytes from `raw` and appends the decoded data to `body`.
     ///
     /// # Errors
-    /// What arrived is not chunked transfer encoding.
+    /// The input is not valid chunked transfer encoding.
     pub fn decode(&mut self, raw: &mut BytesMut, body: &mut BytesMut) -> Result<BodyState, MalformedChunk> {
         loop {
             let progress = match self.expected {
@@ -84,12 +84,12 @@
     }
 
     fn read_data(&mut self, remaining_bytes: u64, raw: &mut BytesMut, body: &mut BytesMut) -> Progress {
-        let taken = raw.len().min(usize::try_from(remaining_bytes).unwrap_or(usize::MAX));
-        if taken == 0 {
+        let consumed = raw.len().min(usize::try_from(remaining_bytes).unwrap_or(usize::MAX));
+        if consumed == 0 {
             return Progress::NeedsInput;
         }
-        body.extend_from_slice(&raw.split_to(taken));
-        self.expected = match remaining_bytes - taken as u64 {
+        body.extend_from_slice(&raw.split_to(consumed));
+        self.expected = match remaining_bytes - consumed as u64 {
             0 => Expected::LineBreak,
             remaining_bytes => Expected::Data { remaining_bytes },
         };
@@ -109,7 +109,7 @@
     }
 }
 
-/// What one step of the decoder came to.
+/// Result of one step of the decoder.
 enum Progress {
     Advanced,
     NeedsInput,
--- a/src/net/flight/answer.rs
+++ b/src/net/flight/answer.rs
@@ -1,5 +1,5 @@
-//! The aggregator's reply as a Flight stream: one record batch for each part, in the order asked, with the platform's
-//! column names. Whether the answer is complete is in the schema's metadata.
+//! Encodes the aggregator's reply as a Flight stream: one record batch per part, in the order of the query, with the
+//! platform's column names. The schema metadata states whether the answer is complete.
 
 use crate::aggregator::Reply;
 use arrow_array::{ArrayRef, RecordBatch, StringArray, UInt32Array};
@@ -14,10 +14,10 @@
 use tonic::{Code, Response, Status};
 use tonic_types::{ErrorDetails, StatusExt};
 
-/// A stream of record batches.
+/// A stream of encoded record batches.
 pub(super) type FlightStream = BoxStream<'static, Result<FlightData, Status>>;
 
-/// The schema of an answer.
+/// Returns the schema of an answer; `complete` goes into its metadata.
 pub(super) fn schema(complete: bool) -> SchemaRef {
     let shard = Field::new("range", DataType::UInt32, false);
     let value = Field::new("blob", DataType::Utf8, false);
@@ -25,10 +25,10 @@
     Arc::new(Schema::new_with_metadata(vec![shard, value], metadata))
 }
 
-/// The response to a call.
+/// Builds the response to a `DoGet` call.
 ///
 /// # Errors
-/// The status of a reply that is no answer.
+/// Returns an error status if the reply is not an answer, or if a value is not valid UTF-8.
 pub(super) fn response(reply: Reply) -> Result<Response<FlightStream>, Status> {
     match reply {
         Reply::Answer { complete, values } => {
@@ -53,10 +53,10 @@
 }
 
 fn record_batch(schema: &SchemaRef, shard: u32, rows: &[Bytes]) -> Result<RecordBatch, Status> {
-    let texts: Result<Vec<&str>, _> = rows.iter().map(|row| std::str::from_utf8(row)).collect();
-    let texts = texts.map_err(|_| Status::internal("a value is no text"))?;
+    let strings: Result<Vec<&str>, _> = rows.iter().map(|row| std::str::from_utf8(row)).collect();
+    let strings = strings.map_err(|_| Status::internal("a value is no text"))?;
     let shards: ArrayRef = Arc::new(UInt32Array::from(vec![shard; rows.len()]));
-    let values: ArrayRef = Arc::new(StringArray::from(texts));
+    let values: ArrayRef = Arc::new(StringArray::from(strings));
     RecordBatch::try_new(schema.clone(), vec![shards, values])
         .map_err(|error| Status::internal(error.to_string()))
 }
--- a/src/net/flight/http2_channel.rs
+++ b/src/net/flight/http2_channel.rs
@@ -1,5 +1,5 @@
-//! One HTTP/2 connection as the service that a Flight client calls. It is never reconnected behind the aggregator's
-//! back.
+//! The tower service of a Flight client, on top of exactly one HTTP/2 connection. It never reconnects by itself: the
+//! aggregator manages connections.
 
 use super::observed_socket::ObservedSocket;
 use super::write_progress::WriteProgress;
@@ -13,7 +13,7 @@
 use tokio::task::spawn_local;
 use tonic::body::Body;
 
-/// The connection's driver; it must be polled for calls to go on.
+/// The future that drives the connection's I/O; calls make progress only while it is polled.
 pub(super) type Driver = Connection<TokioIo<ObservedSocket<Rc<WriteProgress>>>, Body, LocalExecutor>;
 
 /// The sending half of a connection.
@@ -21,10 +21,10 @@
 pub(super) struct Http2Channel(SendRequest<Body>);
 
 impl Http2Channel {
-    /// Begins HTTP/2 on a connected socket.
+    /// Performs the HTTP/2 handshake on a connected socket.
     ///
     /// # Errors
-    /// The handshake fails.
+    /// The handshake has failed.
     pub async fn handshake(
         stream: TcpStream,
         progress: Rc<WriteProgress>,
@@ -49,7 +49,7 @@
     }
 }
 
-/// Runs the connection's own tasks on this thread.
+/// Spawns hyper's connection tasks on the current thread.
 #[derive(Clone)]
 pub(super) struct LocalExecutor;
 
--- a/src/net/flight/leaf_call.rs
+++ b/src/net/flight/leaf_call.rs
@@ -1,4 +1,4 @@
-//! Single calls to a leaf server that answers by Flight: a part, or a health check.
+//! Individual calls to a Flight leaf server: a part or a health check.
 
 use super::http2_channel::Http2Channel;
 use crate::aggregator::{CallPart, ConnectionId, Event, PartOutcome};
@@ -17,17 +17,17 @@
 use tonic::{Code, Request, Status};
 use tonic_types::StatusExt;
 
-/// Longest answer to a part: against a stream that never ends.
+/// Maximum total size of the rows of a part. Guards against a stream that never ends.
 const MAX_VALUE_BYTES: usize = 1 << 20;
 
-/// The client of one connection.
+/// The Flight client of one connection.
 pub(super) type Client = FlightServiceClient<Http2Channel>;
 
-/// What came is no answer to a part: the connection cannot be trusted.
+/// The leaf server sent a malformed answer to a part; its connection must not be used any longer.
 #[derive(Debug)]
-pub(super) struct UnreadableAnswer;
+pub(super) struct MalformedAnswer;
 
-/// A part as a ticket, with the platform's field names.
+/// A part as a JSON ticket; it is serialized with the platform's field names.
 #[derive(Serialize)]
 struct PartTicket {
     id: String,
@@ -38,11 +38,11 @@
     payload: String,
 }
 
-/// Why a call has no rows.
+/// Why a call returned no rows.
 enum CallError {
-    /// The leaf server has not served the part.
+    /// The part was not served; the outcome states why.
     NotServed(PartOutcome),
-    Unreadable,
+    MalformedAnswer,
 }
 
 impl From<&Status> for CallError {
@@ -51,27 +51,27 @@
     }
 }
 
-/// Sends a part and reports its outcome.
+/// Sends a part and reports its outcome as [`Event::AttemptAnswered`].
 ///
 /// # Errors
-/// The answer cannot be read.
+/// The answer is malformed; no event is sent then.
 pub(super) async fn call(
     client: Client,
     part: CallPart,
     connection: ConnectionId,
     events: EventSender,
-) -> Result<(), UnreadableAnswer> {
+) -> Result<(), MalformedAnswer> {
     let attempt = part.attempt;
     let (outcome, rows) = match fetch_rows(client, &part).await {
         Ok(rows) => (PartOutcome::Served, rows),
         Err(CallError::NotServed(outcome)) => (outcome, Vec::new()),
-        Err(CallError::Unreadable) => return Err(UnreadableAnswer),
+        Err(CallError::MalformedAnswer) => return Err(MalformedAnswer),
     };
     let _ = events.send(Event::AttemptAnswered { connection, attempt, outcome, rows, report: None }).await;
     Ok(())
 }
 
-/// Rows are given once the stream has ended well: none of a cut one may reach a client.
+/// Returns the rows once the stream has ended successfully: no rows of a truncated stream may reach a client.
 async fn fetch_rows(mut client: Client, part: &CallPart) -> Result<Vec<Bytes>, CallError> {
     let ticket = PartTicket {
         id: format!("{}.{}", part.query, part.shard),
@@ -91,43 +91,44 @@
             Ok(Some(batch)) => batch,
             Ok(None) => return Ok(rows),
             Err(FlightError::Tonic(status)) => return Err(CallError::from(&*status)),
-            Err(_) => return Err(CallError::Unreadable),
+            Err(_) => return Err(CallError::MalformedAnswer),
         };
         let column = batch.column_by_name("blob").and_then(|column| column.as_string_opt::<i32>());
-        for row in column.ok_or(CallError::Unreadable)? {
+        for row in column.ok_or(CallError::MalformedAnswer)? {
             let row = Bytes::copy_from_slice(row.unwrap_or_default().as_bytes());
             value_bytes += row.len();
             rows.push(row);
         }
         if value_bytes > MAX_VALUE_BYTES {
-            return Err(CallError::Unreadable);
+            return Err(CallError::MalformedAnswer);
         }
     }
 }
 
-/// What a status proves. One with a source was made on this side, of a stream or connection that broke.
+/// Maps a status to the outcome of the part. A status with a source error was created locally because the stream or
+/// connection broke.
 fn outcome_of(status: &Status) -> PartOutcome {
     if std::error::Error::source(status).is_some() {
         return PartOutcome::Truncated;
     }
     match status.code() {
         Code::ResourceExhausted => PartOutcome::Rejected,
-        // Without retry info an UNAVAILABLE may be that of a proxy whose own connection broke.
+        // An UNAVAILABLE without retry info may come from a proxy whose upstream connection broke.
         Code::Unavailable if status.get_details_retry_info().is_some() => PartOutcome::Rejected,
         _ => PartOutcome::Failed,
     }
 }
 
-/// Checks the leaf server's health and reports the result.
+/// Checks the leaf server's health and reports the result as [`Event::HealthCheckEnded`].
 ///
 /// # Errors
-/// None; a failed check is a result too.
+/// Never fails: a failed check is reported as unhealthy.
 pub(super) async fn check_health(
     client: Client,
     connection: ConnectionId,
     events: EventSender,
-) -> Result<(), UnreadableAnswer> {
-    let event = match fetch_load(client).await {
+) -> Result<(), MalformedAnswer> {
+    let event = match fetch_load_report(client).await {
         Ok(report) => Event::HealthCheckEnded { connection, healthy: true, report },
         Err(_) => Event::HealthCheckEnded { connection, healthy: false, report: None },
     };
@@ -135,7 +136,8 @@
     Ok(())
 }
 
-async fn fetch_load(mut client: Client) -> Result<Option<LoadReport>, Status> {
+/// Requests a load report; `None` if the leaf server sends none or a malformed one.
+async fn fetch_load_report(mut client: Client) -> Result<Option<LoadReport>, Status> {
     let action = Action { r#type: "load".to_owned(), body: Bytes::new() };
     let mut results = client.do_action(action).await?.into_inner();
     let Some(result) = results.message().await? else { return Ok(None) };
--- a/src/net/flight/leaf_client.rs
+++ b/src/net/flight/leaf_client.rs
@@ -1,8 +1,9 @@
-//! Connections to leaf servers that answer by Flight: one HTTP/2 connection, one `DoGet` for a part. The ticket is the
-//! part as JSON; the answer is a stream of batches with a text column `blob`. The action `load` is the health check.
+//! Connections to Flight leaf servers. Each connection is one HTTP/2 connection; each part is one `DoGet` call, whose
+//! ticket is the part as JSON and whose answer is a stream of record batches with a string column `blob`. The action
+//! `load` serves as the health check.
 
 use super::http2_channel::Http2Channel;
-use super::leaf_call::{self, Client, UnreadableAnswer};
+use super::leaf_call::{self, Client, MalformedAnswer};
 use super::write_progress::{WriteProgress, WritesBlocked};
 use crate::aggregator::{AttemptId, ConnectionId, Event};
 use crate::net::messages::{EventSender, LeafMessage};
@@ -14,7 +15,7 @@
 use tokio::sync::mpsc;
 use tokio::task::{AbortHandle, JoinSet, spawn_local};
 
-/// Why a connection has ended other than by the aggregator.
+/// Why a connection ended without being closed by the aggregator.
 #[derive(Debug)]
 enum LeafClientError {
     Connect(io::Error),
@@ -23,7 +24,7 @@
     Connection(hyper::Error),
     ClosedByLeaf,
     WritesBlocked,
-    UnreadableAnswer,
+    MalformedAnswer,
 }
 
 impl fmt::Display for LeafClientError {
@@ -33,8 +34,8 @@
             Self::Handshake(error) | Self::Connection(error) => error.fmt(f),
             Self::InvalidAddress(error) => error.fmt(f),
             Self::ClosedByLeaf => f.write_str("closed by the leaf server"),
-            Self::WritesBlocked => f.write_str("the leaf server reads nothing"),
-            Self::UnreadableAnswer => f.write_str("an answer that cannot be read"),
+            Self::WritesBlocked => f.write_str("the leaf server does not read from the connection"),
+            Self::MalformedAnswer => f.write_str("malformed answer"),
         }
     }
 }
@@ -47,13 +48,13 @@
     }
 }
 
-impl From<UnreadableAnswer> for LeafClientError {
-    fn from(_: UnreadableAnswer) -> Self {
-        Self::UnreadableAnswer
+impl From<MalformedAnswer> for LeafClientError {
+    fn from(_: MalformedAnswer) -> Self {
+        Self::MalformedAnswer
     }
 }
 
-/// Serves one connection until either side ends it, and reports its end once it is closed.
+/// Serves one connection until either side ends it, and sends [`Event::ConnectionEnded`] once it is closed.
 pub(crate) async fn run(
     connection: ConnectionId,
     location: String,
@@ -61,7 +62,7 @@
     events: EventSender,
 ) {
     let result = connect(connection, &location, messages, &events).await;
-    let protocol_error = matches!(result, Err(LeafClientError::UnreadableAnswer));
+    let protocol_error = matches!(result, Err(LeafClientError::MalformedAnswer));
     let reason = result.err().map(|error| error.to_string());
     let _ = events.send(Event::ConnectionEnded { connection, reason, protocol_error }).await;
 }
@@ -76,7 +77,7 @@
     let dial = async {
         let stream = TcpStream::connect(location).await.map_err(LeafClientError::Connect)?;
         let _ = stream.set_nodelay(true);
-        // A close takes effect at once: nothing that is cancelled by it may leave later.
+        // Closing resets the connection immediately, so that no cancelled part is sent afterwards.
         let _ = stream.set_zero_linger();
         Http2Channel::handshake(stream, progress.clone()).await.map_err(LeafClientError::Handshake)
     };
@@ -99,7 +100,7 @@
     let result = tokio::select! {
         result = connection.serve(&mut messages, &progress) => result,
         end = &mut driver => {
-            // What has arrived completely is an answer still; the other calls report that they were cut.
+            // Answers that have arrived completely still count; the other calls report a truncated answer.
             while connection.calls.join_next().await.is_some() {}
             Err(match end {
                 Ok(Err(error)) => LeafClientError::Connection(error),
@@ -113,20 +114,20 @@
     result
 }
 
-/// A connection that is up.
+/// An established connection.
 struct LeafConnection<'a> {
     id: ConnectionId,
     events: &'a EventSender,
     client: Client,
     /// Calls in flight; one that ends with an error ends the connection.
-    calls: JoinSet<Result<(), UnreadableAnswer>>,
-    /// The calls of attempts.
+    calls: JoinSet<Result<(), MalformedAnswer>>,
+    /// The abort handles of the attempts' calls.
     attempts: HashMap<AttemptId, AbortHandle>,
     written_messages: u64,
 }
 
 impl LeafConnection<'_> {
-    /// Carries out messages until the aggregator closes the connection.
+    /// Handles messages until the aggregator closes the connection or an error ends it.
     async fn serve(
         &mut self,
         messages: &mut mpsc::Receiver<LeafMessage>,
@@ -152,7 +153,7 @@
 
     async fn handle(&mut self, message: LeafMessage, progress: &WriteProgress) -> Result<(), WritesBlocked> {
         match message {
-            // From here on a part may have left: that it has not cannot be proved any more.
+            // Once its call is spawned, a part may have been sent and no longer counts as unsent.
             LeafMessage::Call(parts) => {
                 for part in parts {
                     let attempt = part.attempt;
@@ -164,7 +165,7 @@
                 if let Some(call) = self.attempts.remove(&attempt) {
                     let bytes_before = progress.written_bytes();
                     call.abort();
-                    progress.reset_written(bytes_before).await?;
+                    progress.wait_for_reset(bytes_before).await?;
                 }
             }
             LeafMessage::HealthCheck => {
--- a/src/net/flight/mod.rs
+++ b/src/net/flight/mod.rs
@@ -1,4 +1,5 @@
-//! Arrow Flight on both sides: gateways that pull an answer as a stream, and leaf servers that answer a part as one.
+//! Arrow Flight on both sides: a server from which gateways fetch answers as streams, and a client for leaf servers
+//! that return the answer to a part as a stream.
 
 mod answer;
 mod http2_channel;
@@ -9,7 +10,7 @@
 mod ticket;
 mod write_progress;
 
-/// Host and port of a leaf server that answers by Flight; none where its address is no Flight location.
+/// Returns host and port of a Flight leaf server, or `None` if the address is not a Flight location URI.
 pub(super) fn location(address: &str) -> Option<String> {
     let authority = address.strip_prefix("grpc+tcp://").or_else(|| address.strip_prefix("grpc://"))?;
     Some(authority.to_owned())
--- a/src/net/flight/observed_socket.rs
+++ b/src/net/flight/observed_socket.rs
@@ -1,4 +1,4 @@
-//! A socket that owns an observer for as long as it is open, and shows it what becomes of writes.
+//! A socket that owns an observer while it is open, and passes the results of writes to it.
 
 use std::io;
 use std::pin::Pin;
@@ -9,7 +9,7 @@
 
 /// Observes a socket's writes.
 pub(super) trait WriteObserver: Unpin {
-    /// A write has had this result.
+    /// Called after each write attempt with its result.
     fn on_write(&self, _result: &Poll<io::Result<usize>>) {}
 }
 
--- a/src/net/flight/server.rs
+++ b/src/net/flight/server.rs
@@ -1,4 +1,5 @@
-//! The Flight server for gateways: `DoGet` with a ticket that carries the query, `GetFlightInfo` for that ticket.
+//! The Flight server for gateways: `DoGet` with a ticket that contains the query, and `GetFlightInfo` for such a
+//! ticket.
 
 use super::answer::{self, FlightStream};
 use super::observed_socket::{ObservedSocket, WriteObserver};
@@ -23,15 +24,15 @@
 use tonic::{Request, Response, Status, Streaming};
 use tracing::warn;
 
-/// Calls are numbered from here on; the HTTP server numbers its clients below it.
-const FIRST_CLIENT: u64 = 1 << 63;
-/// Most connections of gateways; they come on top of the HTTP server's.
+/// First client ID of Flight calls; the HTTP server uses the IDs below.
+const FIRST_CLIENT_ID: u64 = 1 << 63;
+/// Maximum number of gateway connections, in addition to the HTTP server's connections.
 const MAX_GATEWAY_CONNECTIONS: usize = 16;
-/// The share of gateways' connections: one for so many of the HTTP server's.
+/// Number of permitted HTTP client connections per permitted gateway connection.
 const CLIENTS_PER_GATEWAY: usize = 8;
-/// Calls that may be in flight on one connection.
+/// Maximum number of calls in flight on one connection.
 const MAX_CALLS_PER_CONNECTION: u32 = 256;
-/// Longest message, with room for what gRPC adds to a ticket.
+/// Maximum size of a gRPC message, with room for the encoding around a ticket.
 const MAX_MESSAGE_BYTES: usize = 2 * MAX_TICKET_BYTES;
 
 type GatewaySocket = ObservedSocket<OwnedSemaphorePermit>;
@@ -46,16 +47,17 @@
     let connections = (limits.client_connections / CLIENTS_PER_GATEWAY).clamp(1, MAX_GATEWAY_CONNECTIONS);
     let incoming = accept_gateways(listener, connections);
     let service =
-        FlightServiceServer::new(QueryService { events, next_client: AtomicU64::new(FIRST_CLIENT) })
+        FlightServiceServer::new(QueryService { events, next_client_id: AtomicU64::new(FIRST_CLIENT_ID) })
             .max_decoding_message_size(MAX_MESSAGE_BYTES);
     let server = Server::builder().max_concurrent_streams(MAX_CALLS_PER_CONNECTION).add_service(service);
     let stopped = async { drop(stopped.await) };
     if let Err(error) = server.serve_with_incoming_shutdown(incoming, stopped).await {
-        warn!("flight: {error}");
+        warn!("Flight server failed: {error}");
     }
 }
 
-/// Gateways' connections. Descriptors are bounded: further gateways wait in the listener's queue.
+/// Returns a stream of at most `connections` concurrent gateway connections. Further gateways wait in the listener's
+/// queue, which bounds the number of file descriptors.
 fn accept_gateways(
     listener: TcpListener,
     connections: usize,
@@ -77,15 +79,15 @@
     })
 }
 
-/// A permit is returned when its connection ends; it observes nothing.
+/// The permit is only held for as long as the socket is open; it does not observe writes.
 impl WriteObserver for OwnedSemaphorePermit {}
 
 struct QueryService {
     events: EventSender,
-    next_client: AtomicU64,
+    next_client_id: AtomicU64,
 }
 
-/// A call in flight. The aggregator hears of its end whichever way it comes, a cancellation too.
+/// A call in flight. Dropping it reports its end to the aggregator, whether it completes or is cancelled.
 struct Call {
     client: ClientId,
     events: EventSender,
@@ -107,14 +109,14 @@
 }
 
 impl QueryService {
-    /// Counts a call that is rejected before the aggregator sees it.
+    /// Reports a call that is rejected before it reaches the aggregator, which counts it, and returns `status`.
     async fn reject(&self, status: Status) -> Status {
         let _ = self.events.send(Event::RequestMalformed(None)).await;
         status
     }
 
     async fn open_call(&self) -> Result<Call, AggregatorStopped> {
-        let client = ClientId(self.next_client.fetch_add(1, Ordering::Relaxed));
+        let client = ClientId(self.next_client_id.fetch_add(1, Ordering::Relaxed));
         let (sender, messages) = mpsc::channel(CLIENT_QUEUE_LENGTH);
         self.events.open_client(client, sender).await?;
         Ok(Call { client, events: self.events.clone(), messages })
@@ -147,7 +149,7 @@
         loop {
             match call.messages.recv().await {
                 Some(ClientMessage::Reply { reply, .. }) => return answer::response(reply),
-                // A call ends with its answer in any case.
+                // A call ends with its reply anyway.
                 Some(ClientMessage::Close) => {}
                 None => return Err(AggregatorStopped.into()),
             }
--- a/src/net/flight/ticket.rs
+++ b/src/net/flight/ticket.rs
@@ -1,22 +1,22 @@
-//! Reads a gateway's call: the ticket, which is the query as JSON, and the call's gRPC deadline.
+//! Parses a gateway's call: the ticket, which is the query as JSON, and the gRPC deadline of the call.
 
 use crate::aggregator::NewQuery;
 use crate::clock::Millis;
-use crate::net::query_body::{PartBody, is_valid_name};
+use crate::net::query_body::{PartBody, is_valid_request_id};
 use miniserde::{Deserialize, json};
 use std::fmt;
 use tonic::Status;
 use tonic::metadata::MetadataMap;
 
-/// Longest ticket, as for a query over HTTP.
+/// Maximum size of a ticket; equals the limit on the body of a query over HTTP.
 pub(super) const MAX_TICKET_BYTES: usize = 64 << 10;
 
-/// A ticket: the body of a query over HTTP with what HTTP has in headers. The platform's field names are mapped to the
-/// field's terms here.
+/// A ticket: the fields of a query that HTTP clients send in the body and in headers. The platform's field names are
+/// mapped to the terms of this code base here.
 #[derive(Deserialize)]
 pub(super) struct QueryTicket {
     #[serde(rename = "id")]
-    name: String,
+    request_id: String,
     #[serde(rename = "kind")]
     class: String,
     #[serde(rename = "owner")]
@@ -29,11 +29,11 @@
     payload: String,
 }
 
-/// Why a call is rejected before the aggregator sees it.
+/// Why a call is rejected before it reaches the aggregator. The message is sent to the gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum TicketError {
     TooLong,
-    NotAQuery,
+    InvalidQuery,
     InvalidTimeout,
 }
 
@@ -41,7 +41,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::TooLong => "the ticket is over 64 KiB",
-            Self::NotAQuery => "the ticket is no query",
+            Self::InvalidQuery => "the ticket is no query",
             Self::InvalidTimeout => "grpc-timeout is no time",
         })
     }
@@ -56,26 +56,26 @@
 }
 
 impl QueryTicket {
-    /// Reads a ticket's bytes.
+    /// Parses a ticket.
     ///
     /// # Errors
-    /// It is too long, or no query.
+    /// The ticket is too long or not a valid query.
     pub fn parse(ticket: &[u8]) -> Result<Self, TicketError> {
         if ticket.len() > MAX_TICKET_BYTES {
             return Err(TicketError::TooLong);
         }
-        let text = std::str::from_utf8(ticket).map_err(|_| TicketError::NotAQuery)?;
-        let ticket: QueryTicket = json::from_str(text).map_err(|_| TicketError::NotAQuery)?;
-        if !is_valid_name(&ticket.name) {
-            return Err(TicketError::NotAQuery);
+        let text = std::str::from_utf8(ticket).map_err(|_| TicketError::InvalidQuery)?;
+        let ticket: QueryTicket = json::from_str(text).map_err(|_| TicketError::InvalidQuery)?;
+        if !is_valid_request_id(&ticket.request_id) {
+            return Err(TicketError::InvalidQuery);
         }
         Ok(ticket)
     }
 
-    /// The query as the aggregator takes it.
+    /// Converts the ticket into a query for the aggregator, with the time left until the call's deadline.
     pub fn into_query(self, time_left: Option<Millis>) -> NewQuery {
         NewQuery {
-            name: self.name.into(),
+            name: self.request_id.into(),
             class: self.class,
             tenant: self.tenant,
             time_left,
@@ -87,10 +87,10 @@
     }
 }
 
-/// The time left by the call's gRPC deadline, at most eight digits and a unit; none where it has no deadline.
+/// Parses the `grpc-timeout` of a call, which is a number of at most eight digits and a unit; `None` if it is absent.
 ///
 /// # Errors
-/// The deadline cannot be read.
+/// The timeout is malformed.
 pub(super) fn time_left(metadata: &MetadataMap) -> Result<Option<Millis>, TicketError> {
     let Some(value) = metadata.get("grpc-timeout") else { return Ok(None) };
     let text = value.to_str().map_err(|_| TicketError::InvalidTimeout)?;
--- a/src/net/flight/write_progress.rs
+++ b/src/net/flight/write_progress.rs
@@ -1,4 +1,4 @@
-//! What has become of writes on a Flight connection to a leaf server: shows that a cancellation has left.
+//! Tracks the writes on a Flight connection to a leaf server, in order to detect that a cancellation has been sent.
 
 use super::observed_socket::WriteObserver;
 use std::cell::Cell;
@@ -8,16 +8,16 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// A stream that is dropped is reset on the wire so soon, unless it had ended by itself.
+/// Time within which the reset of a dropped stream is written, unless the stream had already ended.
 const RESET_TIMEOUT: Duration = Duration::from_millis(20);
-/// How often the writes are checked for that.
+/// Interval at which the number of written bytes is checked for a reset.
 const RESET_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// The leaf server reads nothing, so that a cancellation cannot be written.
+/// A cancellation could not be written because the leaf server does not read from the connection.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct WritesBlocked;
 
-/// The writes of one connection.
+/// Progress of the writes on one connection.
 #[derive(Default)]
 pub(super) struct WriteProgress {
     written_bytes: Cell<u64>,
@@ -25,17 +25,17 @@
 }
 
 impl WriteProgress {
-    /// Bytes written since the start.
+    /// Number of bytes written since the connection was opened.
     pub fn written_bytes(&self) -> u64 {
         self.written_bytes.get()
     }
 
-    /// Waits until the reset of a dropped stream is on the wire: it is the next write after `bytes_before`. A stream that
-    /// had ended by itself needs none.
+    /// Waits until the reset of a dropped stream is written, which is the next write after `bytes_before`. A stream
+    /// that had already ended needs no reset, so a timeout counts as success unless writes are blocked.
     ///
     /// # Errors
-    /// The socket has taken nothing in time.
-    pub async fn reset_written(&self, bytes_before: u64) -> Result<(), WritesBlocked> {
+    /// Writes are blocked when the timeout expires.
+    pub async fn wait_for_reset(&self, bytes_before: u64) -> Result<(), WritesBlocked> {
         let deadline = Instant::now() + RESET_TIMEOUT;
         while self.written_bytes.get() == bytes_before {
             if Instant::now() >= deadline {
--- a/src/net/http/listener.rs
+++ b/src/net/http/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts clients within the client capacity and starts a session for each.
+//! Accepts client connections up to the client capacity and starts a session for each.
 
 use super::session;
 use crate::aggregator::{ClientId, Event};
@@ -10,7 +10,7 @@
 use tokio::time::sleep;
 use tracing::warn;
 
-/// How many clients may be connected at once. Changed by the event loop, used by the accept loop.
+/// Maximum number of concurrent client connections. The event loop changes it, the accept loop enforces it.
 pub(crate) struct ClientCapacity {
     permits: Arc<Semaphore>,
     connections: usize,
@@ -21,12 +21,12 @@
         ClientCapacity { permits: Arc::new(Semaphore::new(connections)), connections }
     }
 
-    /// One permit for each connection; a permit returns when its connection ends.
+    /// The semaphore with one permit per connection; a permit is released when its connection ends.
     pub fn permits(&self) -> Arc<Semaphore> {
         self.permits.clone()
     }
 
-    /// Changes the capacity. Connections above a smaller one stay until the aggregator closes them.
+    /// Changes the capacity. If it shrinks, excess connections stay open until the aggregator closes them.
     pub fn resize(&mut self, connections: usize) {
         if connections > self.connections {
             self.permits.add_permits(connections - self.connections);
@@ -40,18 +40,18 @@
     }
 }
 
-/// Accepts clients until the sender of `stop` is dropped; then empties the listener's queue, closes the listener and
-/// reports [`Event::ListenerClosed`].
+/// Accepts clients until the sender of `stop` is dropped; then accepts the connections that are still queued, closes
+/// the listener and reports [`Event::ListenerClosed`].
 ///
-/// The capacity is a few more than the number at which the aggregator closes idle clients. Further clients wait in the
-/// kernel's queue, so that descriptors never run out.
+/// The capacity is slightly above the number of connections at which the aggregator closes idle clients. Further
+/// clients wait in the kernel's accept queue, so that the process cannot run out of file descriptors.
 pub(crate) async fn accept_clients(
     listener: TcpListener,
     events: EventSender,
     permits: Arc<Semaphore>,
     mut stop: oneshot::Receiver<()>,
 ) {
-    let mut acceptor = Acceptor { next_client: 0, events };
+    let mut acceptor = Acceptor { next_client_id: 0, events };
     loop {
         let accepted = tokio::select! {
             biased;
@@ -64,26 +64,26 @@
         match accepted {
             (Ok(permit), Ok((stream, _))) => acceptor.start_session(stream, permit).await,
             (_, Err(error)) => {
-                warn!("accepting clients: {error}");
+                warn!("failed to accept a client connection: {error}");
                 sleep(ACCEPT_RETRY_DELAY).await;
             }
             (Err(_), _) => return,
         }
     }
-    acceptor.empty_queue(listener, &permits).await;
+    acceptor.accept_queued(listener, &permits).await;
     let _ = acceptor.events.send(Event::ListenerClosed).await;
 }
 
 struct Acceptor {
-    next_client: u64,
+    next_client_id: u64,
     events: EventSender,
 }
 
 impl Acceptor {
-    /// Announces the client to the aggregator before anything else, and starts its task.
+    /// Registers the client with the event loop before any of its events are sent, and starts its session task.
     async fn start_session(&mut self, stream: TcpStream, permit: OwnedSemaphorePermit) {
-        let client = ClientId(self.next_client);
-        self.next_client += 1;
+        let client = ClientId(self.next_client_id);
+        self.next_client_id += 1;
         let (sender, messages) = mpsc::channel(CLIENT_QUEUE_LENGTH);
         if self.events.open_client(client, sender).await.is_err() {
             return;
@@ -95,11 +95,12 @@
         });
     }
 
-    /// Accepts what the kernel has queued: a queued connection that nobody reads is a request lost.
+    /// Accepts all connections in the kernel's accept queue: closing the listener would reset them and lose their
+    /// requests.
     ///
-    /// The plain listener asks the kernel itself and not what the event loop last heard of it. Where the capacity is
-    /// used up, this waits for the next connection that ends.
-    async fn empty_queue(&mut self, listener: TcpListener, permits: &Arc<Semaphore>) {
+    /// The standard library's listener is used because it queries the kernel directly, while tokio's relies on cached
+    /// readiness. If the capacity is exhausted, this waits until another connection ends.
+    async fn accept_queued(&mut self, listener: TcpListener, permits: &Arc<Semaphore>) {
         let Ok(listener) = listener.into_std() else { return };
         while let Ok(permit) = permits.clone().acquire_owned().await {
             let Ok((stream, _)) = listener.accept() else { break };
--- a/src/net/http/mod.rs
+++ b/src/net/http/mod.rs
@@ -1,5 +1,5 @@
 //! The HTTP/1.1 server for clients: reads requests, passes them to the aggregator as events, and writes its replies.
-//! It rejects what is no valid request by itself; it decides nothing else.
+//! Malformed requests are rejected here; every other decision is the aggregator's.
 
 mod listener;
 mod request;
--- a/src/net/http/request.rs
+++ b/src/net/http/request.rs
@@ -1,46 +1,46 @@
-//! Parses a client's request. A pure function of the bytes that have arrived; the session reads them.
+//! Parses client requests. Parsing is a pure function of the bytes received so far; the session does the I/O.
 
 use super::response::Status;
 use crate::aggregator::NewQuery;
 use crate::clock::Millis;
 use crate::net::chunked::{BodyState, ChunkDecoder};
-use crate::net::query_body::{PartBody, QueryBody, is_valid_idempotency_key, is_valid_name};
+use crate::net::query_body::{PartBody, QueryBody, is_valid_idempotency_key, is_valid_request_id};
 use bytes::{Bytes, BytesMut};
 use miniserde::json;
 use std::fmt;
 
-/// Longest body.
+/// Maximum size of a decoded request body.
 const MAX_BODY_BYTES: usize = 64 << 10;
-/// Longest request line with headers.
+/// Maximum size of the request line and headers together.
 pub(super) const MAX_HEAD_BYTES: usize = 16 << 10;
-/// Most headers.
+/// Maximum number of headers.
 const MAX_HEADERS: usize = 64;
 
-/// Why a request is rejected before the aggregator sees it. The text goes to the client.
+/// Why a request is rejected before it reaches the aggregator. The message is sent to the client as the response body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RequestError {
-    NotHttp,
+    MalformedHead,
     HeadersTooLong,
     DuplicateHeader,
-    HeaderNotText,
+    HeaderNotUtf8,
     MissingHeader(&'static str),
-    InvalidName(&'static str),
+    InvalidIdentifier(&'static str),
     InvalidTime(&'static str),
     InvalidContentLength,
-    LengthAndChunks,
+    LengthWithTransferEncoding,
     UnknownTransferCoding,
     MalformedChunk,
     BodyTooLong,
-    BodyNotText,
-    BodyNotQuery,
+    BodyNotUtf8,
+    InvalidQuery,
     MethodNotAllowed,
     NotFound,
-    /// The rest of the request did not arrive in time.
+    /// The request was not complete within its timeout.
     Timeout,
 }
 
 impl RequestError {
-    /// The response's status.
+    /// The status of the error response.
     pub fn status(self) -> Status {
         match self {
             Self::HeadersTooLong => Status::RequestHeaderFieldsTooLarge,
@@ -49,17 +49,17 @@
             Self::MethodNotAllowed => Status::MethodNotAllowed,
             Self::NotFound => Status::NotFound,
             Self::Timeout => Status::RequestTimeout,
-            Self::NotHttp
+            Self::MalformedHead
             | Self::DuplicateHeader
-            | Self::HeaderNotText
+            | Self::HeaderNotUtf8
             | Self::MissingHeader(_)
-            | Self::InvalidName(_)
+            | Self::InvalidIdentifier(_)
             | Self::InvalidTime(_)
             | Self::InvalidContentLength
-            | Self::LengthAndChunks
+            | Self::LengthWithTransferEncoding
             | Self::MalformedChunk
-            | Self::BodyNotText
-            | Self::BodyNotQuery => Status::BadRequest,
+            | Self::BodyNotUtf8
+            | Self::InvalidQuery => Status::BadRequest,
         }
     }
 }
@@ -67,20 +67,20 @@
 impl fmt::Display for RequestError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NotHttp => f.write_str("no HTTP request"),
+            Self::MalformedHead => f.write_str("no HTTP request"),
             Self::HeadersTooLong => f.write_str("the headers are too long"),
             Self::DuplicateHeader => f.write_str("a header is there twice"),
-            Self::HeaderNotText => f.write_str("a header that is no text"),
+            Self::HeaderNotUtf8 => f.write_str("a header that is no text"),
             Self::MissingHeader(header) => write!(f, "{header} is missing"),
-            Self::InvalidName(header) => write!(f, "{header} is no word"),
+            Self::InvalidIdentifier(header) => write!(f, "{header} is no word"),
             Self::InvalidTime(header) => write!(f, "{header} is no time"),
             Self::InvalidContentLength => f.write_str("Content-Length is no number"),
-            Self::LengthAndChunks => f.write_str("a body with both a length and chunks"),
+            Self::LengthWithTransferEncoding => f.write_str("a body with both a length and chunks"),
             Self::UnknownTransferCoding => f.write_str("unknown transfer coding"),
             Self::MalformedChunk => f.write_str("a bad chunk"),
             Self::BodyTooLong => f.write_str("the body is over 64 KiB"),
-            Self::BodyNotText => f.write_str("the body is no text"),
-            Self::BodyNotQuery => f.write_str("the body is no query"),
+            Self::BodyNotUtf8 => f.write_str("the body is no text"),
+            Self::InvalidQuery => f.write_str("the body is no query"),
             Self::MethodNotAllowed => f.write_str("not with this method"),
             Self::NotFound => f.write_str("nothing is here"),
             Self::Timeout => f.write_str("the request did not come in time"),
@@ -90,27 +90,27 @@
 
 impl std::error::Error for RequestError {}
 
-/// What the bytes that have arrived hold.
+/// Result of parsing the bytes received so far.
 pub(super) enum Parsed {
-    /// The beginning of a request.
+    /// The input is empty or ends within a request.
     Incomplete {
-        /// The client waits for a `100 Continue` before it sends the body.
+        /// The client expects a `100 Continue` before it sends the body.
         continue_expected: bool,
     },
-    /// A whole request.
+    /// The input starts with a complete request.
     Complete(ParsedRequest),
 }
 
-/// A whole request.
+/// A complete request.
 pub(super) struct ParsedRequest {
     pub operation: Operation,
-    /// The client keeps the connection for further requests.
+    /// Whether the client wants to reuse the connection for further requests.
     pub keep_alive: bool,
-    /// Bytes of the input that come after this request.
-    pub bytes_behind: usize,
+    /// Number of input bytes after this request.
+    pub trailing_bytes: usize,
 }
 
-/// What a client asks for.
+/// The operation that a client requests.
 pub(super) enum Operation {
     Health,
     Metrics,
@@ -120,7 +120,7 @@
 /// Parses the first request of the input.
 ///
 /// # Errors
-/// Why it is rejected; where the next request begins cannot be known then.
+/// Returns why the request is rejected; the start of the next request on the connection is then unknown.
 pub(super) fn parse(input: &[u8]) -> Result<Parsed, RequestError> {
     let mut header_storage = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut header_storage);
@@ -130,7 +130,7 @@
             return Ok(Parsed::Incomplete { continue_expected: false });
         }
         Ok(_) | Err(httparse::Error::TooManyHeaders) => return Err(RequestError::HeadersTooLong),
-        Err(_) => return Err(RequestError::NotHttp),
+        Err(_) => return Err(RequestError::MalformedHead),
     };
     let headers = Headers(&*head.headers);
     let after_head = &input[head_bytes..];
@@ -144,7 +144,7 @@
     let method = head.method.unwrap_or("");
     let path = head.path.unwrap_or("").split('?').next().unwrap_or("");
     let operation = operation(method, path, headers, &body.bytes)?;
-    Ok(Parsed::Complete(ParsedRequest { operation, keep_alive, bytes_behind: body.bytes_behind }))
+    Ok(Parsed::Complete(ParsedRequest { operation, keep_alive, trailing_bytes: body.trailing_bytes }))
 }
 
 fn keeps_alive(minor_version: Option<u8>, headers: Headers<'_>) -> Result<bool, RequestError> {
@@ -172,36 +172,36 @@
 struct Headers<'h>(&'h [httparse::Header<'h>]);
 
 impl<'h> Headers<'h> {
-    /// A header's value, if it is there.
+    /// Returns a header's value, or `None` if the header is absent.
     fn get(self, name: &str) -> Result<Option<&'h str>, RequestError> {
         let mut matching = self.0.iter().filter(|header| header.name.eq_ignore_ascii_case(name));
         let first = matching.next();
-        // Which of two values a proxy went by cannot be known, which lets requests be smuggled.
+        // A proxy may have used either of two values, which would allow request smuggling.
         if matching.next().is_some() && !name.eq_ignore_ascii_case("connection") {
             return Err(RequestError::DuplicateHeader);
         }
         let Some(header) = first else { return Ok(None) };
-        let value = std::str::from_utf8(header.value).map_err(|_| RequestError::HeaderNotText)?;
+        let value = std::str::from_utf8(header.value).map_err(|_| RequestError::HeaderNotUtf8)?;
         Ok(Some(value.trim()))
     }
 
-    /// A header's value, where a query must have it; `name` is as the platform's pages write it.
+    /// Returns the value of a required header; error messages show `name` as it is written here.
     fn require(self, name: &'static str) -> Result<&'h str, RequestError> {
         self.get(name)?.ok_or(RequestError::MissingHeader(name))
     }
 }
 
-/// How a body's end is known.
+/// How the end of a body is determined.
 enum BodyFraming {
     Length(usize),
     Chunked,
 }
 
-/// A whole body.
+/// A complete body.
 struct Body {
     bytes: Bytes,
-    /// Bytes that have arrived after it.
-    bytes_behind: usize,
+    /// Number of bytes received after the body.
+    trailing_bytes: usize,
 }
 
 impl BodyFraming {
@@ -209,19 +209,19 @@
         let length = content_length(headers)?;
         match headers.get("transfer-encoding")? {
             None => Ok(BodyFraming::Length(length.unwrap_or(0))),
-            // Both together let requests be smuggled past a proxy.
-            Some(_) if length.is_some() => Err(RequestError::LengthAndChunks),
+            // A message with both headers would allow request smuggling past a proxy.
+            Some(_) if length.is_some() => Err(RequestError::LengthWithTransferEncoding),
             Some(coding) if coding.eq_ignore_ascii_case("chunked") => Ok(BodyFraming::Chunked),
             Some(_) => Err(RequestError::UnknownTransferCoding),
         }
     }
 
-    /// Reads the body from what has arrived after the head; none until all of it is in.
+    /// Reads the body from the bytes after the head; `None` until the body is complete.
     fn read(&self, after_head: &[u8]) -> Result<Option<Body>, RequestError> {
         match *self {
             BodyFraming::Length(length) => Ok(after_head.get(..length).map(|bytes| Body {
                 bytes: Bytes::copy_from_slice(bytes),
-                bytes_behind: after_head.len() - length,
+                trailing_bytes: after_head.len() - length,
             })),
             BodyFraming::Chunked => read_chunked(after_head),
         }
@@ -239,41 +239,41 @@
     }
 }
 
-/// Decodes from the start with every read: bodies are small, and no state is kept between reads.
+/// Decodes the body from its start on every read, which keeps no state between reads; bodies are small.
 fn read_chunked(after_head: &[u8]) -> Result<Option<Body>, RequestError> {
     let mut raw = BytesMut::from(after_head);
     let mut body = BytesMut::new();
     let state =
         ChunkDecoder::default().decode(&mut raw, &mut body).map_err(|_| RequestError::MalformedChunk)?;
-    // Sizes and trailers count too: those alone could go on for ever.
+    // Limits the encoded bytes too: chunk extensions and trailers could otherwise grow without bound.
     if body.len() > MAX_BODY_BYTES || after_head.len() > 2 * MAX_BODY_BYTES {
         return Err(RequestError::BodyTooLong);
     }
     match state {
         BodyState::Incomplete => Ok(None),
-        BodyState::Complete => Ok(Some(Body { bytes: body.freeze(), bytes_behind: raw.len() })),
+        BodyState::Complete => Ok(Some(Body { bytes: body.freeze(), trailing_bytes: raw.len() })),
     }
 }
 
-/// Reads a query from its headers and body. The platform's header names are mapped to the field's terms here.
+/// Reads a query from its headers and body, and maps the platform's header names to the terms of this code base.
 fn query(headers: Headers<'_>, body: &[u8]) -> Result<NewQuery, RequestError> {
-    let name = headers.require("Req-Id")?;
-    if !is_valid_name(name) {
-        return Err(RequestError::InvalidName("Req-Id"));
+    let request_id = headers.require("Req-Id")?;
+    if !is_valid_request_id(request_id) {
+        return Err(RequestError::InvalidIdentifier("Req-Id"));
     }
     let deadline = headers.require("Req-Deadline")?;
-    let text = std::str::from_utf8(body).map_err(|_| RequestError::BodyNotText)?;
-    let body: QueryBody = json::from_str(text).map_err(|_| RequestError::BodyNotQuery)?;
+    let text = std::str::from_utf8(body).map_err(|_| RequestError::BodyNotUtf8)?;
+    let body: QueryBody = json::from_str(text).map_err(|_| RequestError::InvalidQuery)?;
     let class = headers.require("Req-Kind")?.to_owned();
     let tenant = headers.get("req-owner")?.map(str::to_owned);
     let time_left = parse_time(deadline).ok_or(RequestError::InvalidTime("Req-Deadline"))?;
     let is_retry = headers.get("req-retry")? == Some("1");
     let idempotency_key = headers.get("idempotency-key")?;
     if idempotency_key.is_some_and(|key| !is_valid_idempotency_key(key)) {
-        return Err(RequestError::InvalidName("Idempotency-Key"));
+        return Err(RequestError::InvalidIdentifier("Idempotency-Key"));
     }
     Ok(NewQuery {
-        name: name.into(),
+        name: request_id.into(),
         class,
         tenant,
         time_left: Some(time_left),
@@ -284,7 +284,7 @@
     })
 }
 
-/// A number with its unit, `m` for milliseconds or `u` for microseconds.
+/// Parses a non-negative number followed by its unit, `m` for milliseconds or `u` for microseconds.
 fn parse_time(text: &str) -> Option<Millis> {
     let (number, unit) = text.split_at_checked(text.len().checked_sub(1)?)?;
     let unit_millis = match unit {
--- a/src/net/http/response.rs
+++ b/src/net/http/response.rs
@@ -11,7 +11,7 @@
 const TEXT: &str = "text/plain";
 const JSON: &str = "application/json";
 
-/// The statuses that this server sends.
+/// The response statuses that this server uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Status {
     Ok,
@@ -28,7 +28,7 @@
 }
 
 impl Status {
-    /// Code and reason, as in a status line.
+    /// Status code and reason phrase, as in a status line.
     const fn line(self) -> &'static str {
         match self {
             Self::Ok => "200 OK",
@@ -46,7 +46,7 @@
     }
 }
 
-/// The JSON body of an answer, with the platform's field names.
+/// The JSON body of an answer; it is serialized with the platform's field names.
 #[derive(Serialize)]
 struct AnswerBody {
     #[serde(rename = "total")]
@@ -64,7 +64,7 @@
     value: String,
 }
 
-/// The response to a request; `close` announces that the connection ends with it.
+/// Renders the response to a request; `close` adds the header that announces the end of the connection.
 pub(super) fn render_reply(reply: Reply, close: bool) -> Vec<u8> {
     match reply {
         Reply::Answer { complete, values } => {
@@ -87,12 +87,12 @@
     }
 }
 
-/// The response to a request that is rejected before the aggregator sees it; the connection ends with it.
+/// Renders the response to a request that is rejected before it reaches the aggregator; it closes the connection.
 pub(super) fn render_error(error: RequestError) -> Vec<u8> {
     render_text(error.status(), &format!("{error}\n"), true)
 }
 
-/// One entry a row: leaf servers that answer by Flight may give several rows for a part.
+/// Builds one entry per row: Flight leaf servers may return several rows for a part.
 fn answer_body(complete: bool, values: &[(u32, Vec<Bytes>)]) -> AnswerBody {
     let mut rows = Vec::new();
     for (shard, shard_rows) in values {
@@ -107,7 +107,7 @@
     render(status, TEXT, "", body.as_bytes(), close)
 }
 
-/// `extra_headers` are whole lines with their line ends.
+/// Renders a complete response. `extra_headers` are complete header lines, each terminated by CRLF.
 fn render(status: Status, content_type: &str, extra_headers: &str, body: &[u8], close: bool) -> Vec<u8> {
     let status_line = status.line();
     let length = body.len();
--- a/src/net/http/session.rs
+++ b/src/net/http/session.rs
@@ -1,4 +1,4 @@
-//! One client's connection: reads a request, waits for the aggregator's reply, writes it, and starts again.
+//! One client connection: reads a request, waits for the aggregator's reply, writes it, and repeats.
 
 use super::request::{self, MAX_HEAD_BYTES, Operation, Parsed, ParsedRequest, RequestError};
 use super::response;
@@ -14,33 +14,36 @@
 use tokio::task::yield_now;
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
-/// A request is in so long after its first byte, and the first one of a connection so long after it opened: against
-/// clients that hold a connection by trickling.
+/// Time within which a request must be complete, from its first byte, or from the connection's start for the first
+/// request. Limits how long a client that sends slowly can occupy a connection.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
-/// A request is in so long after the connection was to be closed.
+/// Time within which a partly received request must be complete once the aggregator wants the connection closed.
 const REQUEST_TIMEOUT_WHILE_CLOSING: Duration = Duration::from_millis(300);
-/// A connection without a request is closed after so long, so that other clients get its place.
+/// Time after which a connection without a request is closed, to free its slot for other clients.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2100);
-/// A connection that is to be closed is read for so long before: a request may be on its way through the event loop.
+/// How long an idle connection is still read before it is closed: a request may have arrived that this task has not
+/// been notified of yet.
 const FINAL_READ_TIMEOUT: Duration = Duration::from_millis(2);
-/// A client that does not take its response for so long is cut off.
+/// Time after which a client that does not read its response is disconnected.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// After the last response, what the client still sends is read and dropped, lest it resets the response: for so long.
-const DRAIN_TIMEOUT: Duration = Duration::from_secs(5);
-/// And so many bytes of it at most.
-const MAX_DRAIN_BYTES: usize = 80 << 20;
-/// And until the client has paused for so long.
-const DRAIN_PAUSE: Duration = Duration::from_millis(500);
-/// Bytes read at once of those that are dropped.
-const DRAIN_READ_BYTES: usize = 16 << 10;
+/// Maximum duration of a lingering close. After the last response, data that the client still sends is read and
+/// discarded: closing with unread data would reset the connection and could lose the response.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum number of bytes discarded by a lingering close.
+const MAX_LINGER_BYTES: usize = 80 << 20;
+/// Time without data from the client after which a lingering close ends.
+const LINGER_IDLE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Size of the read buffer of a lingering close.
+const LINGER_READ_BYTES: usize = 16 << 10;
 
-/// Bytes that a client may pipeline while its request is served.
+/// Maximum number of buffered bytes of pipelined requests while a request is served.
 const MAX_PIPELINED_BYTES: usize = MAX_HEAD_BYTES;
-/// How often a client that has pipelined more is checked for its end; attempts must not begin 0.1 s after that.
-const END_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval at which a client that has pipelined more is checked for a disconnect: no attempt may start later than
+/// 0.1 s after the client has disconnected.
+const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Serves one client until its connection ends, and reports that it has.
+/// Serves one client until its connection ends, then sends [`Event::ClientClosed`].
 pub(super) async fn run(
     stream: TcpStream,
     client: ClientId,
@@ -57,7 +60,7 @@
         idle_since: Instant::now(),
         closing_since: None,
     };
-    // An error is the client's own: it has gone.
+    // An I/O error means that the client has disconnected.
     let _ = session.serve().await;
     let _ = events.send(Event::ClientClosed(client)).await;
 }
@@ -68,21 +71,21 @@
     events: &'a EventSender,
     messages: mpsc::Receiver<ClientMessage>,
     input: ReadBuffer,
-    /// When the connection opened, or its last response was out.
+    /// When the connection opened or its last response was written, whichever is later.
     idle_since: Instant,
-    /// When the aggregator first wanted the connection closed after the request under way.
+    /// When the aggregator first asked to close the connection after the current request.
     closing_since: Option<Instant>,
 }
 
-/// What came of reading a request.
+/// Outcome of reading a request.
 enum ReadOutcome {
     Request(Request),
     Rejected(RequestError),
-    /// The connection has ended, or is to end, between requests.
+    /// The connection has ended or is to be closed; no request is in progress.
     ConnectionEnded,
 }
 
-/// One request as read.
+/// A request that has been read.
 struct Request {
     event: Event,
     keep_alive: bool,
@@ -91,7 +94,7 @@
 /// The aggregator's reply to a request.
 struct ClientReply {
     reply: Reply,
-    /// The aggregator wants the connection closed after it.
+    /// Whether the aggregator wants the connection closed after this reply.
     close: bool,
 }
 
@@ -105,8 +108,8 @@
                 ReadOutcome::ConnectionEnded => return Ok(()),
             };
             is_first = false;
-            // The request may have been read long after it arrived, and its client may have left meanwhile.
-            if self.client_has_left().await? {
+            // The request may have waited in the buffer, and the client may have disconnected since.
+            if self.client_has_disconnected().await? {
                 return Ok(());
             }
             let _ = self.events.send(request.event).await;
@@ -114,28 +117,28 @@
             let close = close || self.closing_since.is_some() || !request.keep_alive;
             self.write(&response::render_reply(reply, close)).await?;
             if close {
-                return self.drain().await;
+                return self.lingering_close().await;
             }
             self.idle_since = Instant::now();
         }
     }
 
-    /// Where the next request begins cannot be known after one that is rejected, so the connection ends.
+    /// Responds to a malformed request and ends the connection, as the start of the next request is unknown.
     async fn reject(&mut self, error: RequestError) -> io::Result<()> {
         let _ = self.events.send(Event::RequestMalformed(Some(self.client))).await;
         self.write(&response::render_error(error)).await?;
-        self.drain().await
+        self.lingering_close().await
     }
 
     async fn read_request(&mut self, is_first: bool) -> io::Result<ReadOutcome> {
         let mut deadline = self.idle_since + IDLE_TIMEOUT;
-        let mut has_begun = false;
+        let mut has_started = false;
         let mut final_read_granted = false;
         loop {
-            if !has_begun && !self.input.is_empty() {
-                has_begun = true;
-                let begun_at = if is_first { self.idle_since } else { Instant::now() };
-                deadline = begun_at + REQUEST_TIMEOUT;
+            if !has_started && !self.input.is_empty() {
+                has_started = true;
+                let started_at = if is_first { self.idle_since } else { Instant::now() };
+                deadline = started_at + REQUEST_TIMEOUT;
             }
             match request::parse(&self.input) {
                 Ok(Parsed::Complete(parsed)) => return Ok(ReadOutcome::Request(self.take_request(parsed))),
@@ -148,12 +151,12 @@
                 Err(error) => return Ok(ReadOutcome::Rejected(error)),
             }
             if let Some(closing_since) = self.closing_since {
-                if has_begun {
+                if has_started {
                     deadline = deadline.min(closing_since + REQUEST_TIMEOUT_WHILE_CLOSING);
                 } else if final_read_granted {
                     return Ok(ReadOutcome::ConnectionEnded);
                 } else {
-                    // A close that crosses a request would lose it.
+                    // A request that arrives at the same time would be lost by an immediate close.
                     final_read_granted = true;
                     deadline = deadline.min(Instant::now() + FINAL_READ_TIMEOUT);
                 }
@@ -163,7 +166,7 @@
                     Ok(Ok(0)) => return Ok(ReadOutcome::ConnectionEnded),
                     Ok(Ok(_)) => {}
                     Ok(Err(error)) => return Err(error),
-                    Err(_) if has_begun => return Ok(ReadOutcome::Rejected(RequestError::Timeout)),
+                    Err(_) if has_started => return Ok(ReadOutcome::Rejected(RequestError::Timeout)),
                     Err(_) => return Ok(ReadOutcome::ConnectionEnded),
                 },
                 message = self.messages.recv() => match message {
@@ -175,20 +178,20 @@
         }
     }
 
-    /// Takes a parsed request off the input.
+    /// Consumes a parsed request from the input and converts it into an event.
     fn take_request(&mut self, parsed: ParsedRequest) -> Request {
         let event = match parsed.operation {
             Operation::Health => Event::HealthRequested(self.client),
             Operation::Metrics => Event::MetricsRequested(self.client),
             Operation::Query(mut query) => {
-                // A pipelined query's deadline runs from its arrival.
-                let arrived_at = self.input.arrival_before(parsed.bytes_behind);
-                let waited = arrived_at.map_or(0.0, |at| at.elapsed().as_secs_f64() * 1e3);
-                query.time_left = query.time_left.map(|time_left| (time_left - waited).max(0.0));
+                // The time that a pipelined query has waited in the buffer counts against its deadline.
+                let arrived_at = self.input.arrival_before(parsed.trailing_bytes);
+                let waited_ms = arrived_at.map_or(0.0, |at| at.elapsed().as_secs_f64() * 1e3);
+                query.time_left = query.time_left.map(|time_left| (time_left - waited_ms).max(0.0));
                 Event::QueryReceived(self.client, query)
             }
         };
-        self.input.consume_up_to(parsed.bytes_behind);
+        self.input.consume_all_but(parsed.trailing_bytes);
         Request { event, keep_alive: parsed.keep_alive }
     }
 
@@ -196,8 +199,8 @@
         self.closing_since.get_or_insert_with(Instant::now);
     }
 
-    /// Reads what has arrived, as far as a client may pipeline; whether the client has left by then.
-    async fn client_has_left(&mut self) -> io::Result<bool> {
+    /// Reads what has arrived, up to the limit on pipelined bytes, and returns whether the client has disconnected.
+    async fn client_has_disconnected(&mut self) -> io::Result<bool> {
         while self.input.len() < MAX_PIPELINED_BYTES {
             match self.input.try_read(&self.stream) {
                 Ok(0) => return Ok(true),
@@ -206,13 +209,13 @@
                 Err(error) => return Err(error),
             }
         }
-        // A connection that has just been accepted counts as readable before the kernel was asked.
+        // tokio reports a newly accepted connection as readable before it has polled the kernel.
         yield_now().await;
         let ready = self.stream.ready(Interest::READABLE).now_or_never().transpose()?;
         Ok(ready.is_some_and(tokio::io::Ready::is_read_closed))
     }
 
-    /// Waits for the reply; none where the client leaves before.
+    /// Waits for the reply; `None` if the client disconnects first.
     async fn await_reply(&mut self) -> io::Result<Option<ClientReply>> {
         loop {
             tokio::select! {
@@ -221,7 +224,7 @@
                     Some(ClientMessage::Close) => self.begin_closing(),
                     None => return Ok(None),
                 },
-                // Only a client that leaves, or pipelines, is readable now.
+                // While a request is served, data means a pipelined request, and an end of stream a disconnect.
                 read = self.input.read(&self.stream), if self.input.len() < MAX_PIPELINED_BYTES => {
                     if read? == 0 {
                         return Ok(None);
@@ -239,21 +242,21 @@
         timeout(WRITE_TIMEOUT, self.stream.write_all(bytes)).await?
     }
 
-    /// Ends the connection so that what was written arrives, though the client may still be sending.
-    async fn drain(&mut self) -> io::Result<()> {
+    /// Performs a lingering close, so that the response arrives even if the client is still sending.
+    async fn lingering_close(&mut self) -> io::Result<()> {
         self.stream.shutdown().await?;
         self.input = ReadBuffer::default();
-        let end = Instant::now() + DRAIN_TIMEOUT;
-        let mut discarded = vec![0; DRAIN_READ_BYTES];
-        let mut drained_bytes = 0;
-        while drained_bytes < MAX_DRAIN_BYTES {
-            let deadline = end.min(Instant::now() + DRAIN_PAUSE);
+        let end = Instant::now() + LINGER_TIMEOUT;
+        let mut buffer = vec![0; LINGER_READ_BYTES];
+        let mut discarded_bytes = 0;
+        while discarded_bytes < MAX_LINGER_BYTES {
+            let deadline = end.min(Instant::now() + LINGER_IDLE_TIMEOUT);
             tokio::select! {
-                read = timeout_at(deadline, self.stream.read(&mut discarded)) => match read {
-                    Ok(Ok(bytes)) if bytes > 0 => drained_bytes += bytes,
+                read = timeout_at(deadline, self.stream.read(&mut buffer)) => match read {
+                    Ok(Ok(bytes)) if bytes > 0 => discarded_bytes += bytes,
                     _ => break,
                 },
-                // Its place is wanted, or the program ends.
+                // The aggregator needs the connection's slot or is shutting down.
                 _ = self.messages.recv() => break,
             }
         }
@@ -261,11 +264,11 @@
     }
 }
 
-/// Waits for the end of what a client sends, though some of it stays unread before that.
+/// Waits until the client has closed its side of the stream, without reading the remaining data.
 async fn end_of_stream(stream: &TcpStream) -> io::Result<()> {
-    // The socket stays readable while there is unread data, so waiting for readability would return at once.
+    // With unread data the socket stays readable, so waiting for readability would return immediately.
     while !stream.ready(Interest::READABLE).await?.is_read_closed() {
-        sleep(END_CHECK_INTERVAL).await;
+        sleep(DISCONNECT_CHECK_INTERVAL).await;
     }
     Ok(())
 }
--- a/src/net/leaf_connection/frame.rs
+++ b/src/net/leaf_connection/frame.rs
@@ -1,5 +1,5 @@
-//! The platform's frames: a length of four bytes (most significant first), a letter for the frame's kind, and its body.
-//! Encoding and decoding alone; nothing here reads a socket.
+//! Encodes and decodes the platform's frames, without I/O. A frame consists of a length of four bytes (big-endian), a
+//! letter for the kind of the frame, and a body; the length covers kind and body.
 
 use super::load_report::parse_load_report;
 use crate::aggregator::PartOutcome;
@@ -7,45 +7,45 @@
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use std::fmt;
 
-/// Parts for the leaf server.
+/// Frame kind: parts for the leaf server.
 pub(super) const CALL: u8 = b'm';
-/// Cancels an attempt.
+/// Frame kind: cancels an attempt.
 pub(super) const CANCEL: u8 = b'n';
-/// A health check, and its answer.
+/// Frame kind: a health check, and the answer to one.
 pub(super) const HEALTH: u8 = b'p';
-/// The answer to a part.
+/// Frame kind: the answer to a part.
 const ANSWER: u8 = b'q';
-/// The leaf server could not use a frame.
+/// Frame kind: the leaf server rejects a frame; the body states the reason.
 const REJECTED_FRAME: u8 = b'r';
 
-/// Bytes of the length.
+/// Size of the length field.
 const LENGTH_BYTES: usize = 4;
-/// Longest frame without its length: against a length that no answer to a client could have.
+/// Maximum value of the length field. Guards against a corrupt length: no answer to a client can be longer.
 const MAX_FRAME_BYTES: usize = 80 << 10;
 
-/// What a leaf server sent that violates the protocol.
+/// A violation of the protocol by a leaf server.
 #[derive(Debug)]
 pub(super) enum ProtocolError {
     FrameLength(usize),
     UnknownKind(u8),
-    UnreadableAnswer,
-    /// A frame did not arrive in time.
+    MalformedAnswer,
+    /// A frame was not complete within its timeout.
     IncompleteFrame,
-    /// An answer to an attempt that was not sent.
+    /// An answer whose name belongs to no attempt on this connection.
     UnknownAttempt,
-    /// The leaf server's own words on a frame of this side.
+    /// The leaf server rejected a frame of the aggregator, for this reason.
     FrameRejected(String),
 }
 
 impl fmt::Display for ProtocolError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::FrameLength(bytes) => write!(f, "a frame of {bytes} bytes"),
-            Self::UnknownKind(letter) => write!(f, "a frame of unknown letter {:?}", char::from(*letter)),
-            Self::UnreadableAnswer => f.write_str("an answer that cannot be read"),
-            Self::IncompleteFrame => f.write_str("a frame that does not end"),
-            Self::UnknownAttempt => f.write_str("an answer to what was not asked"),
-            Self::FrameRejected(reason) => write!(f, "the leaf server could not use a frame: {reason}"),
+            Self::FrameLength(bytes) => write!(f, "invalid frame length: {bytes} bytes"),
+            Self::UnknownKind(kind) => write!(f, "unknown frame kind {:?}", char::from(*kind)),
+            Self::MalformedAnswer => f.write_str("malformed answer"),
+            Self::IncompleteFrame => f.write_str("frame was not complete in time"),
+            Self::UnknownAttempt => f.write_str("answer to an unknown attempt"),
+            Self::FrameRejected(reason) => write!(f, "the leaf server rejected a frame: {reason}"),
         }
     }
 }
@@ -68,8 +68,9 @@
 pub(super) struct Answer<'f> {
     pub attempt_name: &'f str,
     pub outcome: PartOutcome,
-    /// Text; of no meaning unless served.
+    /// Valid UTF-8; meaningful only if the part was served.
     pub value: Bytes,
+    /// `None` if the answer has no valid load report.
     pub report: Option<LoadReport>,
 }
 
@@ -79,17 +80,17 @@
     pub report: Option<LoadReport>,
 }
 
-/// Appends a frame.
+/// Appends an encoded frame to `output`.
 pub(super) fn encode(output: &mut BytesMut, kind: u8, body: &[u8]) {
     output.put_u32(body.len() as u32 + 1);
     output.put_u8(kind);
     output.put(body);
 }
 
-/// Takes a complete frame off the input, if there is one.
+/// Removes the first frame from the input and returns it; `None` if it is not complete yet.
 ///
 /// # Errors
-/// A length that no frame has.
+/// The length field is invalid.
 pub(super) fn next_frame(input: &mut BytesMut) -> Result<Option<Frame>, ProtocolError> {
     let Some(length) = input.first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
     let frame_bytes = u32::from_be_bytes(*length) as usize;
@@ -106,10 +107,10 @@
 }
 
 impl Frame {
-    /// Decodes what a leaf server has sent.
+    /// Decodes a frame from a leaf server.
     ///
     /// # Errors
-    /// What in it violates the protocol.
+    /// The frame violates the protocol, or the leaf server rejects a frame with it.
     pub fn decode(&self) -> Result<LeafFrame<'_>, ProtocolError> {
         match self.kind {
             ANSWER => decode_answer(&self.body).map(LeafFrame::Answer),
@@ -122,31 +123,31 @@
     }
 }
 
-/// A line `name outcome score report`, then the value. The report is all the rest of the line; one that cannot be read
-/// takes nothing from the answer.
+/// Decodes a line `name outcome score report` that is followed by the value. The report extends to the end of the line;
+/// a malformed report does not invalidate the answer.
 fn decode_answer(body: &Bytes) -> Result<Answer<'_>, ProtocolError> {
-    let line_end = body.iter().position(|byte| *byte == b'\n').ok_or(ProtocolError::UnreadableAnswer)?;
+    let line_end = body.iter().position(|byte| *byte == b'\n').ok_or(ProtocolError::MalformedAnswer)?;
     let value = body.slice(line_end + 1..);
     let mut fields =
         body[..line_end].splitn(4, |byte| *byte == b' ').map(|field| std::str::from_utf8(field).ok());
     let mut next_field = || fields.next().flatten();
-    let attempt_name = next_field().ok_or(ProtocolError::UnreadableAnswer)?;
+    let attempt_name = next_field().ok_or(ProtocolError::MalformedAnswer)?;
     let outcome = match next_field() {
         Some("good") => PartOutcome::Served,
         Some("bad") => PartOutcome::Failed,
         Some("later") => PartOutcome::Rejected,
-        _ => return Err(ProtocolError::UnreadableAnswer),
+        _ => return Err(ProtocolError::MalformedAnswer),
     };
-    let score = next_field().ok_or(ProtocolError::UnreadableAnswer)?;
+    let score = next_field().ok_or(ProtocolError::MalformedAnswer)?;
     let report = next_field().and_then(parse_load_report);
-    // Values are passed on as text: one that is none could not be passed on as it was given.
+    // Clients receive values as strings, so a value that is not valid UTF-8 could not be passed on unchanged.
     if score.parse::<f64>().is_err() || std::str::from_utf8(&value).is_err() {
-        return Err(ProtocolError::UnreadableAnswer);
+        return Err(ProtocolError::MalformedAnswer);
     }
     Ok(Answer { attempt_name, outcome, value, report })
 }
 
-/// A report that cannot be read is no report; the leaf server is healthy all the same.
+/// Decodes the answer to a health check. A malformed load report is ignored; the leaf server still counts as healthy.
 fn decode_health(body: &Bytes) -> HealthReport {
     let text = String::from_utf8_lossy(body);
     let text = text.trim();
--- a/src/net/leaf_connection/mod.rs
+++ b/src/net/leaf_connection/mod.rs
@@ -1,5 +1,5 @@
-//! Connections to leaf servers in the platform's frames. The effect dispatcher starts a task for each connection and
-//! sends it messages; the task reports to the aggregator what was written and what was answered.
+//! Connections to leaf servers that use the platform's frames. The effect dispatcher starts a task per connection and
+//! sends it messages; the task reports written messages and received answers to the aggregator.
 
 mod attempt_names;
 mod frame;
@@ -22,14 +22,15 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep_until};
 
-/// A frame is in so long after its first byte: against one whose length is wrong, behind which nothing is heard.
+/// Time within which a frame must be complete after its first byte. Guards against a wrong length field, which would
+/// make the connection treat later frames as part of this one.
 const FRAME_TIMEOUT: Duration = Duration::from_millis(250);
-/// Bytes read at once.
+/// Buffer space reserved for each read.
 const READ_BYTES: usize = 16 << 10;
 
-/// Why a connection has ended.
+/// Why a connection ended.
 enum ConnectionEnd {
-    /// The aggregator has closed it.
+    /// The aggregator closed it.
     Closed,
     Io(io::Error),
     Protocol(ProtocolError),
@@ -47,7 +48,7 @@
     }
 }
 
-/// Serves one connection until either side ends it, and reports its end once it is closed.
+/// Serves one connection until either side ends it, and sends [`Event::ConnectionEnded`] once it is closed.
 pub(super) async fn run(
     connection: ConnectionId,
     address: Arc<str>,
@@ -73,7 +74,7 @@
             Ok(stream) => stream,
             Err(error) => return ConnectionEnd::Io(error),
         },
-        // Until the connection is up, the aggregator sends nothing on it and can only close it.
+        // Before the connection is established, the aggregator sends no messages; it can only close the connection.
         _ = messages.recv() => return ConnectionEnd::Closed,
     };
     let _ = stream.set_nodelay(true);
@@ -81,20 +82,20 @@
     let mut connection = LeafConnection::new(id, events);
     let end = connection.serve(&stream, &mut messages).await;
     if !matches!(end, ConnectionEnd::Io(_)) {
-        // A close takes effect at once: nothing that is cancelled by it may leave later.
+        // Closing resets the connection immediately, so that no cancelled part is sent afterwards.
         let _ = stream.set_zero_linger();
     }
     end
 }
 
-/// A connection that is up.
+/// An established connection.
 struct LeafConnection<'a> {
     id: ConnectionId,
     events: &'a EventSender,
     output: OutputBuffer,
     input: BytesMut,
-    /// When the frame began to arrive that is not complete.
-    frame_begun: Option<Instant>,
+    /// When the first byte of an incomplete frame was read; `None` between frames.
+    frame_started_at: Option<Instant>,
     attempts: AttemptNames,
 }
 
@@ -105,7 +106,7 @@
             events,
             output: OutputBuffer::default(),
             input: BytesMut::new(),
-            frame_begun: None,
+            frame_started_at: None,
             attempts: AttemptNames::default(),
         }
     }
@@ -122,7 +123,7 @@
         }
     }
 
-    /// Waits for a message or for the socket, and handles it.
+    /// Waits for a message, socket readiness or the frame timeout, and handles it.
     async fn step(
         &mut self,
         stream: &TcpStream,
@@ -130,7 +131,7 @@
     ) -> Result<(), ConnectionEnd> {
         let interest =
             if self.output.is_empty() { Interest::READABLE } else { Interest::READABLE | Interest::WRITABLE };
-        let frame_deadline = self.frame_begun.unwrap_or_else(Instant::now) + FRAME_TIMEOUT;
+        let frame_deadline = self.frame_started_at.unwrap_or_else(Instant::now) + FRAME_TIMEOUT;
         tokio::select! {
             message = messages.recv() => {
                 let Some(message) = message else { return Err(ConnectionEnd::Closed) };
@@ -144,13 +145,13 @@
                     self.read(stream).await
                 }
             }
-            () = sleep_until(frame_deadline), if self.frame_begun.is_some() => {
+            () = sleep_until(frame_deadline), if self.frame_started_at.is_some() => {
                 Err(ProtocolError::IncompleteFrame.into())
             }
         }
     }
 
-    /// Puts a message into the output.
+    /// Encodes a message and appends it to the output.
     fn encode(&mut self, message: LeafMessage) {
         match message {
             LeafMessage::Call(parts) if parts.is_empty() => {}
@@ -183,7 +184,7 @@
         self.attempts.insert(name, part.attempt);
     }
 
-    /// Writes what the leaf server takes now and reports which messages are written completely.
+    /// Writes as much as the socket accepts and reports the number of messages that are completely written.
     async fn write(&mut self, stream: &TcpStream) -> Result<(), ConnectionEnd> {
         let written_before = self.output.written_messages();
         let result = self.output.write(stream);
@@ -203,25 +204,26 @@
             Err(error) => return Err(error.into()),
         }
         while let Some(frame) = frame::next_frame(&mut self.input)? {
-            self.frame_begun = None;
+            self.frame_started_at = None;
             let event = match frame.decode()? {
-                LeafFrame::Answer(answer) => self.answered(answer)?,
-                LeafFrame::Health(report) => self.health_checked(report),
+                LeafFrame::Answer(answer) => self.answer_event(answer)?,
+                LeafFrame::Health(report) => self.health_check_event(report),
             };
             let _ = self.events.send(event).await;
         }
         if self.input.is_empty() {
-            // A large frame's buffer is not kept for the connection's lifetime.
+            // Releases the buffer, so that a large frame does not occupy memory for the connection's lifetime.
             self.input = BytesMut::new();
-            self.frame_begun = None;
+            self.frame_started_at = None;
         } else {
-            self.frame_begun.get_or_insert_with(Instant::now);
+            self.frame_started_at.get_or_insert_with(Instant::now);
         }
         Ok(())
     }
 
-    /// An answer under an unknown name is an error: it may belong to an attempt that would then wait for it in vain.
-    fn answered(&mut self, answer: Answer<'_>) -> Result<Event, ProtocolError> {
+    /// Converts an answer into an event. An unknown name is an error: the answer may belong to an attempt in flight,
+    /// which would otherwise wait for it in vain.
+    fn answer_event(&mut self, answer: Answer<'_>) -> Result<Event, ProtocolError> {
         let attempt = self.attempts.remove(answer.attempt_name).ok_or(ProtocolError::UnknownAttempt)?;
         Ok(Event::AttemptAnswered {
             connection: self.id,
@@ -232,7 +234,7 @@
         })
     }
 
-    fn health_checked(&self, HealthReport { healthy, report }: HealthReport) -> Event {
+    fn health_check_event(&self, HealthReport { healthy, report }: HealthReport) -> Event {
         Event::HealthCheckEnded { connection: self.id, healthy, report }
     }
 }
--- a/src/net/leaf_connection/output.rs
+++ b/src/net/leaf_connection/output.rs
@@ -1,4 +1,4 @@
-//! Bytes that wait to be written to a leaf server, and which messages have been written completely.
+//! Buffers output for a leaf server and counts the messages that have been completely written.
 
 use super::frame;
 use bytes::{Buf, BytesMut};
@@ -6,15 +6,15 @@
 use std::io;
 use tokio::net::TcpStream;
 
-/// The unwritten output of a connection.
+/// The pending output of a connection.
 #[derive(Default)]
 pub(super) struct OutputBuffer {
     bytes: BytesMut,
-    /// Bytes written since the start.
+    /// Bytes written since the connection was opened.
     written_bytes: u64,
-    /// Where messages end that are not written completely, in bytes since the start.
+    /// End offsets of the messages that are not completely written, in bytes since the connection was opened.
     message_ends: VecDeque<u64>,
-    /// Messages written completely since the start.
+    /// Messages completely written since the connection was opened.
     written_messages: u64,
 }
 
@@ -32,15 +32,15 @@
         frame::encode(&mut self.bytes, kind, body);
     }
 
-    /// Ends the current message; one without a frame counts as written with those before it.
+    /// Ends the current message. A message without a frame counts as written together with its predecessors.
     pub fn end_message(&mut self) {
         self.message_ends.push_back(self.written_bytes + self.bytes.len() as u64);
     }
 
-    /// Writes what the socket takes now.
+    /// Writes as much as the socket accepts without blocking.
     ///
     /// # Errors
-    /// The connection is broken; what was written before that counts.
+    /// The connection has failed; bytes written before the error are still counted.
     pub fn write(&mut self, stream: &TcpStream) -> io::Result<()> {
         let result = self.write_bytes(stream);
         while self.message_ends.front().is_some_and(|end| *end <= self.written_bytes) {
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -1,20 +1,20 @@
-//! What the tasks and threads of this module send to the event loop, and what the loop sends to them.
+//! Messages between the event loop and the other tasks and threads of this module.
 
 use crate::aggregator::{AttemptId, CallPart, ClientId, Event, Reply};
 use crate::ledger::LedgerEvent;
 use std::fmt;
 use tokio::sync::mpsc;
 
-/// Events that wait for the event loop; a sender waits while the queue is full.
+/// Capacity of the event loop's queue; senders wait while it is full.
 const EVENT_QUEUE_LENGTH: usize = 1024;
 
-/// Messages that wait for a client's task: the reply, and one request to close on top of it.
+/// Capacity of a client task's queue, which holds at most a reply and a close request.
 pub(crate) const CLIENT_QUEUE_LENGTH: usize = 4;
 
-/// Messages that wait for a leaf connection's task; a connection whose queue is full is given up.
+/// Capacity of a leaf connection task's queue; a connection whose queue is full is closed.
 pub(crate) const LEAF_QUEUE_LENGTH: usize = 256;
 
-/// The event loop has ended; nothing more is carried out.
+/// The event loop has ended, so events are no longer processed.
 #[derive(Debug)]
 pub(crate) struct AggregatorStopped;
 
@@ -26,18 +26,18 @@
 
 impl std::error::Error for AggregatorStopped {}
 
-/// What the event loop receives.
+/// An input of the event loop.
 pub(crate) enum LoopInput {
     /// A client has connected.
     ClientOpened {
-        /// Its number.
+        /// The client's ID, unique among HTTP connections and Flight calls.
         client: ClientId,
-        /// Where messages for it go.
+        /// Queue of the client's task.
         messages: mpsc::Sender<ClientMessage>,
     },
     /// An event for the aggregator.
     Event(Event),
-    /// An event of the ledger, which also concerns replies that wait for it.
+    /// An event of the ledger; replies that wait for the ledger depend on it too.
     Ledger(LedgerEvent),
 }
 
@@ -45,18 +45,18 @@
 pub(crate) enum ClientMessage {
     /// The reply to the client's request.
     Reply {
-        /// What is to be answered.
+        /// The reply to render in the client's protocol.
         reply: Reply,
-        /// The connection ends after this reply.
+        /// Whether the connection ends after this reply; Flight calls ignore it.
         close: bool,
     },
-    /// Close the connection once no request is under way.
+    /// Close the connection once no request is in progress; Flight calls ignore it.
     Close,
 }
 
-/// A message for a leaf connection's task. The aggregator counts these and awaits [`Event::Written`] for each.
+/// A message for a leaf connection's task. The aggregator counts these and expects [`Event::Written`] to confirm each.
 pub(crate) enum LeafMessage {
-    /// Send these parts in one call.
+    /// Send these parts, in one frame if the protocol allows it.
     Call(Vec<CallPart>),
     /// Cancel an attempt.
     Cancel(AttemptId),
@@ -91,7 +91,7 @@
         self.0.blocking_send(LoopInput::Event(event)).map_err(|_| AggregatorStopped)
     }
 
-    /// Announces a client before any event of its own.
+    /// Registers a client; must precede all events of that client.
     ///
     /// # Errors
     /// The event loop has ended.
@@ -111,7 +111,7 @@
         self.0.blocking_send(LoopInput::Ledger(event)).map_err(|_| AggregatorStopped)
     }
 
-    /// Sends an event of the ledger that may be lost: it is dropped where the queue is full or the loop has ended.
+    /// Sends an event of the ledger that may be lost: it is dropped if the queue is full or the event loop has ended.
     pub fn try_send_ledger(&self, event: LedgerEvent) {
         let _ = self.0.try_send(LoopInput::Ledger(event));
     }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,8 +1,8 @@
-//! The sockets and threads of the aggregator. Each part of this module turns bytes into [`Event`]s of the
-//! sans-IO aggregator, or its [`Effect`]s into bytes; none of them takes a decision about a query.
+//! I/O layer of the aggregator: sockets, tasks and threads. The submodules translate received bytes into [`Event`]s of
+//! the sans-IO aggregator and its [`Effect`]s into bytes; they make no decisions about queries.
 //!
-//! One task, the event loop, holds the aggregator's state. Each connection has a task of its own, so that none can
-//! hold up the others; work that waits for a disk runs on threads. `cli` calls [`serve`] and [`serve_on`].
+//! One task, the event loop, owns the aggregator's state. Each connection has its own task, so that a slow one does not
+//! block the others; blocking disk I/O runs on threads. `cli` calls [`serve`] and [`serve_on`].
 //!
 //! [`Event`]: crate::aggregator::Event
 //! [`Effect`]: crate::aggregator::Effect
--- a/src/net/query_body.rs
+++ b/src/net/query_body.rs
@@ -1,19 +1,19 @@
-//! The fields of a query that both servers, HTTP and Flight, read from JSON. The platform's field names are mapped to
-//! the field's terms here.
+//! The fields of a query that the HTTP and Flight servers read from JSON. The platform's field names are mapped to the
+//! terms of this code base here.
 
 use crate::aggregator::NewPart;
 use miniserde::Deserialize;
 
-/// Longest name of a query, in bytes.
-const MAX_NAME_BYTES: usize = 128;
+/// Maximum length of a request ID or an idempotency key.
+const MAX_REQUEST_ID_BYTES: usize = 128;
 
 /// The JSON body of a query over HTTP.
 #[derive(Deserialize)]
 pub(crate) struct QueryBody {
-    /// The parts.
+    /// The requested parts, one per shard.
     #[serde(rename = "ranges")]
     pub parts: Vec<PartBody>,
-    /// What each part asks its leaf server.
+    /// The predicate that each part sends to its leaf server, passed on unchanged.
     #[serde(rename = "predicate")]
     pub payload: String,
 }
@@ -21,19 +21,19 @@
 /// One part of a query.
 #[derive(Deserialize)]
 pub(crate) struct PartBody {
-    /// The shard.
+    /// Number of the shard.
     #[serde(rename = "range")]
     shard: u32,
-    /// The part's share of the complete answer.
+    /// Share of the complete answer; the weights of all parts add up to one.
     #[serde(rename = "portion")]
     weight: f64,
-    /// An estimate of the work, in microseconds.
+    /// The client's estimate of the work in microseconds; `None` if it sends no estimate.
     #[serde(rename = "price")]
     cost_micros: Option<f64>,
 }
 
 impl PartBody {
-    /// The part as the aggregator takes it.
+    /// Converts the part for the aggregator, with the cost estimate in milliseconds.
     pub fn to_part(&self) -> NewPart {
         NewPart {
             shard: self.shard,
@@ -43,12 +43,14 @@
     }
 }
 
-/// Whether an idempotency key is valid: it is one entry of a comma-separated list in a leaf frame.
+/// Whether an idempotency key is valid. Leaf frames contain it in a comma-separated list of `name=value` entries.
 pub(crate) fn is_valid_idempotency_key(key: &str) -> bool {
-    is_valid_name(key) && !key.contains([',', '='])
+    is_valid_request_id(key) && !key.contains([',', '='])
 }
 
-/// Whether a query's name is valid: leaf frames separate it from other fields by blanks.
-pub(crate) fn is_valid_name(name: &str) -> bool {
-    !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.bytes().all(|byte| byte.is_ascii_graphic())
+/// Whether a request ID is valid. Leaf frames separate it from other fields by spaces.
+pub(crate) fn is_valid_request_id(request_id: &str) -> bool {
+    !request_id.is_empty()
+        && request_id.len() <= MAX_REQUEST_ID_BYTES
+        && request_id.bytes().all(|byte| byte.is_ascii_graphic())
 }
--- a/src/net/read_buffer.rs
+++ b/src/net/read_buffer.rs
@@ -1,5 +1,5 @@
-//! Bytes that have arrived on a client's connection and are not consumed yet, and when they arrived: the deadline of a
-//! pipelined request runs while those before it are served.
+//! Buffers unconsumed bytes of a client connection together with their arrival times: the deadline of a pipelined
+//! request counts from its arrival, while earlier requests are still being served.
 
 use bytes::{Buf, BytesMut};
 use std::collections::VecDeque;
@@ -8,23 +8,24 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// Bytes read at once.
+/// Buffer space reserved for each read.
 const READ_BYTES: usize = 4 << 10;
-/// Reads so close to each other count as one, with the time of the first: bounds what a client that trickles costs.
+/// Reads within this interval are recorded as one arrival with the time of the first. Limits the number of records for
+/// a client that sends slowly.
 const READ_MERGE_WINDOW: Duration = Duration::from_millis(10);
 
-/// Bytes that arrived in one read, or in several close to each other.
+/// Bytes that arrived in one read, or in several reads within [`READ_MERGE_WINDOW`].
 #[derive(Clone, Copy, Debug)]
 struct Arrival {
     bytes: usize,
     at: Instant,
 }
 
-/// Unconsumed bytes in the order of their arrival.
+/// Unconsumed bytes in order of arrival.
 #[derive(Default)]
 pub(super) struct ReadBuffer {
     bytes: BytesMut,
-    /// Oldest first; their bytes add up to the buffer's length.
+    /// Oldest first; the byte counts add up to the length of `bytes`.
     arrivals: VecDeque<Arrival>,
 }
 
@@ -37,10 +38,10 @@
 }
 
 impl ReadBuffer {
-    /// Reads once something has arrived; 0 at the end of the stream.
+    /// Waits for data and reads it; returns 0 at the end of the stream.
     ///
     /// # Errors
-    /// The connection is broken.
+    /// The connection has failed.
     pub async fn read(&mut self, stream: &TcpStream) -> io::Result<usize> {
         loop {
             stream.readable().await?;
@@ -51,12 +52,12 @@
         }
     }
 
-    /// Reads what has arrived; 0 at the end of the stream.
+    /// Reads available data without waiting; returns 0 at the end of the stream.
     ///
     /// # Errors
-    /// `WouldBlock` where nothing has arrived; otherwise the connection is broken.
+    /// `WouldBlock` if no data is available; any other error means that the connection has failed.
     pub fn try_read(&mut self, stream: &TcpStream) -> io::Result<usize> {
-        // An idle connection holds no buffer: there may be many of them.
+        // There may be many idle connections, so an empty buffer releases its memory.
         if self.bytes.is_empty() {
             self.bytes = BytesMut::new();
         }
@@ -77,28 +78,28 @@
         }
     }
 
-    /// Marks all bytes as those of one incomplete request, which arrives with its last byte.
+    /// Marks all buffered bytes as part of one incomplete request, whose arrival time is that of its last byte.
     pub fn mark_incomplete(&mut self) {
         if let Some(last) = self.arrivals.back().copied() {
             self.arrivals = VecDeque::from([Arrival { bytes: self.bytes.len(), at: last.at }]);
         }
     }
 
-    /// When the last byte arrived that has `bytes_behind` bytes behind it.
-    pub fn arrival_before(&self, bytes_behind: usize) -> Option<Instant> {
+    /// Arrival time of the byte before the last `trailing_bytes` bytes; `None` if there is no such byte.
+    pub fn arrival_before(&self, trailing_bytes: usize) -> Option<Instant> {
         let mut bytes_from_end = 0;
         for arrival in self.arrivals.iter().rev() {
             bytes_from_end += arrival.bytes;
-            if bytes_from_end > bytes_behind {
+            if bytes_from_end > trailing_bytes {
                 return Some(arrival.at);
             }
         }
         None
     }
 
-    /// Consumes all but the last `bytes_behind` bytes.
-    pub fn consume_up_to(&mut self, bytes_behind: usize) {
-        let mut consumed = self.bytes.len() - bytes_behind;
+    /// Consumes all bytes except the last `trailing_bytes`.
+    pub fn consume_all_but(&mut self, trailing_bytes: usize) {
+        let mut consumed = self.bytes.len() - trailing_bytes;
         self.bytes.advance(consumed);
         while let Some(oldest) = self.arrivals.front_mut() {
             if oldest.bytes > consumed {
@@ -108,7 +109,7 @@
             consumed -= oldest.bytes;
             self.arrivals.pop_front();
         }
-        if bytes_behind == 0 {
+        if trailing_bytes == 0 {
             self.bytes = BytesMut::new();
         }
     }
--- a/tests/http_and_flight.rs
+++ b/tests/http_and_flight.rs
@@ -1,4 +1,4 @@
-//! The same faults over HTTP and Flight, on either side, must end in the same outcomes and counters.
+//! Runs the same faults over HTTP and Flight, for clients and for leaf servers: outcomes and counters must be equal.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 use tonic_types::StatusExt;
 
-/// How long a test pauses between two polls.
+/// Interval at which the leaf servers are polled for parts.
 const POLL_INTERVAL: Duration = Duration::from_millis(1);
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -19,7 +19,7 @@
     Flight,
 }
 
-/// What a client ends up with, whichever protocol it used.
+/// Outcome of a query, independent of the client's protocol.
 #[derive(Debug, PartialEq)]
 enum Outcome {
     Answered { complete: bool, rows: Vec<(u32, String)> },
@@ -28,15 +28,15 @@
     Failed,
 }
 
-/// A leaf server that speaks the platform's frames.
+/// A leaf server that uses the platform's frames.
 struct FrameLeaf {
     leaf: LeafServer,
     connections: Vec<LeafConnection>,
-    /// Names of the parts that were cancelled.
+    /// Names of the parts that the aggregator has cancelled.
     cancelled: Vec<String>,
 }
 
-/// A leaf server of either protocol, played by the test.
+/// A leaf server of either protocol, controlled by the test.
 enum AnyLeaf {
     Platform(FrameLeaf),
     Flight(FlightLeaf),
@@ -53,7 +53,7 @@
         FrameLeaf { leaf: LeafServer::new(), connections: Vec::new(), cancelled: Vec::new() }
     }
 
-    /// Handles the next frame; gives the part if it holds one.
+    /// Handles the next frame, if any; returns a part if the frame contains one.
     fn try_part(&mut self) -> Option<Part> {
         self.connections.extend(self.leaf.try_accept());
         let connection = self.connections.iter().position(LeafConnection::has_frame)?;
@@ -71,14 +71,14 @@
     }
 
     fn respond(&mut self, connection: usize, name: &str, response: LeafResponse) {
-        let link = &mut self.connections[connection];
+        let leaf_connection = &mut self.connections[connection];
         match response {
-            LeafResponse::Served(value) => link.answer(name, "good", value),
-            LeafResponse::Failed => link.answer(name, "bad", ""),
-            LeafResponse::Rejected => link.answer(name, "later", ""),
-            LeafResponse::Unreadable => link.send_frame('q', "noise"),
+            LeafResponse::Served(value) => leaf_connection.answer(name, "good", value),
+            LeafResponse::Failed => leaf_connection.answer(name, "bad", ""),
+            LeafResponse::Rejected => leaf_connection.answer(name, "later", ""),
+            LeafResponse::Unreadable => leaf_connection.send_frame('q', "noise"),
             LeafResponse::Cut(value) => {
-                link.send_truncated_frame('q', &format!("{name} good 1 -\n{value}"));
+                leaf_connection.send_truncated_frame('q', &format!("{name} good 1 -\n{value}"));
                 self.connections.remove(connection);
             }
         }
@@ -119,10 +119,10 @@
                 frames.respond(connection, &name, response);
             }
             (AnyLeaf::Flight(leaf), Part::Flight(part)) => {
-                let is_cut = matches!(response, LeafResponse::Cut(_));
+                let is_truncated = matches!(response, LeafResponse::Cut(_));
                 part.respond(response);
-                if is_cut {
-                    // The row must be on its way before the end.
+                if is_truncated {
+                    // Gives the row time to be sent before the connection is closed.
                     std::thread::sleep(Duration::from_millis(50));
                     leaf.close_connections();
                 }
@@ -137,13 +137,13 @@
             (AnyLeaf::Platform(frames), Part::Platform { connection, name }) => {
                 frames.await_cancellation(connection, name);
             }
-            (_, Part::Flight(part)) => part.cancelled.recv_timeout(PATIENCE).expect("a cancellation"),
+            (_, Part::Flight(part)) => part.cancelled.recv_timeout(PATIENCE).expect("not cancelled"),
             _ => unreachable!("a leaf server gets parts of its own protocol"),
         }
     }
 }
 
-/// The next part at any of some leaf servers, and the index of that leaf server.
+/// Waits for the next part at any of the leaf servers; returns the leaf server's index and the part.
 fn next_part(leaves: &mut [AnyLeaf]) -> (usize, Part) {
     let deadline = Instant::now() + PATIENCE;
     loop {
@@ -152,12 +152,12 @@
                 return (index, part);
             }
         }
-        assert!(Instant::now() < deadline, "no part arrives");
+        assert!(Instant::now() < deadline, "no part arrived within the timeout");
         std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// Lets whichever leaf server is asked next respond.
+/// Waits for the next part at any of the leaf servers and responds to it.
 fn respond_next(leaves: &mut [AnyLeaf], response: LeafResponse) {
     let (index, part) = next_part(leaves);
     leaves[index].respond(part, response);
@@ -166,7 +166,7 @@
 /// A client of either protocol with a query in flight.
 enum PendingQuery {
     Platform(Client),
-    /// The gateway's connection must outlive the pull.
+    /// The gateway is kept because its connection must outlive the pull.
     Flight(Box<Gateway>, Pull),
 }
 
@@ -199,7 +199,7 @@
         }
     }
 
-    /// The client gives up: it closes its connection or cancels its call.
+    /// Cancels the query: an HTTP client closes its connection, a gateway cancels its call.
     fn cancel(self) {
         if let PendingQuery::Flight(_gateway, pull) = self {
             pull.cancel();
@@ -223,10 +223,10 @@
     }
 }
 
-/// A row of an answer's JSON, without what stands before its shard.
+/// Parses a row of an answer's JSON; `text` starts with the shard number.
 fn parse_row(text: &str) -> (u32, String) {
-    let (shard, rest) = text.split_once(",\"blob\":\"").expect("a row");
-    (shard.parse().expect("a number"), rest.split('"').next().unwrap_or("").to_owned())
+    let (shard, rest) = text.split_once(",\"blob\":\"").expect("row has no value");
+    (shard.parse().expect("shard is not a number"), rest.split('"').next().unwrap_or("").to_owned())
 }
 
 fn flight_outcome(result: Result<GatewayAnswer, tonic::Status>) -> Outcome {
@@ -248,8 +248,8 @@
     Some("flight:\n  listen: 127.0.0.1:0\n".to_owned())
 }
 
-/// Runs a scenario over all pairs of client and leaf protocol: outcomes and counters must not differ.
-fn with_all_protocols(
+/// Runs a scenario with all pairs of client and leaf protocols and compares outcomes and counters with the first pair.
+fn for_all_protocol_pairs(
     hard_limit_ms: u32,
     scenario: impl Fn(&mut Aggregator, Protocol, &mut [AnyLeaf]) -> Vec<Outcome>,
 ) {
@@ -260,23 +260,23 @@
         (Protocol::Flight, Protocol::Platform),
         (Protocol::Flight, Protocol::Flight),
     ] {
-        // Both hold shard 0.
+        // Both leaf servers hold shard 0.
         let mut leaves = [AnyLeaf::new(leaf_protocol), AnyLeaf::new(leaf_protocol)];
         let listed = [leaves[0].listed("a", 0), leaves[1].listed("b", 0)];
         let setup = Setup { operator: flight_enabled(), deadline_ms: hard_limit_ms, ..Setup::new(&listed) };
         let mut aggregator = setup.start();
         let outcomes = scenario(&mut aggregator, client_protocol, &mut leaves);
         let mut counters = aggregator.counters();
-        // Connections differ by protocol, and a watch without discovery is retried now and again.
+        // Connection counters differ by protocol, and the discovery watch, which has no server here, keeps retrying.
         counters.retain(|name, _| {
             ["queries", "parts", "answers", "attempts"].iter().any(|kind| name.starts_with(kind))
         });
         match &first {
             None => first = Some((outcomes, counters)),
-            Some((first_outcomes, first_counters)) => {
+            Some((expected_outcomes, expected_counters)) => {
                 let protocols = format!("client {client_protocol:?}, leaf {leaf_protocol:?}");
-                assert_eq!(&outcomes, first_outcomes, "{protocols}");
-                assert_eq!(&counters, first_counters, "{protocols}");
+                assert_eq!(&outcomes, expected_outcomes, "{protocols}");
+                assert_eq!(&counters, expected_counters, "{protocols}");
             }
         }
     }
@@ -287,8 +287,8 @@
 }
 
 #[test]
-fn answer_is_passed_on() {
-    with_all_protocols(10_000, |aggregator, protocol, leaves| {
+fn answer_is_returned_to_the_client() {
+    for_all_protocol_pairs(10_000, |aggregator, protocol, leaves| {
         let pending = send_query(aggregator, protocol, "q1", &[0], 9000);
         respond_next(leaves, LeafResponse::Served("v"));
         let outcome = pending.outcome();
@@ -299,7 +299,7 @@
 
 #[test]
 fn rejected_part_is_retried_elsewhere() {
-    with_all_protocols(10_000, |aggregator, protocol, leaves| {
+    for_all_protocol_pairs(10_000, |aggregator, protocol, leaves| {
         let pending = send_query(aggregator, protocol, "q1", &[0], 9000);
         respond_next(leaves, LeafResponse::Rejected);
         respond_next(leaves, LeafResponse::Served("v"));
@@ -312,7 +312,7 @@
 
 #[test]
 fn failed_part_is_retried_elsewhere() {
-    with_all_protocols(10_000, |aggregator, protocol, leaves| {
+    for_all_protocol_pairs(10_000, |aggregator, protocol, leaves| {
         let pending = send_query(aggregator, protocol, "q1", &[0], 9000);
         respond_next(leaves, LeafResponse::Failed);
         respond_next(leaves, LeafResponse::Served("v"));
@@ -323,10 +323,11 @@
     });
 }
 
-/// A stream that is cut halfway through a part: it may have run, and none of its rows reach the client.
+/// The connection breaks in the middle of an answer: the part may have been executed, and none of its rows may reach
+/// the client.
 #[test]
-fn cut_answer_counts_as_a_reset() {
-    with_all_protocols(10_000, |aggregator, protocol, leaves| {
+fn truncated_answer_counts_as_a_reset() {
+    for_all_protocol_pairs(10_000, |aggregator, protocol, leaves| {
         let pending = send_query(aggregator, protocol, "q1", &[0], 9000);
         respond_next(leaves, LeafResponse::Cut("half"));
         respond_next(leaves, LeafResponse::Served("whole"));
@@ -337,10 +338,10 @@
     });
 }
 
-/// The part may have run, and the connection is of no further use.
+/// The part may have been executed, and the connection cannot be used any longer.
 #[test]
-fn unreadable_answer_is_a_failed_attempt() {
-    with_all_protocols(10_000, |aggregator, protocol, leaves| {
+fn malformed_answer_is_a_failed_attempt() {
+    for_all_protocol_pairs(10_000, |aggregator, protocol, leaves| {
         let pending = send_query(aggregator, protocol, "q1", &[0], 9000);
         respond_next(leaves, LeafResponse::Unreadable);
         respond_next(leaves, LeafResponse::Served("whole"));
@@ -355,7 +356,7 @@
 
 #[test]
 fn query_is_rejected_at_once_after_three_failed_attempts() {
-    with_all_protocols(10_000, |aggregator, protocol, leaves| {
+    for_all_protocol_pairs(10_000, |aggregator, protocol, leaves| {
         let pending = send_query(aggregator, protocol, "q1", &[0], 9000);
         for _ in 0..3 {
             respond_next(leaves, LeafResponse::Failed);
@@ -368,13 +369,13 @@
 }
 
 #[test]
-fn silent_leaf_is_cancelled_before_the_next_is_asked() {
-    with_all_protocols(2400, |aggregator, protocol, leaves| {
+fn part_is_cancelled_at_an_unresponsive_leaf_and_retried_elsewhere() {
+    for_all_protocol_pairs(2400, |aggregator, protocol, leaves| {
         let pending = send_query(aggregator, protocol, "q1", &[0], 2400);
-        let (silent_leaf, silent_part) = next_part(leaves);
+        let (unresponsive_leaf, unanswered_part) = next_part(leaves);
         let (other_leaf, part) = next_part(leaves);
-        assert_ne!(silent_leaf, other_leaf);
-        leaves[silent_leaf].await_cancellation(silent_part);
+        assert_ne!(unresponsive_leaf, other_leaf);
+        leaves[unresponsive_leaf].await_cancellation(unanswered_part);
         leaves[other_leaf].respond(part, LeafResponse::Served("v"));
         let outcome = pending.outcome();
         assert_eq!(outcome, answered("v"));
@@ -385,7 +386,7 @@
 
 #[test]
 fn client_cancellation_cancels_its_parts() {
-    with_all_protocols(10_000, |aggregator, protocol, leaves| {
+    for_all_protocol_pairs(10_000, |aggregator, protocol, leaves| {
         let pending = send_query(aggregator, protocol, "q1", &[0], 9000);
         let (leaf, part) = next_part(leaves);
         pending.cancel();
@@ -398,7 +399,7 @@
 
 #[test]
 fn query_for_an_unknown_shard_is_a_bad_request() {
-    with_all_protocols(10_000, |aggregator, protocol, _| {
+    for_all_protocol_pairs(10_000, |aggregator, protocol, _| {
         let outcome = send_query(aggregator, protocol, "q1", &[7], 9000).outcome();
         assert_eq!(outcome, Outcome::BadRequest);
         vec![outcome]
@@ -406,17 +407,17 @@
 }
 
 #[test]
-fn flight_info_names_the_ticket_and_invalid_tickets_are_rejected() {
+fn flight_info_contains_the_ticket_and_invalid_tickets_are_rejected() {
     let leaf = LeafServer::new();
     let setup = Setup { operator: flight_enabled(), ..Setup::new(&[listed("a", leaf.address, 0)]) };
     let mut aggregator = setup.start();
     let gateway = Gateway::connect(&aggregator.flight_address());
     let valid = ticket("q1", &[0]);
-    let info = gateway.info(&valid).expect("an answer");
-    assert_eq!(info.endpoint[0].ticket.as_ref().expect("a ticket").ticket, valid.as_bytes());
+    let info = gateway.info(&valid).expect("flight info request failed");
+    assert_eq!(info.endpoint[0].ticket.as_ref().expect("endpoint has no ticket").ticket, valid.as_bytes());
     for invalid in ["{", &ticket("q 1", &[0])] {
         let result = gateway.pull(invalid.to_owned(), PATIENCE).result();
-        assert_eq!(result.err().expect("no query").code(), tonic::Code::InvalidArgument);
+        assert_eq!(result.err().expect("invalid ticket was accepted").code(), tonic::Code::InvalidArgument);
     }
     assert_eq!(aggregator.counters()["queries_malformed"], 2);
 }
@@ -428,7 +429,7 @@
         let aggregator = Setup { health_checks: true, ..Setup::new(&[leaves[0].listed("a", 0)]) }.start();
         let mut client = Client::connect(aggregator.address);
         let deadline = Instant::now() + PATIENCE;
-        // Health checks follow some of the choices between leaf servers.
+        // Only some of the replica choices trigger a health check.
         for i in 0.. {
             client.send(query(&format!("q{i}"), "9000m", &[0]));
             respond_next(&mut leaves, LeafResponse::Served("v"));
@@ -459,7 +460,7 @@
 fn invalid_operator_file_fails_the_start_and_names_the_field() {
     let mut child = spawn(&Setup::new(&[]).config(), Some("flight:\n  listen: nowhere\n"));
     let mut log = String::new();
-    child.stderr.take().expect("piped").read_to_string(&mut log).expect("text");
-    assert!(!child.wait().expect("it ends").success());
+    child.stderr.take().expect("stderr is piped").read_to_string(&mut log).expect("stderr is UTF-8");
+    assert!(!child.wait().expect("process has exited").success());
     assert!(log.contains("operator.yaml") && log.contains("flight.listen"), "{log}");
 }
