--- a/src/net/http/request.rs
+++ b/src/net/http/request.rs
@@ -245,7 +245,7 @@
     let mut body = BytesMut::new();
     let state =
         ChunkDecoder::default().decode(&mut raw, &mut body).map_err(|_| RequestError::MalformedChunk)?;
-    // Limits the encoded bytes too: chunk extensions and trailers could otherwise grow without bound.
+    // Limits the encoded bytes too: chunk-size lines and trailers alone could otherwise grow without bound.
     if body.len() > MAX_BODY_BYTES || after_head.len() > 2 * MAX_BODY_BYTES {
         return Err(RequestError::BodyTooLong);
     }
--- a/src/net/http/session.rs
+++ b/src/net/http/session.rs
@@ -60,7 +60,7 @@
         idle_since: Instant::now(),
         closing_since: None,
     };
-    // An I/O error means that the client has disconnected.
+    // An I/O error is not reported: it means that the client has disconnected.
     let _ = session.serve().await;
     let _ = events.send(Event::ClientClosed(client)).await;
 }
--- a/src/net/leaf_connection/frame.rs
+++ b/src/net/leaf_connection/frame.rs
@@ -147,7 +147,7 @@
     Ok(Answer { attempt_name, outcome, value, report })
 }
 
-/// Decodes the answer to a health check. A malformed load report is ignored; the leaf server still counts as healthy.
+/// Decodes the answer to a health check. Only the body `bad` means unhealthy; a malformed load report is ignored.
 fn decode_health(body: &Bytes) -> HealthReport {
     let text = String::from_utf8_lossy(body);
     let text = text.trim();
