--- a/src/net/flight/ticket.rs
+++ b/src/net/flight/ticket.rs
@@ -75,7 +75,7 @@
     /// Converts the ticket into a query for the aggregator, with the time left until the call's deadline.
     pub fn into_query(self, time_left: Option<Millis>) -> NewQuery {
         NewQuery {
-            name: self.request_id.into(),
+            request_id: self.request_id.into(),
             class: self.class,
             tenant: self.tenant,
             time_left,
--- a/src/net/http/request.rs
+++ b/src/net/http/request.rs
@@ -273,7 +273,7 @@
         return Err(RequestError::InvalidIdentifier("Idempotency-Key"));
     }
     Ok(NewQuery {
-        name: request_id.into(),
+        request_id: request_id.into(),
         class,
         tenant,
         time_left: Some(time_left),
