--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -1,4 +1,4 @@
-//! `sailmux check`: reads all files that the aggregator would read and prints every problem at once.
+//! `sailmux check`: reads all files that the aggregator would read and prints all of their problems.
 
 use super::failure::Failure;
 use super::inventory::check_cells;
@@ -11,18 +11,18 @@
 
 #[derive(clap::Args)]
 pub(super) struct Check {
-    /// The platform's file; default: `RELAY_CONFIG`
+    /// Platform configuration file; default: `RELAY_CONFIG`
     #[arg(long, value_name = "PATH")]
     config: Option<PathBuf>,
-    /// The operators' file; default: `SAILMUX_OPERATOR`
+    /// Operator file; default: `SAILMUX_OPERATOR`
     #[arg(long, value_name = "PATH")]
     operator: Option<PathBuf>,
 }
 
-/// What was found so far.
+/// The results so far.
 #[derive(Default)]
 struct Report {
-    /// A line for each file without a problem.
+    /// A line for each file without problems.
     valid: String,
     /// The problems of the other files.
     problems: Vec<String>,
@@ -32,7 +32,7 @@
     fn add(&mut self, path: &Path, problems: impl IntoIterator<Item: ToString>) {
         let problems: Vec<String> = problems.into_iter().map(|problem| problem.to_string()).collect();
         if problems.is_empty() {
-            self.valid.push_str(&format!("{}: good\n", path.display()));
+            self.valid.push_str(&format!("{}: valid\n", path.display()));
         }
         self.problems.extend(problems);
     }
@@ -44,7 +44,7 @@
         let operator = self.operator.or_else(|| path_in_environment("SAILMUX_OPERATOR"));
         let mut report = Report::default();
         if config.is_none() && operator.is_none() {
-            let problem = "nothing to check: name files by --config and --operator";
+            let problem = "nothing to check: specify files with --config and --operator";
             report.problems.push(problem.to_owned());
         }
         let mut cells = None;
@@ -60,7 +60,7 @@
     }
 }
 
-/// Checks the operator's file and the inventories that it names.
+/// Checks the operator file and the inventories that it refers to.
 fn check_operator(path: &Path, cells: Option<u32>, report: &mut Report) {
     let operator = match Operator::read(path) {
         Ok(operator) => operator,
--- a/src/cli/config.rs
+++ b/src/cli/config.rs
@@ -1,4 +1,4 @@
-//! `sailmux config`: the schema of the operator's file.
+//! `sailmux config`: the JSON Schema of the operator file.
 
 use super::failure::Failure;
 use super::print;
@@ -6,7 +6,7 @@
 
 #[derive(clap::Subcommand)]
 pub(super) enum Command {
-    /// Print the JSON Schema of the operators' file, for editors
+    /// Print the JSON Schema of the operator file, for use in editors
     Schema,
 }
 
--- a/src/cli/demo/leaf_server.rs
+++ b/src/cli/demo/leaf_server.rs
@@ -6,18 +6,18 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
 
-/// Longest frame that is read, in bytes.
+/// Maximum length of a frame, in bytes.
 const MAX_FRAME_BYTES: usize = 1 << 20;
 
-/// The first byte of a frame, which tells its kind.
+/// The first byte of a frame, which identifies its kind.
 mod frame_kind {
     /// Parts, from the aggregator.
     pub const PARTS: u8 = b'm';
     /// The cancellation of a part, from the aggregator.
     pub const CANCEL: u8 = b'n';
-    /// A health check and its result.
+    /// A health check, or its result.
     pub const HEALTH_CHECK: u8 = b'o';
-    /// A request for a load report, and the report.
+    /// A request for a load report, or the report.
     pub const LOAD_REPORT: u8 = b'p';
     /// The answer to a part.
     pub const ANSWER: u8 = b'q';
@@ -37,12 +37,12 @@
     /// The leaf server's name.
     name: String,
     stream: TcpStream,
-    /// Parts that were cancelled before they came.
+    /// Ids of parts that were cancelled before they arrived.
     cancelled: BTreeSet<String>,
 }
 
 impl Connection {
-    /// Answers frames until the aggregator disconnects or sends one that is invalid.
+    /// Answers frames until the aggregator disconnects or sends an invalid one.
     async fn serve(mut self) -> io::Result<()> {
         while let Some(frame) = self.read_frame().await? {
             let Some((kind, payload)) = frame.split_first() else { return Ok(()) };
@@ -69,7 +69,8 @@
         Ok(Some(frame))
     }
 
-    /// Answers the parts of a frame: each is a line with its id, its shard, a field and the length of the text behind.
+    /// Answers the parts of a frame. Each is a line with its id, its shard, an unused field and the length of the text
+    /// that follows the line.
     async fn answer_parts(&mut self, payload: &str) -> io::Result<()> {
         let mut rest = payload;
         while let Some((line, after)) = rest.split_once('\n') {
--- a/src/cli/demo/mod.rs
+++ b/src/cli/demo/mod.rs
@@ -1,4 +1,4 @@
-//! `sailmux demo`: an aggregator on loopback with a shipped inventory and simulated leaf servers within the process.
+//! `sailmux demo`: an aggregator on loopback with a built-in inventory and simulated leaf servers in the same process.
 
 mod leaf_server;
 
@@ -13,7 +13,7 @@
 use tokio::runtime::Builder;
 use tokio::task::{LocalSet, spawn_local};
 
-/// The shipped inventory. `PORT0` and so on stand for the ports of the simulated leaf servers.
+/// The built-in inventory. `PORT0` and so on are placeholders for the ports of the simulated leaf servers.
 const INVENTORY: &str = include_str!("inventory.yaml");
 const CONFIG: &str = include_str!("config.json");
 const LEAF_SERVERS: usize = 6;
@@ -22,7 +22,7 @@
 
 #[derive(clap::Args)]
 pub(super) struct Demo {
-    /// The aggregator's listen address; by default a free port on loopback
+    /// The aggregator's listen address, which must be on loopback; by default on a free port
     #[arg(long, value_name = "ADDRESS", default_value = "127.0.0.1:0")]
     listen: SocketAddr,
     /// Exit after the first answer
@@ -33,13 +33,16 @@
 impl Demo {
     pub(super) fn run(self) -> Result<(), Failure> {
         if !self.listen.ip().is_loopback() {
-            return Err(Failure::message(format!("{}: a demo stays on loopback", self.listen)));
+            return Err(Failure::message(format!(
+                "{}: the demo listens on loopback addresses only",
+                self.listen
+            )));
         }
         let directory = std::env::temp_dir().join(format!("sailmux-demo-{}", std::process::id()));
         fs::create_dir_all(&directory)?;
         let runtime = Builder::new_current_thread().enable_all().build()?;
         let result = LocalSet::new().block_on(&runtime, self.serve(&directory));
-        // A directory that stays behind in the temporary one does no harm.
+        // A leftover directory in the temporary directory is harmless.
         let _ = fs::remove_dir_all(&directory);
         result
     }
@@ -75,7 +78,7 @@
     Ok(inventory)
 }
 
-/// The configuration of an aggregator with the inventory in that directory.
+/// The configuration of an aggregator that uses the inventory in this directory.
 fn configuration(directory: &Path) -> Result<Config, Failure> {
     let config_path = directory.join("config.json");
     fs::write(&config_path, CONFIG)?;
@@ -85,16 +88,16 @@
     Ok(Config { operator, ..Config::at(&config_path)? })
 }
 
-/// Sends a query and prints its answer and the counters that are not 0.
+/// Sends a query and prints its answer and the aggregator's nonzero counters.
 async fn show_query(address: SocketAddr) -> Result<(), Failure> {
-    print(&format!("a query for shards 0 and 2:\n  {QUERY}\nits answer:\n"))?;
+    print(&format!("query for shards 0 and 2:\n  {QUERY}\nanswer:\n"))?;
     let length = QUERY.len();
     let request = format!(
         "POST /api/demo HTTP/1.1\r\nHost: {address}\r\n{QUERY_HEADERS}\r\nConnection: close\r\n\
          Content-Length: {length}\r\n\r\n{QUERY}"
     );
     let answer = response_body(address, &request).await?;
-    print(&format!("  {answer}\n\nits counters that are not 0:\n"))?;
+    print(&format!("  {answer}\n\nnonzero counters of the aggregator:\n"))?;
     let request = "GET /metrics HTTP/1.1\r\nHost: demo\r\nConnection: close\r\n\r\n";
     let counters = response_body(address, request).await?;
     for counter in counters.lines().filter(|line| !line.starts_with('#') && !line.ends_with(" 0")) {
@@ -108,13 +111,13 @@
 
 fn instructions(address: SocketAddr) -> String {
     format!(
-        "\nsend a query yourself, or set `state: draining` for a leaf server in the inventory and watch:\n  \
+        "\nsend another query, or set `state: draining` for a leaf server in the inventory and query again:\n  \
          curl -sS http://{address}/api/demo -H 'Req-Id: mine-1' -H 'Req-Kind: search' -H 'Req-Owner: acme' \\\n    \
-         -H 'Req-Deadline: 2000m' -d '{QUERY}'\n\nCtrl-C stops it.\n"
+         -H 'Req-Deadline: 2000m' -d '{QUERY}'\n\npress Ctrl-C to stop\n"
     )
 }
 
-/// Sends a request on a connection of its own and returns the body of the response.
+/// Sends a request on a new connection and returns the body of the response.
 async fn response_body(address: SocketAddr, request: &str) -> io::Result<String> {
     let mut stream = TcpStream::connect(address).await?;
     stream.write_all(request.as_bytes()).await?;
--- a/src/cli/failure.rs
+++ b/src/cli/failure.rs
@@ -6,9 +6,9 @@
 /// Why a command failed; the exit code is 1.
 #[derive(Debug)]
 pub(super) enum Failure {
-    /// With these lines for standard error.
+    /// The lines to print to standard error.
     Messages(Vec<String>),
-    /// The reason was printed to standard output as a part of the result.
+    /// The reason has already been printed to standard output as a part of the result.
     Reported,
 }
 
@@ -18,12 +18,12 @@
         Failure::Messages(vec![text.into()])
     }
 
-    /// A line for each problem.
+    /// A failure with a line for each problem.
     pub fn diagnostics(problems: Diagnostics) -> Self {
         Failure::Messages(problems.0.iter().map(ToString::to_string).collect())
     }
 
-    /// The lines for standard error.
+    /// The lines to print to standard error.
     pub fn lines(&self) -> &[String] {
         match self {
             Failure::Messages(lines) => lines,
--- a/src/cli/inventory/changes.rs
+++ b/src/cli/inventory/changes.rs
@@ -1,13 +1,13 @@
-//! Changes of a list of endpoints as text.
+//! Formatting of the changes of an endpoint list.
 
 use crate::endpoints::{Change, Difference, Endpoint, EndpointState};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The changes of endpoints by their names.
+/// The changes of endpoints, by endpoint name.
 pub(super) type ChangesByName = BTreeMap<Arc<str>, Change>;
 
-/// A line for each change, and one with their counts.
+/// One line for each change, followed by a line with the counts.
 pub(super) fn changes_text(changes: &ChangesByName) -> String {
     let mut text = String::new();
     for (name, change) in changes {
@@ -44,7 +44,7 @@
     endpoint.state == EndpointState::Draining
 }
 
-/// The fields that differ, the state apart.
+/// The fields that differ, except the state.
 fn changed_fields(before: &Endpoint, after: &Endpoint) -> Vec<String> {
     let mut fields = Vec::new();
     if before.address != after.address {
--- a/src/cli/inventory/check.rs
+++ b/src/cli/inventory/check.rs
@@ -1,4 +1,4 @@
-//! `sailmux inventory check`: reads an inventory and prints every problem.
+//! `sailmux inventory check`: reads an inventory and prints all of its problems.
 
 use super::super::failure::Failure;
 use super::super::print;
@@ -16,9 +16,9 @@
         let counts = list.summary();
         let path = self.source.path.display();
         let truncated =
-            if list.truncated_mid_line { "; it ends within a line, and would be held back" } else { "" };
+            if list.truncated_mid_line { "; it ends within a line and would be held back" } else { "" };
         print(&format!(
-            "{path}: good, {} leaf servers, {} draining{truncated}\n",
+            "{path}: valid, {} leaf servers, {} draining{truncated}\n",
             counts.endpoints, counts.draining
         ))
     }
--- a/src/cli/inventory/diff.rs
+++ b/src/cli/inventory/diff.rs
@@ -1,4 +1,4 @@
-//! `sailmux inventory diff`: what changed between two inventories.
+//! `sailmux inventory diff`: prints the changes between two inventories.
 
 use super::super::failure::Failure;
 use super::super::print;
@@ -12,7 +12,7 @@
 
 #[derive(clap::Args)]
 pub(in crate::cli) struct Diff {
-    /// The older inventory
+    /// The old inventory: a file or directory
     old: PathBuf,
     #[command(flatten)]
     source: Source,
--- a/src/cli/inventory/explain.rs
+++ b/src/cli/inventory/explain.rs
@@ -1,4 +1,4 @@
-//! `sailmux inventory explain`: each variable of a host with the places that set it.
+//! `sailmux inventory explain`: prints each variable of a host with the locations that set it.
 
 use super::super::failure::Failure;
 use super::super::print;
@@ -32,7 +32,7 @@
     }
 }
 
-/// The value that has precedence, and below it the ones that it overrides.
+/// The effective value of a variable, followed by the values that it overrides.
 fn explanation(explained: &Explained, bundle: &Bundle) -> String {
     let Some((effective, overridden)) = explained.values.split_first() else {
         return String::new();
--- a/src/cli/inventory/mod.rs
+++ b/src/cli/inventory/mod.rs
@@ -1,4 +1,4 @@
-//! `sailmux inventory`: reads inventory files without the aggregator. Only `confirm` acts on a running one, through a
+//! `sailmux inventory`: reads inventory files without an aggregator. Only `confirm` affects a running aggregator, by a
 //! file beside the inventory.
 
 mod changes;
@@ -16,17 +16,17 @@
 
 #[derive(clap::Subcommand)]
 pub(super) enum Command {
-    /// Read an inventory and print every problem; exit code 1 if there is one
+    /// Read an inventory and print all of its problems; the exit code is 1 if there are any
     Check(check::Check),
     /// Print the leaf servers of an inventory
     Show(show::Show),
     /// Print each variable of a host, where it is set, and why that value has precedence
     Explain(explain::Explain),
-    /// Print what changed between two inventories
+    /// Print the changes between two inventories
     Diff(diff::Diff),
     /// Print what applying an inventory would change, and whether it would be held back
     Plan(plan::Plan),
-    /// Let a running aggregator apply the endpoint list that it holds back
+    /// Confirm the endpoint list that a running aggregator holds back, so that it is applied
     Confirm(confirm::Confirm),
 }
 
--- a/src/cli/inventory/plan.rs
+++ b/src/cli/inventory/plan.rs
@@ -1,4 +1,4 @@
-//! `sailmux inventory plan`: what applying an inventory would do, and whether it would be held back.
+//! `sailmux inventory plan`: prints what applying an inventory would change, and whether it would be held back.
 
 use super::super::failure::Failure;
 use super::super::print;
@@ -13,13 +13,13 @@
 pub(in crate::cli) struct Plan {
     #[command(flatten)]
     source: Source,
-    /// The inventory in force; default: those that the operators' file names
+    /// The inventory in force; default: the inventories in the operator file
     #[arg(long, value_name = "PATH")]
     current: Option<PathBuf>,
-    /// Cells that hold a shard
+    /// Number of cells that hold each shard
     #[arg(long, default_value_t = 1, value_name = "N")]
     width: u32,
-    /// Percentage of the leaf servers that may be lost at once; default: as in the operators' file
+    /// Percentage of the leaf servers that may be lost at once; default: as in the operator file
     #[arg(long, value_name = "PERCENT", value_parser = clap::value_parser!(u8).range(0..=100))]
     most_lost: Option<u8>,
 }
@@ -59,14 +59,14 @@
         Err(Failure::Reported)
     }
 
-    /// The inventories in force: the one of the command line, or those of the operator's file.
+    /// The inventories in force: the one from the command line, or those from the operator file.
     fn current_files(&self, configured: Option<&Inventory>) -> Result<Vec<CurrentFile>, Failure> {
         let paths: Vec<&PathBuf> = match (&self.current, configured) {
             (Some(path), _) => vec![path],
             (None, Some(inventory)) => inventory.files.iter().map(|file| &file.path).collect(),
             (None, None) => {
                 return Err(Failure::message(
-                    "nothing to plan against: name the inventory in force by --current, or --operator",
+                    "no inventory to compare with: specify the inventory in force with --current or --operator",
                 ));
             }
         };
@@ -77,12 +77,12 @@
         Ok(files)
     }
 
-    /// The layout of shards; if the number of cells is not known, the highest one of any list tells it.
+    /// The layout of shards; if the number of cells is unknown, it is derived from the highest cell of any list.
     fn layout(&self, candidate: &FileList, current: &[CurrentFile]) -> Layout {
         let lists = current.iter().map(|file| &*file.list).chain([candidate]);
         let cells = lists.flat_map(|list| &list.records).filter_map(|record| record.cell.as_ref());
-        let listed = cells.map(|cell| cell.value + 1).max().unwrap_or(1);
-        Layout { cells: self.source.cells().unwrap_or(listed), width: self.width }
+        let listed_cells = cells.map(|cell| cell.value + 1).max().unwrap_or(1);
+        Layout { cells: self.source.cells().unwrap_or(listed_cells), width: self.width }
     }
 
     fn guard(&self, configured: Option<&Inventory>) -> GuardSettings {
@@ -94,7 +94,7 @@
     }
 }
 
-/// The number of the file that a candidate replaces: the one of its path, or the first.
+/// The number of the file that a candidate replaces: the file with the same path, or else the first.
 fn file_number(current: &[CurrentFile], path: &Path) -> u16 {
     current.iter().position(|file| file.path == path).unwrap_or(0) as u16
 }
--- a/src/cli/inventory/show.rs
+++ b/src/cli/inventory/show.rs
@@ -1,4 +1,4 @@
-//! `sailmux inventory show`: the endpoints of an inventory.
+//! `sailmux inventory show`: prints the endpoints of an inventory.
 
 use super::super::failure::Failure;
 use super::super::print;
--- a/src/cli/inventory/source.rs
+++ b/src/cli/inventory/source.rs
@@ -1,4 +1,4 @@
-//! The arguments that say which inventory is read, and how.
+//! The arguments that select an inventory and determine how it is read.
 
 use super::super::failure::Failure;
 use super::super::path_in_environment;
@@ -13,15 +13,15 @@
 
 #[derive(clap::Args)]
 pub(super) struct Source {
-    /// File or directory
+    /// Inventory: a file or directory
     pub path: PathBuf,
-    /// Number of cells: a leaf server's cell must be below it; default: as in the platform's file, if `RELAY_CONFIG` is set
+    /// Number of cells, which each leaf server's cell must be below; default: as in the file of `RELAY_CONFIG`, if set
     #[arg(long, value_name = "N")]
     cells: Option<u32>,
-    /// The operators' file, for how an inventory of that path is read; default: `SAILMUX_OPERATOR`
+    /// Operator file, whose options for the inventory are used; default: `SAILMUX_OPERATOR`
     #[arg(long, value_name = "PATH")]
     operator: Option<PathBuf>,
-    /// The inventory is read as csv or yaml, whatever its name
+    /// Read the inventory in this format, regardless of its file name
     #[arg(long, value_enum, value_name = "FORMAT")]
     read_as: Option<InputFormat>,
 }
@@ -42,13 +42,13 @@
 }
 
 impl Source {
-    /// The operator's file, if one is named.
+    /// The operator file, if one is specified.
     pub fn operator(&self) -> Result<Option<Operator>, Failure> {
         let path = self.operator.clone().or_else(|| path_in_environment("SAILMUX_OPERATOR"));
         path.map(|path| Operator::read(&path).map_err(Failure::diagnostics)).transpose()
     }
 
-    /// How an inventory of that path is read: as the operator's file says, or by the defaults.
+    /// The options for reading an inventory with this path: those of the operator file, or the defaults.
     pub fn options(&self, path: &Path) -> Result<Options, Failure> {
         let operator = self.operator()?;
         let inventory = operator.as_ref().and_then(|operator| operator.inventory.as_ref());
@@ -60,7 +60,7 @@
         Ok(options)
     }
 
-    /// The number of cells, if the command line or the platform's file tells it.
+    /// The number of cells, if the command line or the platform configuration file specifies it.
     pub fn cells(&self) -> Option<u32> {
         if self.cells.is_some() {
             return self.cells;
@@ -84,8 +84,8 @@
     }
 }
 
-/// The configured inventory of that path. A candidate lies elsewhere: it is read as the only inventory, if there is
-/// only one.
+/// The configured inventory with this path. If only one inventory is configured, it is used for any path, since a
+/// candidate has another path than the file that it replaces.
 fn configured_file<'a>(files: &'a [InventoryFile], path: &Path) -> Option<&'a InventoryFile> {
     let same = files.iter().find(|file| is_same_file(&file.path, path));
     match files {
@@ -101,7 +101,7 @@
     }
 }
 
-/// Checks that all cells of a list are below their number, if that is known.
+/// Checks that all cells of a list are below the number of cells, if that is known.
 pub(in super::super) fn check_cells(list: &FileList, cells: Option<u32>) -> Result<(), Diagnostics> {
     let Some(cells) = cells else { return Ok(()) };
     let mut problems = Vec::new();
--- a/src/cli/ledger/correct.rs
+++ b/src/cli/ledger/correct.rs
@@ -1,4 +1,4 @@
-//! `sailmux ledger correct`: changes what was billed by a record of its own.
+//! `sailmux ledger correct`: corrects billed usage by appending a correction record.
 
 use super::super::failure::Failure;
 use super::submit::unique_id;
@@ -9,22 +9,22 @@
 pub(in crate::cli) struct Correct {
     #[command(flatten)]
     location: LedgerLocation,
-    /// The tenant
+    /// The tenant to correct
     #[arg(long)]
     tenant: String,
-    /// The class
+    /// The class of the queries
     #[arg(long)]
     class: String,
-    /// The period that was wrong
+    /// The billing period to correct, such as 2026-11
     #[arg(long, value_name = "PERIOD")]
     corrects: Period,
-    /// Queries to add; may be negative
+    /// Number of queries to add; may be negative
     #[arg(long, default_value_t = 0, allow_negative_numbers = true)]
     queries: i64,
-    /// Parts to add
+    /// Number of parts to add; may be negative
     #[arg(long, default_value_t = 0, allow_negative_numbers = true)]
     parts: i64,
-    /// Thousandths of a unit of work to add
+    /// Work to add, in thousandths of a unit; may be negative
     #[arg(long, default_value_t = 0, allow_negative_numbers = true)]
     work: i64,
     /// The queries were over the tenant's quota
@@ -33,7 +33,7 @@
     /// Who makes the correction
     #[arg(long)]
     by: String,
-    /// The reason
+    /// The reason for the correction
     #[arg(long)]
     why: String,
 }
--- a/src/cli/ledger/export.rs
+++ b/src/cli/ledger/export.rs
@@ -1,4 +1,4 @@
-//! `sailmux ledger export`: exports what is new in a period.
+//! `sailmux ledger export`: exports the part of a billing period that has not been exported yet.
 
 use super::super::failure::Failure;
 use super::LedgerLocation;
@@ -9,7 +9,7 @@
 pub(in crate::cli) struct Export {
     #[command(flatten)]
     location: LedgerLocation,
-    /// The period, such as 2026-11
+    /// The billing period, such as 2026-11
     period: Period,
     /// The format of the export
     #[arg(long, value_enum, default_value_t = ExportFormat::Csv)]
--- a/src/cli/ledger/mod.rs
+++ b/src/cli/ledger/mod.rs
@@ -1,5 +1,5 @@
-//! `sailmux ledger`: show, verify, tail and reconcile read ledgers that an aggregator may be writing; correct, close and
-//! export have the request carried out by the ledger's owner: the aggregator, or this process if none runs.
+//! `sailmux ledger`: show, verify, tail and reconcile read ledgers that an aggregator may be writing. The requests of
+//! correct, close and export are executed by the ledger's owner: the aggregator, or this process if none is running.
 
 mod correct;
 mod export;
@@ -17,22 +17,22 @@
 
 #[derive(clap::Subcommand)]
 pub(super) enum Command {
-    /// Print what each tenant used
+    /// Print the usage of each tenant
     Show(show::Show),
-    /// Read every record and report what is damaged, torn or missing
+    /// Read all records and report damaged, torn and missing ones
     Verify(verify::Verify),
     /// Print the last records
     Tail(tail::Tail),
-    /// Correct what was billed, by an entry in the period that is open now
+    /// Correct billed usage by an entry in the billing period that is open now
     Correct(correct::Correct),
-    /// Close a period that is over
+    /// Close a billing period that has ended
     Close {
         #[command(flatten)]
         location: LedgerLocation,
-        /// The period, such as 2026-11
+        /// The billing period, such as 2026-11
         period: Period,
     },
-    /// Export what is new in a period, once and under a unique name
+    /// Export, once and under a unique name, what is new in a billing period since its last export
     Export(export::Export),
     /// Reconcile the ledgers of several aggregators
     Reconcile(reconcile::Reconcile),
@@ -56,7 +56,7 @@
 pub(super) struct LedgerLocation {
     /// The ledger's directory
     dir: PathBuf,
-    /// The time zone of the periods
+    /// The time zone of the billing periods
     #[arg(long, default_value = "Asia/Taipei")]
     time_zone: String,
 }
@@ -66,17 +66,17 @@
         Ok(Calendar::new(&self.time_zone)?)
     }
 
-    /// Reads all records in order, and returns the book after them.
-    fn read(&self, each: impl FnMut(u64, &Record, &Book)) -> Result<Book, Failure> {
+    /// Reads all records in order, calls `on_record` for each and returns the resulting book.
+    fn read(&self, on_record: impl FnMut(u64, &Record, &Book)) -> Result<Book, Failure> {
         let calendar = self.calendar()?;
         if !self.dir.is_dir() {
-            return Err(Failure::message(format!("{}: is no directory", self.dir.display())));
+            return Err(Failure::message(format!("{}: is not a directory", self.dir.display())));
         }
-        Ok(read_all(&RealDisk::open_read_only(&self.dir), &calendar, each)?)
+        Ok(read_all(&RealDisk::open_read_only(&self.dir), &calendar, on_record)?)
     }
 }
 
-/// The wall clock.
+/// The wall-clock time.
 fn now() -> UnixMs {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |elapsed| elapsed.as_millis() as UnixMs)
 }
--- a/src/cli/ledger/reconcile.rs
+++ b/src/cli/ledger/reconcile.rs
@@ -13,10 +13,10 @@
     /// The directories of the ledgers
     #[arg(required = true)]
     dirs: Vec<PathBuf>,
-    /// The time zone of the periods
+    /// The time zone of the billing periods
     #[arg(long, default_value = "Asia/Taipei")]
     time_zone: String,
-    /// JSON instead of a table
+    /// Print JSON instead of a table
     #[arg(long)]
     json: bool,
 }
@@ -82,7 +82,7 @@
         text.push_str(&format!("{count} queries were received by two aggregators; both are billed\n"));
     }
     text.push_str(if reconciled.is_complete() {
-        "complete: every sequence is whole, no gap is recorded, no ledger is given twice\n"
+        "complete: no sequence number is missing, no gap is recorded, no ledger is listed twice\n"
     } else {
         "not complete: see above\n"
     });
--- a/src/cli/ledger/show.rs
+++ b/src/cli/ledger/show.rs
@@ -12,16 +12,16 @@
 pub(in crate::cli) struct Show {
     #[command(flatten)]
     location: LedgerLocation,
-    /// Only this tenant
+    /// Show only this tenant
     #[arg(long)]
     tenant: Option<String>,
-    /// Only this period, such as 2026-11
+    /// Show only this billing period, such as 2026-11
     #[arg(long)]
     period: Option<Period>,
-    /// The totals at that time, such as 2026-12-01T00:00:00+08:00: later entries and corrections are left out
+    /// Show the totals as of this time, such as 2026-12-01T00:00:00+08:00, without later entries and corrections
     #[arg(long, value_name = "TIME")]
     as_of: Option<Timestamp>,
-    /// JSON instead of a table
+    /// Print JSON instead of a table
     #[arg(long)]
     json: bool,
 }
@@ -52,26 +52,27 @@
     }
 }
 
-/// The book of the records made until a time. It is unknown if the first records were compacted.
-fn book_as_of(location: &LedgerLocation, until: UnixMs) -> Result<Book, Failure> {
+/// The book as of a time. Fails if the first records have been compacted, since the totals at that time are then
+/// unknown.
+fn book_as_of(location: &LedgerLocation, as_of: UnixMs) -> Result<Book, Failure> {
     let mut book = Book::new(location.calendar()?);
     let mut first_sequence = None;
     location.read(|sequence, record, _| {
         first_sequence.get_or_insert(sequence);
-        if made_at(record).is_none_or(|at| at <= until) {
+        if created_at(record).is_none_or(|at| at <= as_of) {
             book.apply(sequence, record);
         }
     })?;
     match first_sequence {
         Some(first) if first > 1 => Err(Failure::message(format!(
-            "records before {first} are compacted: how it stood then is not known"
+            "records before {first} are compacted: the totals at that time are unknown"
         ))),
         _ => Ok(book),
     }
 }
 
-/// When a record was made, if its kind tells.
-fn made_at(record: &Record) -> Option<UnixMs> {
+/// When a record was created; `None` if its kind has no time.
+fn created_at(record: &Record) -> Option<UnixMs> {
     match record {
         Record::Entry(entry) => Some(entry.at),
         Record::Correction(correction) => Some(correction.at),
--- a/src/cli/ledger/submit.rs
+++ b/src/cli/ledger/submit.rs
@@ -1,4 +1,5 @@
-//! Has a request carried out by the ledger's owner: this process if no other owns the ledger, else through files.
+//! Submits a request to the ledger's owner. If no process owns the ledger, this one takes ownership and executes the
+//! request; otherwise request and reply are exchanged as files.
 
 use super::super::failure::Failure;
 use super::super::print;
@@ -9,13 +10,13 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// How long to wait for a reply; the owner polls for requests several times a second.
+/// Maximum time to wait for a reply; the owner polls for requests several times a second.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(30);
 /// Time between two polls for the reply.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 impl LedgerLocation {
-    /// Has a request carried out and prints what it achieved.
+    /// Submits a request and prints its result.
     pub(super) fn submit(&self, request: Request) -> Result<(), Failure> {
         let book = self.read(|_, _, _| {})?;
         let aggregator = book.position().aggregator;
@@ -56,11 +57,13 @@
             thread::sleep(POLL_INTERVAL);
         }
         let path = request_path.display();
-        Err(Failure::message(format!("{path}: no reply in {REPLY_TIMEOUT:?}; the request stays there")))
+        Err(Failure::message(format!(
+            "{path}: no reply within {REPLY_TIMEOUT:?}; the request file remains in place"
+        )))
     }
 }
 
-/// An id that no other request has: the time and this process.
+/// A unique request id, from the time and the process id.
 pub(super) fn unique_id() -> String {
     let nanoseconds = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |elapsed| elapsed.as_nanos());
     format!("{nanoseconds:x}-{:x}", std::process::id())
--- a/src/cli/ledger/table.rs
+++ b/src/cli/ledger/table.rs
@@ -1,4 +1,4 @@
-//! Billing lines as a table.
+//! Formatting of billing lines as a table.
 
 use crate::inventory::columns;
 use crate::ledger::{Line, Sums, Totals};
--- a/src/cli/ledger/tail.rs
+++ b/src/cli/ledger/tail.rs
@@ -1,4 +1,4 @@
-//! `sailmux ledger tail`: the last records.
+//! `sailmux ledger tail`: prints the last records.
 
 use super::super::failure::Failure;
 use super::super::print;
@@ -9,7 +9,7 @@
 pub(in crate::cli) struct Tail {
     #[command(flatten)]
     location: LedgerLocation,
-    /// Number of records
+    /// Number of records to print
     #[arg(short = 'n', long, default_value_t = 20)]
     lines: usize,
 }
--- a/src/cli/ledger/verify.rs
+++ b/src/cli/ledger/verify.rs
@@ -45,14 +45,14 @@
     text
 }
 
-/// Why the file of an export is not what the journal says. A missing file is no problem: those who bill may have moved
-/// it.
+/// Why the file of an export does not match its hash in the journal. A missing file is not a problem: the billing system
+/// may have moved it.
 fn export_problem(directory: &Path, export: &ExportRecord) -> Option<String> {
     let hash = export.hash.as_ref()?;
     let path = directory.join(export.file_name());
     match fs::read(&path) {
         Ok(bytes) if hex::encode(&Sha256::digest(&bytes)) == *hash => None,
-        Ok(_) => Some(format!("{}: is not the export that the journal knows", path.display())),
+        Ok(_) => Some(format!("{}: does not match the hash of this export in the journal", path.display())),
         Err(error) if error.kind() == ErrorKind::NotFound => None,
         Err(error) => Some(format!("{}: {error}", path.display())),
     }
--- a/src/cli/man.rs
+++ b/src/cli/man.rs
@@ -9,7 +9,7 @@
 pub(super) fn print(command: Command) -> Result<(), Failure> {
     let mut page = Vec::new();
     Man::new(command.clone()).render(&mut page)?;
-    // The last one is rendered next, so that subcommands follow their command in the order of the help.
+    // A stack: the last element is rendered next, so that subcommands follow their command in the order of the help.
     let mut unrendered: Vec<Command> = command.get_subcommands().cloned().collect();
     unrendered.reverse();
     while let Some(command) = unrendered.pop() {
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,5 +1,5 @@
-//! The command line: a file for each command, which parses, calls the library and prints. The exit code is 1 for a
-//! failure and 2 for misuse. Doc comments on arguments are the help texts.
+//! The command line: one file for each command, which parses the arguments, calls the library and prints the result. The
+//! exit code is 1 for a failure and 2 for a usage error. Doc comments on arguments are the help texts.
 
 mod check;
 mod config;
@@ -27,28 +27,28 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run the aggregator; the same as no command at all
+    /// Run the aggregator; the default if no command is given
     #[command(
         after_help = "Environment: RELAY_CONFIG (required), RELAY_NAME, RELAY_LISTEN, RELAY_DISCOVERY, \
                             RELAY_MANAGEMENT, SAILMUX_OPERATOR. See the README."
     )]
     Run,
-    /// Check all files that the aggregator would read, and print every problem
+    /// Check all files that the aggregator would read and print all of their problems
     Check(check::Check),
     /// Inspect and compare inventory files, and confirm an endpoint list that is held back
     #[command(subcommand)]
     Inventory(inventory::Command),
-    /// Usage by tenant: totals, corrections, periods, exports
+    /// Show and manage the usage of tenants: totals, corrections, billing periods, exports
     #[command(subcommand)]
     Ledger(ledger::Command),
-    /// The operators' file
+    /// Print information on the operator file
     #[command(subcommand)]
     Config(config::Command),
     /// Start an aggregator with simulated leaf servers on loopback, send it a query and show the answer
     Demo(demo::Demo),
-    /// Print a shell's completions
+    /// Print the completion script for a shell
     Completions {
-        /// Which shell
+        /// The shell
         shell: Shell,
     },
     /// Print the man page, in roff
@@ -70,7 +70,7 @@
     }
 }
 
-/// Runs the command line that the process was given.
+/// Parses the command line of the process and runs its command.
 pub fn main() -> ExitCode {
     let command = Cli::parse().command.unwrap_or(Command::Run);
     match command.run() {
@@ -90,7 +90,7 @@
     print(&String::from_utf8_lossy(&text))
 }
 
-/// Prints to standard output. A reader that closed the pipe, such as `head`, is no failure.
+/// Prints to standard output. It is not a failure if the reader, such as `head`, has closed the pipe.
 fn print(text: &str) -> Result<(), Failure> {
     match io::stdout().lock().write_all(text.as_bytes()) {
         Err(error) if error.kind() != ErrorKind::BrokenPipe => Err(error.into()),
@@ -98,7 +98,7 @@
     }
 }
 
-/// The path in an environment variable; `None` if it is not set or empty.
+/// The path in an environment variable; `None` if the variable is unset or empty.
 fn path_in_environment(variable: &str) -> Option<PathBuf> {
     std::env::var_os(variable).filter(|value| !value.is_empty()).map(PathBuf::from)
 }
--- a/src/cli/run.rs
+++ b/src/cli/run.rs
@@ -1,11 +1,11 @@
-//! `sailmux run`: the aggregator itself.
+//! `sailmux run`: runs the aggregator.
 
 use super::failure::Failure;
 use crate::config::Config;
 use tokio::runtime::Builder;
 use tokio::task::LocalSet;
 
-/// Serves until a graceful shutdown.
+/// Serves queries until a graceful shutdown has finished.
 pub(super) fn run() -> Result<(), Failure> {
     let config = Config::load()?;
     crate::logging::start(&config.operator.log);
--- a/src/diagnostic.rs
+++ b/src/diagnostic.rs
@@ -1,24 +1,24 @@
-//! Diagnostics of files that operators write: which file, which line, which field, and what is wrong.
+//! Diagnostics of files that operators write: the file, the line, the field and the problem.
 //!
-//! Made by `config::operator` and `inventory`, printed by `cli` and logged by `net`.
+//! Created by `config::operator` and `inventory`, printed by `cli` and logged by `net`.
 
 use std::fmt;
 
-/// One thing that is wrong with a file.
+/// One problem in a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Diagnostic {
     /// The file's path.
     pub file: String,
-    /// The line, from 1; `None` if no single line is at fault.
+    /// The line, counted from 1; `None` if the problem is not in a single line.
     pub line: Option<u32>,
-    /// The field, as `inventory.files[0].path` or `s3.cell`; empty for the whole file.
+    /// The field, such as `inventory.files[0].path` or `s3.cell`; empty if the problem concerns the complete file.
     pub field: String,
-    /// What is wrong with it.
+    /// What is wrong, without file, line and field.
     pub message: String,
 }
 
 impl Diagnostic {
-    /// A diagnostic of a whole file.
+    /// A diagnostic of a complete file.
     pub fn for_file(file: &str, message: impl Into<String>) -> Self {
         Diagnostic { file: file.to_owned(), line: None, field: String::new(), message: message.into() }
     }
@@ -44,7 +44,7 @@
 
 impl std::error::Error for Diagnostic {}
 
-/// Everything that is wrong with one or several files; never empty. Displayed one to a line.
+/// All problems of one or several files; never empty. Displayed as one line for each problem.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Diagnostics(pub Vec<Diagnostic>);
 
--- a/src/hex.rs
+++ b/src/hex.rs
@@ -1,4 +1,4 @@
-//! Bytes as hexadecimal text.
+//! Hexadecimal encoding.
 
 use std::fmt::Write;
 
--- a/src/json.rs
+++ b/src/json.rs
@@ -1,8 +1,8 @@
 //! Reading JSON documents by field name, with errors that say which field is wrong.
 //!
 //! [`Field`] walks a tree parsed by miniserde and remembers the path to each value; `config` reads the platform's
-//! settings and endpoint lists through it. [`ObjectScanner`] finds where an object of a streamed body ends, for the
-//! discovery watch. Nothing here knows what any field means.
+//! settings and endpoint lists through it. [`ObjectScanner`] finds the end of an object in a streamed body, for the
+//! discovery watch. Both are independent of what the fields mean.
 
 use miniserde::json::{Number, Value};
 use std::cell::RefCell;
@@ -13,9 +13,9 @@
 /// A field that is missing or has a value that cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FieldError {
-    /// The field's path, as `settings.limits.maxOpen`.
+    /// The field's path, such as `settings.limits.maxOpen`.
     pub field: String,
-    /// What is wrong with it.
+    /// What is wrong with the value, without the field's path.
     pub message: String,
 }
 
@@ -27,46 +27,46 @@
 
 impl std::error::Error for FieldError {}
 
-/// The errors that a field from [`Field::collecting_errors`] and all fields below it have reported, in order.
+/// The errors reported so far by a field from [`Field::collecting_errors`] and by all fields below it, in order.
 pub type CollectedErrors = Rc<RefCell<Vec<FieldError>>>;
 
-/// The paths of all keys below a field, as `settings.limits.maxOpen`; below a list those that all of its entries
-/// have, as `settings.categories[].name`.
+/// The paths of all keys below a field, such as `settings.limits.maxOpen`. Below a list, only the keys that all of its
+/// entries have, such as `settings.categories[].name`.
 pub type KeyPaths = BTreeSet<String>;
 
-/// A value in a JSON document, or its absence, with the path that leads to it.
+/// A value in a JSON document with its path; the value may be absent.
 #[derive(Clone, Debug)]
 pub struct Field<'a> {
     path: String,
     value: Option<&'a Value>,
-    /// Where errors are collected; without it the first one ends the reading.
+    /// Where errors are collected; if `None`, reading stops at the first error.
     errors: Option<CollectedErrors>,
 }
 
 impl<'a> Field<'a> {
-    /// The document's root. Reading ends with the first error.
+    /// The document's root. Reading stops at the first error.
     pub fn root(value: &'a Value) -> Self {
         Field { path: String::new(), value: Some(value), errors: None }
     }
 
-    /// The document's root, read to its end: errors go to the returned list, and each faulty field is read as a
-    /// placeholder.
+    /// The document's root, for reading the complete document: errors go to the returned list, and each invalid field
+    /// is read as a placeholder.
     pub fn collecting_errors(value: &'a Value) -> (Self, CollectedErrors) {
         let errors = CollectedErrors::default();
         let root = Field { path: String::new(), value: Some(value), errors: Some(errors.clone()) };
         (root, errors)
     }
 
-    /// Reports an error about a field: returns it or, where errors are collected, stores it and returns the
-    /// placeholder, so that reading goes on. Of one field only the first error is stored.
+    /// Reports an error about a field: returns it or, if errors are collected, stores it and returns the placeholder, so
+    /// that reading continues. Only the first error of each field is stored.
     ///
     /// # Errors
     /// The error itself, unless errors are collected.
     pub fn report<T>(&self, error: FieldError, placeholder: T) -> Result<T, FieldError> {
         let Some(errors) = &self.errors else { return Err(error) };
         let mut errors = errors.borrow_mut();
-        let is_known = errors.iter().any(|known| known.field == error.field);
-        if !is_known {
+        let is_reported = errors.iter().any(|reported| reported.field == error.field);
+        if !is_reported {
             errors.push(error);
         }
         Ok(placeholder)
@@ -77,7 +77,7 @@
         FieldError { field: self.path.clone(), message: message.into() }
     }
 
-    /// The field of that name in this object.
+    /// The field with this name in this object; absent if this value is not an object.
     pub fn get(&self, name: &str) -> Field<'a> {
         let path = if self.path.is_empty() { name.to_owned() } else { format!("{}.{name}", self.path) };
         let value = match self.value {
@@ -87,7 +87,7 @@
         Field { path, value, errors: self.errors.clone() }
     }
 
-    /// The field itself, or `None` where it is absent or null.
+    /// The field itself, or `None` if it is absent or null.
     pub fn optional(self) -> Option<Self> {
         match self.value {
             None | Some(Value::Null) => None,
@@ -98,18 +98,18 @@
     /// The string.
     ///
     /// # Errors
-    /// The field is absent or no string.
+    /// The field is absent or not a string.
     pub fn as_str(&self) -> Result<&'a str, FieldError> {
         match self.value {
             Some(Value::String(text)) => Ok(text),
-            _ => self.report(self.type_error("a text"), ""),
+            _ => self.report(self.type_error("a string"), ""),
         }
     }
 
-    /// The string, or the default where the field is absent or null.
+    /// The string, or the default if the field is absent or null.
     ///
     /// # Errors
-    /// The field is no string.
+    /// The field is not a string.
     pub fn str_or(self, default: &'a str) -> Result<&'a str, FieldError> {
         match self.optional() {
             Some(field) => field.as_str(),
@@ -120,7 +120,7 @@
     /// The finite number.
     ///
     /// # Errors
-    /// The field is absent or no number.
+    /// The field is absent or not a finite number.
     pub fn as_f64(&self) -> Result<f64, FieldError> {
         match self.value {
             Some(Value::Number(Number::U64(number))) => Ok(*number as f64),
@@ -130,10 +130,10 @@
         }
     }
 
-    /// The finite number, or the default where the field is absent or null.
+    /// The finite number, or the default if the field is absent or null.
     ///
     /// # Errors
-    /// The field is no number.
+    /// The field is not a finite number.
     pub fn f64_or(self, default: f64) -> Result<f64, FieldError> {
         match self.optional() {
             Some(field) => field.as_f64(),
@@ -141,18 +141,18 @@
         }
     }
 
-    /// The finite number, or `None` where the field is absent or null.
+    /// The finite number, or `None` if the field is absent or null.
     ///
     /// # Errors
-    /// The field is no number.
+    /// The field is not a finite number.
     pub fn optional_f64(self) -> Result<Option<f64>, FieldError> {
         self.optional().map(|field| field.as_f64()).transpose()
     }
 
-    /// The whole number, 0 or above.
+    /// The whole number, 0 or above, as 64 bits.
     ///
     /// # Errors
-    /// The field is absent, or no such number.
+    /// The field is absent, not a whole number, negative or too large.
     pub fn as_u64(&self) -> Result<u64, FieldError> {
         let number = self.as_f64()?;
         if let Some(Value::Number(Number::U64(exact))) = self.value {
@@ -164,19 +164,19 @@
         self.report(self.type_error("a whole number, 0 or above"), 0)
     }
 
-    /// The whole number, 0 or above, of 32 bits.
+    /// The whole number, 0 or above, as 32 bits.
     ///
     /// # Errors
-    /// The field is absent, or no such number.
+    /// The field is absent, not a whole number, negative or too large.
     pub fn as_u32(&self) -> Result<u32, FieldError> {
         let number = self.as_u64()?;
         u32::try_from(number).or_else(|_| self.report(self.error("is too large"), 0))
     }
 
-    /// The whole number of 32 bits, or the default where the field is absent or null.
+    /// The whole number, 0 or above, as 32 bits, or the default if the field is absent or null.
     ///
     /// # Errors
-    /// The field is no such number.
+    /// The field is not a whole number, negative or too large.
     pub fn u32_or(self, default: u32) -> Result<u32, FieldError> {
         match self.optional() {
             Some(field) => field.as_u32(),
@@ -184,18 +184,18 @@
         }
     }
 
-    /// The whole number of 32 bits, or `None` where the field is absent or null.
+    /// The whole number, 0 or above, as 32 bits, or `None` if the field is absent or null.
     ///
     /// # Errors
-    /// The field is no such number.
+    /// The field is not a whole number, negative or too large.
     pub fn optional_u32(self) -> Result<Option<u32>, FieldError> {
         self.optional().map(|field| field.as_u32()).transpose()
     }
 
-    /// The truth value.
+    /// The boolean.
     ///
     /// # Errors
-    /// The field is absent or no truth value.
+    /// The field is absent or not a boolean.
     pub fn as_bool(&self) -> Result<bool, FieldError> {
         match self.value {
             Some(Value::Bool(flag)) => Ok(*flag),
@@ -203,10 +203,10 @@
         }
     }
 
-    /// The truth value, or the default where the field is absent or null.
+    /// The boolean, or the default if the field is absent or null.
     ///
     /// # Errors
-    /// The field is no truth value.
+    /// The field is not a boolean.
     pub fn bool_or(self, default: bool) -> Result<bool, FieldError> {
         match self.optional() {
             Some(field) => field.as_bool(),
@@ -217,7 +217,7 @@
     /// The entries of a list.
     ///
     /// # Errors
-    /// The field is absent or no list.
+    /// The field is absent or not a list.
     pub fn as_list(&self) -> Result<Vec<Field<'a>>, FieldError> {
         let Some(Value::Array(values)) = self.value else {
             return self.report(self.type_error("a list"), Vec::new());
@@ -230,10 +230,10 @@
         Ok(values.iter().enumerate().map(entry).collect())
     }
 
-    /// The entries of a list; none where the field is absent or null.
+    /// The entries of a list; none if the field is absent or null.
     ///
     /// # Errors
-    /// The field is no list.
+    /// The field is not a list.
     pub fn list_or_empty(self) -> Result<Vec<Field<'a>>, FieldError> {
         match self.optional() {
             Some(field) => field.as_list(),
@@ -251,7 +251,7 @@
     }
 
     fn type_error(&self, expected: &str) -> FieldError {
-        let state = if self.value.is_none() { "is missing" } else { "is something else" };
+        let state = if self.value.is_none() { "is missing" } else { "has the wrong type" };
         self.error(format!("{state}, must be {expected}"))
     }
 }
@@ -279,48 +279,48 @@
     }
 }
 
-/// Why a streamed body does not hold a JSON object.
+/// Why a streamed body does not contain a JSON object.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ScanError {
-    /// A line ends within a string.
+    /// A line ends inside a string.
     UnterminatedString,
-    /// Something other than blanks stands before the object.
+    /// Something other than whitespace precedes the object.
     NotAnObject,
 }
 
 impl fmt::Display for ScanError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            ScanError::UnterminatedString => "a line that breaks off",
-            ScanError::NotAnObject => "a line that is not JSON",
+            ScanError::UnterminatedString => "a line ends inside a string",
+            ScanError::NotAnObject => "a line is not a JSON object",
         })
     }
 }
 
 impl std::error::Error for ScanError {}
 
-/// Finds the end of a JSON object that comes in pieces and over several lines.
+/// Finds the end of a JSON object that arrives in pieces and may extend over several lines.
 #[derive(Debug, Default)]
 pub struct ObjectScanner {
     /// Bytes scanned so far.
     scanned: usize,
-    /// Objects that are open.
+    /// Number of objects that are open.
     depth: u32,
     in_string: bool,
     escaped: bool,
 }
 
 impl ObjectScanner {
-    /// Whether no object has begun in the bytes scanned so far.
+    /// Whether no object has started in the bytes scanned so far.
     pub fn is_before_object(&self) -> bool {
         self.depth == 0
     }
 
-    /// Scans the bytes of `body` that are new since the last call. Returns the index one past the object's end once
-    /// it is there. Only blanks may stand before the object.
+    /// Scans the bytes of `body` that are new since the last call. Returns the index one past the object's end, or
+    /// `None` while the object is incomplete. Only whitespace may precede the object.
     ///
     /// # Errors
-    /// The body holds something other than an object.
+    /// The body contains something other than an object.
     pub fn find_end(&mut self, body: &[u8]) -> Result<Option<usize>, ScanError> {
         while let Some(byte) = body.get(self.scanned) {
             self.scanned += 1;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,8 +2,8 @@
 //! gives the client one answer before the query's deadline.
 //!
 //! The load-balancing policy is a sans-IO state machine: the caller owns clock, sockets and timers, feeds
-//! [`balancer::Event`]s to a [`Balancer`] and carries out the [`balancer::Action`]s it gets back, in order. The
-//! ordinary path is power of two choices; `docs/design.md` tells what was added to it and when it acts.
+//! [`balancer::Event`]s to a [`Balancer`] and carries out the [`balancer::Action`]s it returns, in order. The basic
+//! algorithm is power of two choices; `docs/design.md` describes the extensions and when they apply.
 //!
 //! ```
 //! use sailmux::balancer::*;
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,7 +1,7 @@
-//! The log: structured events on standard error, as text or as a JSON object a line.
+//! The log: structured events on standard error, as text or as one JSON object for each line.
 //!
-//! The other modules hand over typed events; their names in the log are given here alone. Operators search for these
-//! messages and fields (`docs/operate/`), so both are kept stable.
+//! The other modules pass typed events; only this module defines their messages and field names in the log. Operators
+//! search for both (`docs/operate/`), so both are kept stable.
 
 use crate::aggregator::LogEvent;
 use crate::balancer;
@@ -16,7 +16,7 @@
 use tracing_subscriber::util::SubscriberInitExt;
 use tracing_subscriber::{Layer, fmt, registry};
 
-/// Starts the log for the whole process; a second start changes nothing. Libraries log warnings and errors only.
+/// Starts the log of the process; a second call has no effect. Of libraries, only warnings and errors are logged.
 pub fn start(record: &LogRecord) {
     let level = level_filter(record.level);
     let targets = Targets::new().with_target("sailmux", level).with_default(level.min(LevelFilter::WARN));
@@ -42,8 +42,8 @@
     }
 }
 
-/// Logs a change of the endpoint lists. `inventory_files` are the paths of the inventories, by the number of their
-/// source.
+/// Logs a change of the endpoint lists. `inventory_files` are the paths of the inventories, indexed by the number of
+/// the source.
 pub fn endpoint_event(event: &AuditEvent, inventory_files: &[Arc<str>]) {
     let file = |source: &SourceId| source_name(*source, inventory_files);
     match event {
@@ -60,7 +60,7 @@
             confirmed,
             "list applied"
         ),
-        // Debug, since discovery sends lists all the time.
+        // At debug level, since discovery sends lists continually.
         AuditEvent::DiscoveryApplied { generation, complete, nodes, difference } => debug!(
             generation,
             complete,
@@ -70,7 +70,7 @@
             drained = difference.started_draining,
             readied = difference.stopped_draining,
             changed = difference.changed,
-            "discovery's list applied"
+            "discovery list applied"
         ),
         AuditEvent::ListHeldBack { source, digest, reason, difference } => warn!(
             file = file(source),
@@ -81,7 +81,7 @@
             drained = difference.started_draining,
             readied = difference.stopped_draining,
             changed = difference.changed,
-            "list held back, its drains are applied; confirm it by: sailmux inventory confirm {}",
+            "list held back, only its drains are applied; confirm it with: sailmux inventory confirm {}",
             file(source)
         ),
         AuditEvent::HeldListWithdrawn { source } => info!(file = file(source), "held-back list withdrawn"),
@@ -92,7 +92,7 @@
             );
         }
         AuditEvent::ConfirmationUnmatched { source, digest } => {
-            warn!(file = file(source), digest = &**digest, "confirmation of a list that is not held back");
+            warn!(file = file(source), digest = &**digest, "confirmation does not match a held-back list");
         }
         AuditEvent::OverrideChanged { name, active: true } => {
             info!(leaf_server = &**name, "leaf server disabled");
@@ -101,12 +101,12 @@
             info!(leaf_server = &**name, "leaf server enabled");
         }
         AuditEvent::SharedAddress { address, name } => {
-            warn!(address = &**address, leaf_server = &**name, "two names for one address");
+            warn!(address = &**address, leaf_server = &**name, "two leaf servers have the same address");
         }
     }
 }
 
-/// The path of an inventory, or the word for another source.
+/// The path of an inventory, or the name of another source.
 fn source_name(source: SourceId, inventory_files: &[Arc<str>]) -> &str {
     match source {
         SourceId::File(number) => match inventory_files.get(usize::from(number)) {
@@ -135,7 +135,7 @@
 fn balancer_event(event: balancer::LogEvent) {
     use balancer::LogEvent;
     match event {
-        LogEvent::AllHoldersOutliers { shard } => info!(shard, "every holder of a shard is an outlier"),
+        LogEvent::AllHoldersOutliers { shard } => info!(shard, "all replicas of a shard are outliers"),
         LogEvent::LoadSheddingStarted { class } => info!(class, "load shedding started"),
         LogEvent::LoadSheddingStopped => info!("load shedding stopped"),
         LogEvent::ReplicaEjected(replica) => info!(replica = replica.0, "replica ejected as an outlier"),
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The program; see the README for how it is started, and `cli` for its commands.
+//! The `sailmux` binary; see the README for how to start it, and `cli` for its commands.
 
 use std::process::ExitCode;
 
--- a/src/yaml.rs
+++ b/src/yaml.rs
@@ -1,8 +1,8 @@
-//! YAML as a tree of values that know their lines, so that diagnostics can name them.
+//! YAML as a tree of values with their line numbers, for use in diagnostics.
 //!
-//! Used for the operator's file and for inventories. Aliases share the node that they refer to, so a tree takes no more
-//! memory than its text justifies. A tree that would be huge with its aliases expanded, as that of an alias bomb, is
-//! rejected without being expanded.
+//! Used for the operator file and for inventories. Aliases share the node that they refer to, so the memory of a tree is
+//! proportional to its text. A tree that would be huge with its aliases expanded, such as an alias bomb, is rejected
+//! without being expanded.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -13,12 +13,12 @@
 /// The key under which YAML 1.1 merges other maps into a map.
 const MERGE_KEY: &str = "<<";
 
-/// What a document may hold at most.
+/// Limits on the size of a document.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Depth of nesting.
+    /// Maximum depth of nested lists and maps.
     pub depth: usize,
-    /// Values, with aliases expanded.
+    /// Maximum number of values, with aliases expanded.
     pub values: u64,
 }
 
@@ -31,9 +31,9 @@
 /// Why a document is rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct YamlError {
-    /// The line, from 1.
+    /// The line, counted from 1.
     pub line: u32,
-    /// What is wrong.
+    /// What is wrong, without the line.
     pub message: String,
 }
 
@@ -51,43 +51,43 @@
 
 impl std::error::Error for YamlError {}
 
-/// A value and its line.
+/// A value with its line and tag.
 #[derive(Clone, Debug)]
 pub struct Node {
-    /// The line, from 1.
+    /// The line, counted from 1.
     pub line: u32,
-    /// The suffix of its tag, as `vault`; empty for none.
+    /// The suffix of its tag, such as `vault`; empty if it has none.
     pub tag: String,
-    /// Number of values in it, itself included, with aliases expanded.
+    /// Number of values in it, including itself, with aliases expanded.
     pub size: u64,
-    /// The value.
+    /// The value itself.
     pub kind: Kind,
 }
 
-/// A value.
+/// The content of a value: a scalar, a list or a map.
 #[derive(Clone, Debug)]
 pub enum Kind {
     /// A single value.
     Scalar {
-        /// Its text.
+        /// Its text, unquoted and unescaped.
         text: String,
-        /// It is unquoted, so that it may be a number, a truth value or null.
+        /// Whether it is unquoted, so that it may be a number, a boolean or null.
         is_plain: bool,
     },
     /// A list.
     List(Vec<Rc<Node>>),
-    /// A map, in order, with merge keys resolved; each name occurs once.
+    /// A map, in document order, with merge keys resolved; each name occurs once.
     Map(Vec<Entry>),
 }
 
 /// An entry of a map.
 #[derive(Clone, Debug)]
 pub struct Entry {
-    /// Its name.
+    /// The key.
     pub name: String,
-    /// The line of the name, from 1.
+    /// The line of the key, counted from 1.
     pub line: u32,
-    /// Its value.
+    /// The value; it may be shared with other entries through aliases.
     pub value: Rc<Node>,
 }
 
@@ -96,13 +96,13 @@
         Node { line, tag: String::new(), size: 1, kind: Kind::Scalar { text: String::new(), is_plain: true } }
     }
 
-    /// Whether it is null: left out, `~` or `null`.
+    /// Whether it is null: omitted, `~` or `null`.
     pub fn is_null(&self) -> bool {
         let Kind::Scalar { text, is_plain: true } = &self.kind else { return false };
         matches!(text.as_str(), "" | "~" | "null" | "Null" | "NULL")
     }
 
-    /// A scalar's text as written; `None` for null, lists and maps.
+    /// The text of a scalar; `None` for null, lists and maps.
     pub fn as_str(&self) -> Option<&str> {
         match &self.kind {
             Kind::Scalar { text, .. } if !self.is_null() => Some(text),
@@ -110,7 +110,7 @@
         }
     }
 
-    /// The entries of a map.
+    /// The entries of a map; `None` for other values.
     pub fn map(&self) -> Option<&[Entry]> {
         match &self.kind {
             Kind::Map(entries) => Some(entries),
@@ -118,7 +118,7 @@
         }
     }
 
-    /// The entries of a list.
+    /// The entries of a list; `None` for other values.
     pub fn list(&self) -> Option<&[Rc<Node>]> {
         match &self.kind {
             Kind::List(entries) => Some(entries),
@@ -126,13 +126,13 @@
         }
     }
 
-    /// The value of that name in a map.
+    /// The value with this name in a map.
     pub fn get(&self, name: &str) -> Option<&Rc<Node>> {
         let entry = self.map()?.iter().find(|entry| entry.name == name)?;
         Some(&entry.value)
     }
 
-    /// A truth value, in the words of YAML 1.1 that configuration tools use.
+    /// A boolean, including the keywords of YAML 1.1 that configuration tools use (`yes`, `no`, `on`, `off`).
     pub fn as_bool(&self) -> Option<bool> {
         let Kind::Scalar { text, is_plain: true } = &self.kind else { return None };
         match text.to_ascii_lowercase().as_str() {
@@ -142,21 +142,21 @@
         }
     }
 
-    /// What kind of value it is, for error messages.
+    /// The kind of value, for error messages.
     pub fn kind_name(&self) -> &'static str {
         match &self.kind {
-            Kind::Scalar { .. } if self.is_null() => "nothing",
+            Kind::Scalar { .. } if self.is_null() => "null",
             Kind::Scalar { .. } => "a single value",
             Kind::List(_) => "a list",
-            Kind::Map(_) => "fields by name",
+            Kind::Map(_) => "a map",
         }
     }
 }
 
-/// Parses a text of at most one document; a text without one is null.
+/// Parses a text with at most one document; a text without a document is null.
 ///
 /// # Errors
-/// The text is not YAML, has more than one document, or goes beyond the bounds.
+/// The text is not YAML, has more than one document, or exceeds the bounds.
 pub fn parse(text: &str, bounds: &Bounds) -> Result<Rc<Node>, YamlError> {
     let mut builder = TreeBuilder::new(bounds);
     let mut parser = Parser::new_from_str(text);
@@ -180,10 +180,10 @@
     parser_line.max(1) as u32
 }
 
-/// An anchor's number in the parser; 0 for none.
+/// An anchor's number in the parser; 0 if there is no anchor.
 type AnchorId = usize;
 
-/// A list or a map whose end has not come yet.
+/// A list or a map whose end has not been parsed yet.
 struct OpenCollection {
     line: u32,
     anchor: AnchorId,
@@ -201,7 +201,7 @@
     entries: Vec<Entry>,
     /// Values of merge keys, in order.
     merges: Vec<Rc<Node>>,
-    /// The key whose value comes next.
+    /// The key whose value is parsed next.
     key: Option<Key>,
     /// The line of each name.
     lines_by_name: HashMap<String, u32>,
@@ -218,13 +218,13 @@
     open: Vec<OpenCollection>,
     anchors: HashMap<AnchorId, Rc<Node>>,
     root: Option<Rc<Node>>,
-    /// Values made so far, merged entries included; bounds the memory.
-    values_made: u64,
+    /// Number of values created so far, including merged entries; limits the memory used.
+    created_values: u64,
 }
 
 impl<'a> TreeBuilder<'a> {
     fn new(bounds: &'a Bounds) -> Self {
-        TreeBuilder { bounds, open: Vec::new(), anchors: HashMap::new(), root: None, values_made: 0 }
+        TreeBuilder { bounds, open: Vec::new(), anchors: HashMap::new(), root: None, created_values: 0 }
     }
 
     fn handle(&mut self, event: Event, line: u32) -> Result<(), YamlError> {
@@ -246,7 +246,7 @@
             Event::SequenceEnd | Event::MappingEnd => self.close(),
             Event::Alias(anchor) => match self.anchors.get(&anchor).cloned() {
                 Some(node) => self.add(node, 0),
-                None => Err(YamlError::at(line, "an alias for what is not complete")),
+                None => Err(YamlError::at(line, "an alias refers to a collection that contains it")),
             },
             _ => Ok(()),
         }
@@ -255,12 +255,12 @@
     fn open(&mut self, collection: OpenCollection) -> Result<(), YamlError> {
         let line = collection.line;
         if self.open.len() >= self.bounds.depth {
-            return Err(YamlError::at(line, format!("lies deeper than {}", self.bounds.depth)));
+            return Err(YamlError::at(line, format!("is nested deeper than {} levels", self.bounds.depth)));
         }
         if let Some(OpenCollection { children: Children::Map(OpenMap { key: None, .. }), .. }) =
             self.open.last()
         {
-            return Err(YamlError::at(line, "a field whose name is no text"));
+            return Err(YamlError::at(line, "a key is not a scalar"));
         }
         self.open.push(collection);
         Ok(())
@@ -279,8 +279,8 @@
         self.add(Rc::new(Node { line, tag, size, kind }), anchor)
     }
 
-    /// The entries of a map with merge keys resolved: its own take precedence over merged ones, and an earlier merge over
-    /// a later one.
+    /// Resolves the merge keys of a map: its own entries take precedence over merged ones, and an earlier merge over a
+    /// later one.
     fn merge(&mut self, map: OpenMap, line: u32) -> Result<Vec<Entry>, YamlError> {
         let OpenMap { mut entries, merges, mut lines_by_name, .. } = map;
         for merge in merges {
@@ -290,16 +290,16 @@
             };
             for source in sources {
                 let Some(merged) = source.map() else {
-                    return Err(YamlError::at(source.line, "a merge of what is no map"));
+                    return Err(YamlError::at(source.line, "a merged value is not a map"));
                 };
                 for entry in merged {
                     let earlier = lines_by_name.insert(entry.name.clone(), entry.line);
                     if earlier.is_none() {
                         entries.push(entry.clone());
-                        self.values_made += 1;
+                        self.created_values += 1;
                     }
                 }
-                if self.values_made > self.bounds.values {
+                if self.created_values > self.bounds.values {
                     return Err(self.too_many_values(line));
                 }
             }
@@ -307,10 +307,10 @@
         Ok(entries)
     }
 
-    /// Adds a complete node to the collection that is open, or makes it the root.
+    /// Adds a complete node to the innermost open collection, or makes it the root.
     fn add(&mut self, node: Rc<Node>, anchor: AnchorId) -> Result<(), YamlError> {
-        self.values_made += 1;
-        if self.values_made > self.bounds.values {
+        self.created_values += 1;
+        if self.created_values > self.bounds.values {
             return Err(self.too_many_values(node.line));
         }
         if anchor > 0 {
@@ -329,12 +329,12 @@
 
     fn too_many_values(&self, line: u32) -> YamlError {
         let bound = self.bounds.values;
-        YamlError::at(line, format!("holds more than {bound} values once its aliases are written out"))
+        YamlError::at(line, format!("contains more than {bound} values with aliases expanded"))
     }
 }
 
 impl OpenMap {
-    /// Adds a key or, if a key is there, its value.
+    /// Adds a node as a key or, after a key, as its value.
     fn add(&mut self, node: Rc<Node>) -> Result<(), YamlError> {
         match self.key.take() {
             None => self.add_key(&node),
@@ -352,12 +352,12 @@
     fn add_key(&mut self, node: &Node) -> Result<(), YamlError> {
         let line = node.line;
         let Kind::Scalar { text: name, .. } = &node.kind else {
-            return Err(YamlError::at(line, "a field whose name is no text"));
+            return Err(YamlError::at(line, "a key is not a scalar"));
         };
         if name != MERGE_KEY
             && let Some(first) = self.lines_by_name.insert(name.clone(), line)
         {
-            return Err(YamlError::at(line, format!("{name} is there twice, first on line {first}")));
+            return Err(YamlError::at(line, format!("{name} is defined twice, first on line {first}")));
         }
         self.key = Some(Key { name: name.clone(), line });
         Ok(())
@@ -368,7 +368,7 @@
     tag.map(|tag| tag.suffix).unwrap_or_default()
 }
 
-/// The number of values in a node of that kind, itself included, with aliases expanded.
+/// The number of values in a node, including itself, with aliases expanded.
 fn expanded_size(kind: &Kind) -> u64 {
     let mut size: u64 = 1;
     match kind {
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -50,7 +50,7 @@
 fn inventory_check_show_and_diff_print_problems_endpoints_and_changes() {
     let six = scratch_file("n.csv", SIX);
     let (code, stdout, _) = run(&["inventory", "check", path_text(&six)]);
-    assert!(code == 0 && stdout.contains("good, 6 leaf servers, 0 draining"), "{stdout}");
+    assert!(code == 0 && stdout.contains("n.csv: valid, 6 leaf servers, 0 draining"), "{stdout}");
     let (code, _, stderr) = run(&["inventory", "check", path_text(&six), "--cells", "2"]);
     assert!(
         code == 1 && stderr.contains("n.csv:6: a2.cell: 2 is not below 2") && stderr.contains("b2.cell"),
@@ -151,7 +151,7 @@
     for wanted in [
         "config.json: field listen: is no address and port",
         "config.json: field seed: is no hex number",
-        "config.json: field settings.limits.maxAttempts: is something else, must be a number",
+        "config.json: field settings.limits.maxAttempts: has the wrong type, must be a number",
         "config.json: field settings.categories[0].effect: knows no effect",
         "bad.yaml:2: flight.listen: is no address and port",
         "bad.yaml:3: log.level: must be one of error, warn",
@@ -169,7 +169,7 @@
     );
     fs::write(dir.join("n.csv"), SIX).expect("written");
     let (code, stdout, _) = run(&["check", "--operator", &path("good.yaml")]);
-    assert!(code == 0 && stdout.contains("n.csv: good"), "{stdout}");
+    assert!(code == 0 && stdout.contains("n.csv: valid"), "{stdout}");
     // A field that is unknown stops the start.
     let out = Command::new(binary())
         .env("RELAY_CONFIG", path("config.json"))
--- a/tests/formats/ansible.rs
+++ b/tests/formats/ansible.rs
@@ -118,7 +118,7 @@
         ),
         (
             "all:\n  hosts:\n    s0: {port: 1, cell: 0}\n    s0: {port: 2, cell: 0}\n",
-            "n.yaml:4: s0 is there twice, first on line 3",
+            "n.yaml:4: s0 is defined twice, first on line 3",
         ),
         ("a:\n  children:\n    b:\nb:\n  children:\n    a:\n", "is a child of its own children"),
         (
