--- a/examples/inventory_scale.rs
+++ b/examples/inventory_scale.rs
@@ -1,5 +1,7 @@
-//! Measures an inventory of many leaf servers: reading it, which happens on a thread of its own, and applying it, on the
-//! event loop's thread. `cargo run --release --example inventory_scale -- [SERVERS]`; the default is 20,000.
+//! Measures the time and memory for a large inventory: for reading it, which the aggregator does on a separate thread,
+//! and for applying it, which it does in the event loop.
+//!
+//! `cargo run --release --example inventory_scale -- [SERVERS]`; the default is 20,000 leaf servers.
 
 use sailmux::aggregator::{Event, Limits, State, reduce};
 use sailmux::config::Config;
@@ -45,10 +47,14 @@
     line.split_whitespace().next().and_then(|n| n.parse::<f64>().ok()).unwrap_or(0.0) / 1024.0
 }
 
-fn timed<T>(what: &str, work: impl FnOnce() -> T) -> T {
+fn timed<T>(label: &str, work: impl FnOnce() -> T) -> T {
     let start = Instant::now();
     let result = work();
-    println!("{what:44} {:9.2} ms   {:6.1} MB resident", start.elapsed().as_secs_f64() * 1e3, resident_mib());
+    println!(
+        "{label:44} {:9.2} ms   {:6.1} MiB resident",
+        start.elapsed().as_secs_f64() * 1e3,
+        resident_mib()
+    );
     result
 }
 
@@ -58,36 +64,33 @@
     let list = |name: &str, text: &str| -> Result<Arc<FileList>, _> {
         read(&bundle(name, text), &options).map(Arc::new)
     };
-    println!("{servers} servers, {:.1} MB resident at the start", resident_mib());
-    let (first, drained, many) =
+    println!("{servers} leaf servers, {:.1} MiB resident at the start", resident_mib());
+    let (all_ready, one_drained, tenth_moved) =
         (csv_text(servers, 0, 0), csv_text(servers, 1, 0), csv_text(servers, 1, servers / 10));
-    let text = yaml_text(servers);
-    timed("read YAML, groups and variables", || list("n.yaml", &text))?;
-    let old = timed("read CSV", || list("n.csv", &first))?;
-    let one = timed("read CSV, one drained", || list("n.csv", &drained))?;
-    let tenth = timed("read CSV, a tenth moved", || list("n.csv", &many))?;
-    timed("digest", || digest(&bundle("n.csv", &first)));
-    timed("diff, one drained", || old.changed_names(&one));
-    let config = std::env::temp_dir().join(format!("sailmux-scale-{}.json", std::process::id()));
-    std::fs::write(&config, include_str!("../src/cli/demo/config.json"))?;
-    let site = Config::at(&config);
-    std::fs::remove_file(&config)?;
+    let yaml = yaml_text(servers);
+    timed("read YAML, groups and variables", || list("n.yaml", &yaml))?;
+    let initial_list = timed("read CSV", || list("n.csv", &all_ready))?;
+    let drained_list = timed("read CSV, one drained", || list("n.csv", &one_drained))?;
+    let moved_list = timed("read CSV, a tenth moved", || list("n.csv", &tenth_moved))?;
+    timed("digest", || digest(&bundle("n.csv", &all_ready)));
+    timed("diff, one drained", || initial_list.changed_names(&drained_list));
+    let config_path = std::env::temp_dir().join(format!("sailmux-scale-{}.json", std::process::id()));
+    std::fs::write(&config_path, include_str!("../src/cli/demo/config.json"))?;
+    let config = Config::at(&config_path);
+    std::fs::remove_file(&config_path)?;
     let mut state =
-        State::new(site?.settings, Limits::from_max_descriptors(1024), 1, GuardSettings::default())?;
+        State::new(config?.settings, Limits::from_max_descriptors(1024), 1, GuardSettings::default())?;
     let mut now = 1e6;
-    let mut step = |what: &str, input: Input| {
+    let mut step = |label: &str, input: Input| {
         now += 5.0;
-        timed(what, || {
+        timed(label, || {
             reduce(&mut state, now, Event::EndpointSourceChanged { input, wall_clock_offset: 0.0 })
         })
         .len()
     };
-    step(
-        "the aggregator applies all, at the start",
-        Input::Started { known: None, files: vec![old.clone()] },
-    );
-    step("the aggregator applies one drained", Input::File(0, one));
-    step("the aggregator applies a tenth moved", Input::File(0, tenth));
-    step("the aggregator applies all as at the start", Input::File(0, old));
+    step("apply all, at the start", Input::Started { known: None, files: vec![initial_list.clone()] });
+    step("apply one drained", Input::File(0, drained_list));
+    step("apply a tenth moved", Input::File(0, moved_list));
+    step("apply the initial list again", Input::File(0, initial_list));
     Ok(())
 }
--- a/examples/ledger_cost.rs
+++ b/examples/ledger_cost.rs
@@ -1,6 +1,8 @@
-//! Measures the ledger: the time to enqueue an entry in the event loop, the bytes of a record on disk, the start after a
-//! kill with a million entries, and the latency of answers with the ledger off, in group mode and in strict mode.
-//! `cargo run --release --example ledger_cost -- [ENTRIES] [SECONDS]`; the defaults are a million and 10.
+//! Measures the cost of the ledger: the time to enqueue an entry in the event loop, the bytes of a record on disk, the
+//! start after a kill with a million entries, and the latency of answers with the ledger off, in group mode and in strict
+//! mode.
+//!
+//! `cargo run --release --example ledger_cost -- [ENTRIES] [SECONDS]`; the defaults are 1,000,000 entries and 10 s.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -15,11 +17,11 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const AT: UnixMs = 1_794_715_200_000;
+const START_TIME: UnixMs = 1_794_715_200_000;
 
 fn entry(n: u64) -> Entry {
     Entry {
-        at: AT + n as UnixMs,
+        at: START_TIME + n as UnixMs,
         tenant: ["hsinyi-realty", "kaohsiung-hr", "lanyang-law"][n as usize % 3].to_owned(),
         tenant_is_known: true,
         class: "envelope-search".to_owned(),
@@ -34,13 +36,13 @@
 }
 
 fn calendar() -> Calendar {
-    Calendar::new("Asia/Taipei").expect("a zone")
+    Calendar::new("Asia/Taipei").expect("time zone not found")
 }
 
 fn measure_store(entries: u64) -> Result<(), Box<dyn std::error::Error>> {
     let dir = scratch_dir("cost");
     let options = Options::default();
-    let (mut store, _) = Store::open(RealDisk::own(&dir)?, calendar(), options.clone(), "n1", AT)?;
+    let (mut store, _) = Store::open(RealDisk::own(&dir)?, calendar(), options.clone(), "n1", START_TIME)?;
     let groups: Vec<Vec<Record>> = (0..entries)
         .collect::<Vec<_>>()
         .chunks(512)
@@ -51,24 +53,27 @@
         store.append(group)?;
         store.commit()?;
     }
-    let took_seconds = start.elapsed().as_secs_f64();
-    println!("appended in groups of 512, each synced: {:.0} entries a second", entries as f64 / took_seconds);
+    let elapsed_seconds = start.elapsed().as_secs_f64();
+    println!(
+        "appended in groups of 512, each synced: {:.0} entries a second",
+        entries as f64 / elapsed_seconds
+    );
     drop(store);
     let bytes: u64 =
         std::fs::read_dir(&dir)?.map_while(Result::ok).filter_map(|f| Some(f.metadata().ok()?.len())).sum();
     println!("on disk: {:.1} bytes an entry, snapshots included", bytes as f64 / entries as f64);
     let start = Instant::now();
-    let (store, found) = Store::open(RealDisk::own(&dir)?, calendar(), options, "n1", AT)?;
-    let took_ms = start.elapsed().as_secs_f64() * 1e3;
+    let (store, recovery) = Store::open(RealDisk::own(&dir)?, calendar(), options, "n1", START_TIME)?;
+    let elapsed_ms = start.elapsed().as_secs_f64() * 1e3;
     println!(
-        "start after a kill with {entries} entries: {took_ms:.1} ms, {} records read behind the snapshot",
-        found.records
+        "start after a kill with {entries} entries: {elapsed_ms:.1} ms, {} records read after the snapshot",
+        recovery.records
     );
     drop(store);
     let start = Instant::now();
     read_all(&RealDisk::open_read_only(&dir), &calendar(), |_, _, _| {})?;
-    println!("all records read from the first: {:.0} ms", start.elapsed().as_secs_f64() * 1e3);
-    let (mut store, _) = Store::open(RealDisk::own(&dir)?, calendar(), Options::default(), "n1", AT)?;
+    println!("read all records from the first: {:.0} ms", start.elapsed().as_secs_f64() * 1e3);
+    let (mut store, _) = Store::open(RealDisk::own(&dir)?, calendar(), Options::default(), "n1", START_TIME)?;
     let start = Instant::now();
     for n in 0..500 {
         store.append(&[Record::Entry(entry(n))])?;
@@ -80,7 +85,7 @@
 }
 
 fn measure_enqueue() {
-    let (mut handle, intake) = queue();
+    let (mut handle, consumer) = queue();
     const ENTRIES: u64 = 60_000;
     let all: Vec<Entry> = (0..ENTRIES).map(entry).collect();
     let start = Instant::now();
@@ -88,19 +93,19 @@
         handle.enqueue(entry);
     }
     println!(
-        "brought to the thread, in the event loop: {:.0} ns an entry",
+        "enqueue, in the event loop: {:.0} ns an entry",
         start.elapsed().as_nanos() as f64 / ENTRIES as f64
     );
-    drop(intake);
+    drop(consumer);
 }
 
-/// The latencies of complete answers to three clients, in ms, ascending.
+/// The latencies of complete answers to three clients, in ms, in ascending order.
 fn answer_latencies(ledger: Option<&str>, seconds: f64) -> Vec<f64> {
     let fleet = LeafFleet::new(6);
-    let known = fleet.listed();
+    let endpoints = fleet.listed();
     let operator =
         ledger.map(|mode| format!("ledger: {{dir: {}, mode: {mode}}}\n", scratch_dir("answers").display()));
-    let aggregator = Setup { operator, ..Setup::new(&known) }.start();
+    let aggregator = Setup { operator, ..Setup::new(&endpoints) }.start();
     let stop = Arc::new(AtomicBool::new(false));
     let clients: Vec<_> = (0..3)
         .map(|number| {
@@ -119,7 +124,8 @@
         .collect();
     thread::sleep(Duration::from_secs_f64(seconds));
     stop.store(true, Ordering::Relaxed);
-    let mut times: Vec<f64> = clients.into_iter().flat_map(|c| c.join().expect("answered")).collect();
+    let mut times: Vec<f64> =
+        clients.into_iter().flat_map(|c| c.join().expect("client thread panicked")).collect();
     times.sort_by(f64::total_cmp);
     times
 }
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: what it prints, and its exit codes.
+//! The command line: its output and exit codes.
 
 mod common;
 
@@ -12,31 +12,32 @@
     for variable in ["RELAY_CONFIG", "SAILMUX_OPERATOR"] {
         command.env_remove(variable);
     }
-    command.args(args).output().expect("it runs")
+    command.args(args).output().expect("sailmux does not run")
 }
 
 /// Exit code, standard output and standard error.
 fn run(args: &[&str]) -> (i32, String, String) {
-    let out = sailmux(args);
-    let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("text");
-    (out.status.code().expect("a code"), text(out.stdout), text(out.stderr))
+    let output = sailmux(args);
+    let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("not UTF-8");
+    (output.status.code().expect("killed by a signal"), text(output.stdout), text(output.stderr))
 }
 
 fn scratch_file(name: &str, text: &str) -> PathBuf {
     let path = scratch_dir("cli").join(name);
-    fs::write(&path, text).expect("written");
+    fs::write(&path, text).expect("file is not writable");
     path
 }
 
 fn path_text(path: &Path) -> &str {
-    path.to_str().expect("text")
+    path.to_str().expect("not UTF-8")
 }
 
-const SIX: &str =
+/// An inventory of six ready leaf servers, two in each of three cells.
+const INVENTORY_CSV: &str =
     "name,host,port,cell,state\na0,h,1,0,\nb0,h,2,0,\na1,h,3,1,\nb1,h,4,1,\na2,h,5,2,\nb2,h,6,2,\n";
 
 #[test]
-fn exit_code_is_2_for_misuse_and_1_for_problems() {
+fn exit_code_is_2_for_usage_errors_and_1_for_failures() {
     assert_eq!(run(&["--nonsense"]).0, 2);
     assert_eq!(run(&["inventory", "show"]).0, 2);
     assert_eq!(run(&["inventory", "check", "/nowhere/n.csv"]).0, 1);
@@ -48,25 +49,25 @@
 
 #[test]
 fn inventory_check_show_and_diff_print_problems_endpoints_and_changes() {
-    let six = scratch_file("n.csv", SIX);
-    let (code, stdout, _) = run(&["inventory", "check", path_text(&six)]);
+    let inventory = scratch_file("n.csv", INVENTORY_CSV);
+    let (code, stdout, _) = run(&["inventory", "check", path_text(&inventory)]);
     assert!(code == 0 && stdout.contains("n.csv: valid, 6 leaf servers, 0 draining"), "{stdout}");
-    let (code, _, stderr) = run(&["inventory", "check", path_text(&six), "--cells", "2"]);
+    let (code, _, stderr) = run(&["inventory", "check", path_text(&inventory), "--cells", "2"]);
     assert!(
         code == 1 && stderr.contains("n.csv:6: a2.cell: 2 is not below 2") && stderr.contains("b2.cell"),
         "{stderr}"
     );
-    for (text, wanted) in [
+    for (text, expected) in [
         ("name,host,port,cell\n", "names no leaf server"),
         ("name,host,port,cell\na,h,1,0\nb,h,1,0\n", "n.csv:3: b.address: h:1 is the address of a too"),
         ("name,host,port,cell\na,h,70000,0\n", "n.csv:2: a.port"),
         ("name,host,port,cell\na,h,1,-3\n", "n.csv:2: a.cell"),
     ] {
         let (code, _, stderr) = run(&["inventory", "check", path_text(&scratch_file("n.csv", text))]);
-        assert!(code == 1 && stderr.contains(wanted), "{stderr}");
+        assert!(code == 1 && stderr.contains(expected), "{stderr}");
     }
-    let (_, stdout, _) = run(&["inventory", "show", path_text(&six), "--format", "json"]);
-    let object: serde_json::Value = serde_json::from_str(&stdout).expect("JSON");
+    let (_, stdout, _) = run(&["inventory", "show", path_text(&inventory), "--format", "json"]);
+    let object: serde_json::Value = serde_json::from_str(&stdout).expect("not JSON");
     let first = &object["nodes"][0];
     assert_eq!((&first["name"], &first["address"], &first["cell"]), (&"a0".into(), &"h:1".into(), &0.into()));
     assert_eq!(
@@ -74,44 +75,50 @@
         (&"ready".into(), &1.0.into(), &"".into())
     );
     for format in ["csv", "yaml", "json"] {
-        let (_, stdout, _) = run(&["inventory", "show", path_text(&six), "--format", format]);
-        let again = scratch_file(&format!("again.{format}"), &stdout);
-        let (code, stdout, _) = run(&["inventory", "diff", path_text(&six), path_text(&again)]);
+        let (_, stdout, _) = run(&["inventory", "show", path_text(&inventory), "--format", format]);
+        let reread = scratch_file(&format!("reread.{format}"), &stdout);
+        let (code, stdout, _) = run(&["inventory", "diff", path_text(&inventory), path_text(&reread)]);
         assert_eq!((code, stdout.as_str()), (0, "0 added, 0 gone, 0 drained, 0 readied, 0 changed\n"));
     }
-    let (_, table, _) = run(&["inventory", "show", path_text(&six)]);
+    let (_, table, _) = run(&["inventory", "show", path_text(&inventory)]);
     assert!(table.starts_with("NAME  ADDRESS  CELL") && table.lines().count() == 7, "{table}");
-    let other =
-        scratch_file("m.csv", &SIX.replace("a0,h,1,0,", "a0,h,1,0,draining").replace("b1,h,4", "c1,h,7"));
-    let (_, stdout, _) = run(&["inventory", "diff", path_text(&six), path_text(&other)]);
-    for wanted in
+    let changed = scratch_file(
+        "m.csv",
+        &INVENTORY_CSV.replace("a0,h,1,0,", "a0,h,1,0,draining").replace("b1,h,4", "c1,h,7"),
+    );
+    let (_, stdout, _) = run(&["inventory", "diff", path_text(&inventory), path_text(&changed)]);
+    for expected in
         ["drained  a0", "gone     b1  h:4, cell 1", "added    c1  h:7, cell 1", "1 added, 1 gone, 1 drained"]
     {
-        assert!(stdout.contains(wanted), "{stdout}");
+        assert!(stdout.contains(expected), "{stdout}");
     }
 }
 
 #[test]
 fn inventory_plan_prints_changes_and_what_would_be_held_back() {
-    let six = scratch_file("n.csv", SIX);
+    let inventory = scratch_file("n.csv", INVENTORY_CSV);
     let next_file = |text: &str| scratch_file("next.csv", text);
-    let plan = |next: &Path, more: &[&str]| {
-        run(&[&["inventory", "plan", path_text(next), "--current", path_text(&six), "--cells", "3"], more]
-            .concat())
+    let plan = |next: &Path, options: &[&str]| {
+        run(&[
+            &["inventory", "plan", path_text(next), "--current", path_text(&inventory), "--cells", "3"],
+            options,
+        ]
+        .concat())
     };
-    let (code, stdout, _) = plan(&next_file(&SIX.replace("a0,h,1,0,", "a0,h,1,0,draining")), &[]);
+    let (code, stdout, _) = plan(&next_file(&INVENTORY_CSV.replace("a0,h,1,0,", "a0,h,1,0,draining")), &[]);
     assert!(
         code == 0
             && stdout.contains("applied at once")
             && stdout.contains("shard 0 (of each 3): 1 leaf servers"),
         "{stdout}"
     );
-    let (code, stdout, _) = plan(&next_file(&SIX.replace("a2,h,5,2,\nb2,h,6,2,\n", "a2,h,5,2,\n")), &[]);
+    let (code, stdout, _) =
+        plan(&next_file(&INVENTORY_CSV.replace("a2,h,5,2,\nb2,h,6,2,\n", "a2,h,5,2,\n")), &[]);
     assert!(code == 0 && stdout.contains("leaf servers: 6 -> 5"), "{stdout}");
-    let short = next_file(&SIX.replace("a2,h,5,2,\nb2,h,6,2,\n", ""));
-    let (code, stdout, _) = plan(&short, &[]);
+    let without_cell_2 = next_file(&INVENTORY_CSV.replace("a2,h,5,2,\nb2,h,6,2,\n", ""));
+    let (code, stdout, _) = plan(&without_cell_2, &[]);
     assert!(code == 1 && stdout.contains("held back: 2 of 6 nodes would be lost at once"), "{stdout}");
-    let (code, stdout, _) = plan(&short, &["--most-lost", "50"]);
+    let (code, stdout, _) = plan(&without_cell_2, &["--most-lost", "50"]);
     assert!(
         code == 1 && stdout.contains("held back: shard 2 would be left without a leaf server"),
         "{stdout}"
@@ -139,16 +146,16 @@
         .replace("8c1f30d27a5be964", "no hex")
         .replace("\"127.0.0.1:0\"", "\"nowhere\"");
     let config = config.replace("\"maxAttempts\":3", "\"maxAttempts\":\"x\"").replace("retryable", "later");
-    fs::write(dir.join("config.json"), config).expect("written");
-    fs::write(dir.join("n.csv"), "name,host,port,cell\na,h,0,0\nb,h,2,x\n").expect("written");
+    fs::write(dir.join("config.json"), config).expect("file is not writable");
+    fs::write(dir.join("n.csv"), "name,host,port,cell\na,h,0,0\nb,h,2,x\n").expect("file is not writable");
     let operator = "flight:\n  listen: here\nlog: {level: loud, colour: true}\ninventory:\n  poll_ms: 5\n  files:\n    - path: n.csv\n      fields: {adress: X}\n      delimiter: ';;'\n";
-    fs::write(dir.join("bad.yaml"), operator).expect("written");
-    fs::write(dir.join("good.yaml"), "inventory: {file: n.csv}\n").expect("written");
-    let path = |name: &str| dir.join(name).to_str().expect("text").to_owned();
+    fs::write(dir.join("bad.yaml"), operator).expect("file is not writable");
+    fs::write(dir.join("good.yaml"), "inventory: {file: n.csv}\n").expect("file is not writable");
+    let path = |name: &str| dir.join(name).to_str().expect("not UTF-8").to_owned();
     let (code, _, stderr) =
         run(&["check", "--config", &path("config.json"), "--operator", &path("bad.yaml")]);
     assert_eq!(code, 1);
-    for wanted in [
+    for expected in [
         "config.json: field listen: is no address and port",
         "config.json: field seed: is no hex number",
         "config.json: field settings.limits.maxAttempts: has the wrong type, must be a number",
@@ -160,33 +167,33 @@
         "bad.yaml:8: inventory.files[0].fields.adress: is no field; there are name, address",
         "bad.yaml:9: inventory.files[0].delimiter: must be one character",
     ] {
-        assert!(stderr.contains(wanted), "{wanted}:\n{stderr}");
+        assert!(stderr.contains(expected), "{expected}:\n{stderr}");
     }
     let (code, _, stderr) = run(&["check", "--operator", &path("good.yaml")]);
     assert!(
         code == 1 && stderr.contains("n.csv:2: a.port") && stderr.contains("n.csv:3: b.cell"),
         "{stderr}"
     );
-    fs::write(dir.join("n.csv"), SIX).expect("written");
+    fs::write(dir.join("n.csv"), INVENTORY_CSV).expect("file is not writable");
     let (code, stdout, _) = run(&["check", "--operator", &path("good.yaml")]);
     assert!(code == 0 && stdout.contains("n.csv: valid"), "{stdout}");
-    // A field that is unknown stops the start.
-    let out = Command::new(binary())
+    // An unknown field prevents the start.
+    let output = Command::new(binary())
         .env("RELAY_CONFIG", path("config.json"))
         .env("SAILMUX_OPERATOR", path("bad.yaml"))
         .output()
-        .expect("it runs");
-    let stderr = String::from_utf8_lossy(&out.stderr).into_owned();
-    assert!(out.status.code() == Some(1) && stderr.contains("bad.yaml:3: log.colour"), "{stderr}");
+        .expect("sailmux does not run");
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert!(output.status.code() == Some(1) && stderr.contains("bad.yaml:3: log.colour"), "{stderr}");
 }
 
 #[test]
-fn schema_has_exactly_the_fields_of_the_reader() {
+fn schema_has_exactly_the_fields_that_are_read() {
     use sailmux::config::operator::*;
     let (code, stdout, _) = run(&["config", "schema"]);
     assert_eq!(code, 0);
-    let schema: serde_json::Value = serde_json::from_str(&stdout).expect("JSON");
-    let of = |name: &str| match name {
+    let schema: serde_json::Value = serde_json::from_str(&stdout).expect("not JSON");
+    let definition = |name: &str| match name {
         "OperatorFile" => &schema,
         name => &schema["$defs"][name],
     };
@@ -198,15 +205,15 @@
         ("BoundsRecord", BoundsRecord::FIELDS),
         ("LogRecord", LogRecord::FIELDS),
     ] {
-        let mut wanted: Vec<&str> = fields.to_vec();
-        let mut found: Vec<&str> =
-            of(name)["properties"].as_object().expect(name).keys().map(String::as_str).collect();
-        wanted.sort_unstable();
-        found.sort_unstable();
-        assert_eq!(found, wanted, "{name}");
-        assert_eq!(of(name)["additionalProperties"], false, "{name}");
+        let mut expected: Vec<&str> = fields.to_vec();
+        let mut properties: Vec<&str> =
+            definition(name)["properties"].as_object().expect(name).keys().map(String::as_str).collect();
+        expected.sort_unstable();
+        properties.sort_unstable();
+        assert_eq!(properties, expected, "{name}");
+        assert_eq!(definition(name)["additionalProperties"], false, "{name}");
     }
-    let poll = &of("InventoryRecord")["properties"]["poll_ms"];
+    let poll = &definition("InventoryRecord")["properties"]["poll_ms"];
     assert_eq!(
         (&poll["minimum"], &poll["maximum"], &poll["default"]),
         (&50.into(), &400.into(), &200.into())
@@ -233,18 +240,20 @@
 }
 
 #[test]
-fn log_events_are_json_if_so_configured() {
+fn log_events_are_json_if_configured() {
     let dir = scratch_dir("log");
-    fs::write(dir.join("n.csv"), SIX).expect("written");
+    fs::write(dir.join("n.csv"), INVENTORY_CSV).expect("file is not writable");
     let operator = format!("log: {{format: json}}\ninventory: {{file: {}}}\n", dir.join("n.csv").display());
     let mut setup = Setup { operator: Some(operator), ..Setup::new(&[]) };
     setup.max_attempts = 2;
     let mut child = common::process::spawn(&setup.config(), setup.operator.as_deref());
     use std::io::{BufRead, BufReader};
-    let lines = BufReader::new(child.stderr.take().expect("piped")).lines().map_while(Result::ok);
-    let taken = lines.take(8).find(|l| l.contains("list applied")).expect("an event");
-    let event: serde_json::Value = serde_json::from_str(&taken).expect("JSON");
+    let lines = BufReader::new(child.stderr.take().expect("standard error is not piped"))
+        .lines()
+        .map_while(Result::ok);
+    let line = lines.take(8).find(|line| line.contains("list applied")).expect("no event was logged");
+    let event: serde_json::Value = serde_json::from_str(&line).expect("not JSON");
     assert_eq!((&event["nodes"], &event["level"]), (&6.into(), &"INFO".into()));
-    child.kill().expect("it ran");
-    child.wait().expect("it ended");
+    child.kill().expect("process cannot be killed");
+    child.wait().expect("process cannot be waited for");
 }
