--- a/examples/inventory_scale.rs
+++ b/examples/inventory_scale.rs
@@ -84,7 +84,7 @@
     };
     step(
         "the aggregator applies all, at the start",
-        Input::Started { known: None, files: vec![old.clone()] },
+        Input::Started { initial_list: None, files: vec![old.clone()] },
     );
     step("the aggregator applies one drained", Input::File(0, one));
     step("the aggregator applies a tenth moved", Input::File(0, tenth));
--- a/src/aggregator/endpoint_updates.rs
+++ b/src/aggregator/endpoint_updates.rs
@@ -32,7 +32,7 @@
 
     pub(super) fn endpoint_source_changed(&mut self, input: Input, wall_clock_offset: Millis) {
         self.state.wall_clock_offset = wall_clock_offset;
-        let starts_without_discovery = matches!(input, Input::Started { known: None, .. });
+        let starts_without_discovery = matches!(input, Input::Started { initial_list: None, .. });
         if matches!(input, Input::Started { .. }) {
             self.begin_startup();
         }
--- a/src/aggregator/reload.rs
+++ b/src/aggregator/reload.rs
@@ -26,7 +26,7 @@
         self.update_endpoints(Input::Layout(layout));
         if zones_changed {
             // The balancer identifies zones by their index in the settings.
-            self.update_endpoints(Input::SendAll);
+            self.update_endpoints(Input::SendCompleteList);
         }
     }
 }
--- a/src/cli/inventory/plan.rs
+++ b/src/cli/inventory/plan.rs
@@ -5,7 +5,7 @@
 use super::changes::changes_text;
 use super::source::Source;
 use crate::config::operator::Inventory;
-use crate::endpoints::{EndpointList, EndpointRegistry, FileList, GuardSettings, Input, Layout};
+use crate::endpoints::{EndpointList, EndpointRegistry, FileList, GuardSettings, Input, ShardLayout};
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
@@ -41,12 +41,12 @@
         let replaced = file_number(&current, &self.source.path);
         let known = configured.is_some_and(|inventory| inventory.discovery).then(EndpointList::default);
         let files = current.into_iter().map(|file| file.list).collect();
-        registry.handle(0.0, Input::Started { known, files }, &mut Vec::new());
+        registry.handle(0.0, Input::Started { initial_list: known, files }, &mut Vec::new());
 
         let plan = registry.plan(replaced, &candidate);
         let mut text = changes_text(&plan.changes);
         text.push_str(&format!("leaf servers: {} -> {}\n", plan.counts.before, plan.counts.after));
-        for (shard, holders) in plan.ready_holders_by_shard.iter().enumerate() {
+        for (shard, holders) in plan.ready_endpoints_by_shard.iter().enumerate() {
             let cells = layout.cells;
             text.push_str(&format!("shard {shard} (of each {cells}): {holders} leaf servers are ready\n"));
         }
@@ -78,11 +78,11 @@
     }
 
     /// The layout of shards; if the number of cells is not known, the highest one of any list tells it.
-    fn layout(&self, candidate: &FileList, current: &[CurrentFile]) -> Layout {
+    fn layout(&self, candidate: &FileList, current: &[CurrentFile]) -> ShardLayout {
         let lists = current.iter().map(|file| &*file.list).chain([candidate]);
         let cells = lists.flat_map(|list| &list.records).filter_map(|record| record.cell.as_ref());
         let listed = cells.map(|cell| cell.value + 1).max().unwrap_or(1);
-        Layout { cells: self.source.cells().unwrap_or(listed), width: self.width }
+        ShardLayout { cells: self.source.cells().unwrap_or(listed), width: self.width }
     }
 
     fn guard(&self, configured: Option<&Inventory>) -> GuardSettings {
--- a/src/config/platform_settings.rs
+++ b/src/config/platform_settings.rs
@@ -2,7 +2,7 @@
 //! section of the JSON object.
 
 use crate::balancer::{Class, Idempotency, LoadReportMode, Millis, RetryBudget, Settings, Tenant};
-use crate::endpoints::Layout;
+use crate::endpoints::ShardLayout;
 use crate::json::{Field, FieldError};
 
 const DEFAULT_CONNECT_TIMEOUT: Millis = 1_000.0;
@@ -35,8 +35,8 @@
 
 impl SiteSettings {
     /// Which cells hold a shard.
-    pub fn layout(&self) -> Layout {
-        Layout { cells: self.balancer.cells.max(1), width: self.balancer.width.max(1) }
+    pub fn layout(&self) -> ShardLayout {
+        ShardLayout { cells: self.balancer.cells.max(1), width: self.balancer.width.max(1) }
     }
 }
 
--- a/src/endpoints/audit.rs
+++ b/src/endpoints/audit.rs
@@ -1,6 +1,6 @@
 //! Changes of the endpoint lists that operators see. `logging` writes each as one structured event.
 
-use super::{Difference, HoldReason, SourceId, Summary};
+use super::{Difference, HoldReason, ListSummary, SourceId};
 use std::sync::Arc;
 
 /// A change of state for the log.
@@ -13,7 +13,7 @@
         /// Digest of its content.
         digest: Arc<str>,
         /// Counts of the list.
-        summary: Summary,
+        summary: ListSummary,
         /// What it changed.
         difference: Difference,
         /// It had been held back and was confirmed.
@@ -26,7 +26,7 @@
         /// A complete list, not changes.
         complete: bool,
         /// Number of endpoints in force.
-        nodes: usize,
+        endpoint_count: usize,
         /// What it changed.
         difference: Difference,
     },
--- a/src/endpoints/discovery_source.rs
+++ b/src/endpoints/discovery_source.rs
@@ -10,7 +10,7 @@
 
 #[derive(Clone, Debug)]
 struct DiscoveredEndpoint {
-    /// [`SourceId::Known`] until discovery lists the endpoint itself.
+    /// [`SourceId::InitialList`] until discovery lists the endpoint itself.
     source: SourceId,
     endpoint: Endpoint,
 }
@@ -24,9 +24,9 @@
 
 impl DiscoverySource {
     /// Adds the endpoints of the list known at the start.
-    pub fn add_known(&mut self, endpoints: Vec<Endpoint>) {
+    pub fn add_initial_list(&mut self, endpoints: Vec<Endpoint>) {
         for endpoint in endpoints {
-            let known = DiscoveredEndpoint { source: SourceId::Known, endpoint };
+            let known = DiscoveredEndpoint { source: SourceId::InitialList, endpoint };
             self.endpoints.insert(known.endpoint.name.clone(), known);
         }
     }
--- a/src/endpoints/endpoint.rs
+++ b/src/endpoints/endpoint.rs
@@ -23,7 +23,7 @@
     pub address: Arc<str>,
     /// Its zone; empty if unknown.
     pub zone: Arc<str>,
-    /// Its cell, which determines the shards it holds (see [`Layout`](super::Layout)).
+    /// Its cell, which determines the shards it holds (see [`ShardLayout`](super::ShardLayout)).
     pub cell: u32,
     /// Its relative capacity.
     pub weight: f64,
--- a/src/endpoints/guard.rs
+++ b/src/endpoints/guard.rs
@@ -1,7 +1,7 @@
 //! The guard of inventory files: whether a new list takes effect or is held back until it is confirmed.
 
 use super::Millis;
-use super::layout::{Holders, Layout};
+use super::layout::{Holders, ShardLayout};
 use std::fmt;
 
 /// The operator's settings of the guard.
@@ -32,7 +32,7 @@
         total: usize,
     },
     /// This shard would be left without an endpoint that is ready.
-    ShardWithoutHolder(u32),
+    ShardWithoutReadyEndpoint(u32),
     /// The file is truncated within a line: its writer has not finished, or has crashed.
     TruncatedMidLine,
 }
@@ -44,7 +44,9 @@
             Self::TooManyRemoved { removed, total } => {
                 write!(f, "{removed} of {total} nodes would be lost at once")
             }
-            Self::ShardWithoutHolder(shard) => write!(f, "shard {shard} would be left without a leaf server"),
+            Self::ShardWithoutReadyEndpoint(shard) => {
+                write!(f, "shard {shard} would be left without a leaf server")
+            }
             Self::TruncatedMidLine => write!(f, "it ends within a line"),
         }
     }
@@ -75,7 +77,7 @@
 /// Decides which lists are held back.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ListGuard {
-    pub layout: Layout,
+    pub layout: ShardLayout,
     pub settings: GuardSettings,
 }
 
@@ -93,7 +95,7 @@
         // One round over the cells is enough: shards that start at the same cell have the same holders.
         (0..self.layout.cells)
             .find(|shard| self.loses_last_holder(change, *shard))
-            .map(HoldReason::ShardWithoutHolder)
+            .map(HoldReason::ShardWithoutReadyEndpoint)
     }
 
     fn loses_last_holder(&self, change: &ProposedChange<'_>, shard: u32) -> bool {
--- a/src/endpoints/history.rs
+++ b/src/endpoints/history.rs
@@ -28,7 +28,7 @@
     /// The source whose list caused it.
     pub source: SourceId,
     /// Number of endpoints in it.
-    pub nodes: usize,
+    pub endpoint_count: usize,
     /// What it changed, by endpoint name.
     pub changes: BTreeMap<Arc<str>, Change>,
 }
--- a/src/endpoints/input.rs
+++ b/src/endpoints/input.rs
@@ -1,6 +1,6 @@
 //! What the registry takes in.
 
-use super::{EndpointList, FileList, Layout, Override};
+use super::{EndpointList, FileList, Override, ShardLayout};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
     /// The sources as found at the start: once, before any other input.
     Started {
         /// The list known at the start; `None` if discovery is not used.
-        known: Option<EndpointList>,
+        initial_list: Option<EndpointList>,
         /// The list of each file, in the operator's order.
         files: Vec<Arc<FileList>>,
     },
@@ -24,11 +24,11 @@
     /// An operator confirms the list held back for a file, by its digest.
     FileConfirmed(u16, Arc<str>),
     /// The placement of shards on cells has changed.
-    Layout(Layout),
+    Layout(ShardLayout),
     /// The overrides of all endpoints, by name; replaces those before.
     Overrides(BTreeMap<Arc<str>, Override>),
     /// The aggregator needs the complete list again.
-    SendAll,
+    SendCompleteList,
     /// A timer set by [`Output::SetTimer`](super::Output::SetTimer) has fired.
     TimerFired,
 }
--- a/src/endpoints/layout.rs
+++ b/src/endpoints/layout.rs
@@ -5,14 +5,14 @@
 
 /// The placement of shards on cells: shard s is held by the cells `(s + j) mod cells` for each j below `width`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Layout {
+pub struct ShardLayout {
     /// Number of cells.
     pub cells: u32,
     /// Number of consecutive cells that hold a shard.
     pub width: u32,
 }
 
-impl Layout {
+impl ShardLayout {
     /// The cells that hold a shard.
     pub fn holders(self, shard: u32) -> impl Iterator<Item = u32> {
         let cells = self.cells.max(1);
@@ -47,7 +47,7 @@
     }
 
     /// Ready endpoints that hold a shard.
-    pub fn of_shard(&self, layout: Layout, shard: u32) -> u32 {
+    pub fn of_shard(&self, layout: ShardLayout, shard: u32) -> u32 {
         layout.holders(shard).map(|cell| self.of_cell(cell)).sum()
     }
 
--- a/src/endpoints/merge.rs
+++ b/src/endpoints/merge.rs
@@ -11,7 +11,7 @@
 //! 5. Without an address or a cell from any source there is no endpoint. A missing zone is empty, a missing weight 1,
 //!    a missing state ready, a missing start time 0.
 
-use super::record::{EndpointRecord, SourceLocation, Sourced};
+use super::record::{EndpointRecord, Located, SourceLocation};
 use super::{Endpoint, EndpointState, FieldName, Millis, Origin, Provenance, SourceId};
 use std::sync::Arc;
 
@@ -173,9 +173,9 @@
         self.stated = Some(Stated { value: value.clone(), origin });
     }
 
-    fn set_from_file(&mut self, file: u16, sourced: Option<&Sourced<T>>) {
-        if let Some(sourced) = sourced {
-            self.set(&sourced.value, Origin::in_file(file, sourced.location));
+    fn set_from_file(&mut self, file: u16, located: Option<&Located<T>>) {
+        if let Some(located) = located {
+            self.set(&located.value, Origin::in_file(file, located.location));
         }
     }
 
--- a/src/endpoints/mod.rs
+++ b/src/endpoints/mod.rs
@@ -40,14 +40,14 @@
 pub use guard::{EndpointCounts, GuardSettings, HoldReason};
 pub use history::{Change, Difference, History, Version};
 pub use input::Input;
-pub use layout::Layout;
+pub use layout::ShardLayout;
 pub use merge::MergedEndpoint;
 pub use output::Output;
 pub use overrides::Override;
 pub use plan::Plan;
 pub use provenance::{FieldName, Origin, Provenance};
 pub use record::{
-    EndpointRecord, FileList, SharedAddress, SourceLocation, Sourced, Summary, shared_addresses,
+    EndpointRecord, FileList, ListSummary, Located, SharedAddress, SourceLocation, shared_addresses,
 };
 pub use registry::EndpointRegistry;
 
@@ -59,7 +59,7 @@
     /// An inventory file, by its index in the operator's list; later files take precedence over earlier ones.
     File(u16),
     /// The list known at the start, until discovery lists the endpoint.
-    Known,
+    InitialList,
     /// Discovery.
     Discovery,
 }
--- a/src/endpoints/plan.rs
+++ b/src/endpoints/plan.rs
@@ -26,7 +26,7 @@
     /// Numbers of endpoints before and after.
     pub counts: EndpointCounts,
     /// Ready endpoints of each shard after it, for the first shards, one for each cell; others repeat these.
-    pub ready_holders_by_shard: Vec<u32>,
+    pub ready_endpoints_by_shard: Vec<u32>,
 }
 
 /// Makes a plan for the list of a file, which need not be one of the sources' files.
@@ -57,7 +57,7 @@
         difference: Difference::of(projection.changes.values()),
         hold_reason: hold,
         counts: projection.counts,
-        ready_holders_by_shard: shards
+        ready_endpoints_by_shard: shards
             .map(|shard| projection.holders_if_applied.of_shard(guard.layout, shard))
             .collect(),
         changes: projection.changes,
--- a/src/endpoints/record.rs
+++ b/src/endpoints/record.rs
@@ -17,7 +17,7 @@
 
 /// A value and its place.
 #[derive(Clone, Debug)]
-pub struct Sourced<T> {
+pub struct Located<T> {
     /// The value.
     pub value: T,
     /// Where it is stated.
@@ -32,17 +32,17 @@
     /// Where it is named.
     pub location: SourceLocation,
     /// The address it listens at; may be a Flight location.
-    pub address: Option<Sourced<Arc<str>>>,
+    pub address: Option<Located<Arc<str>>>,
     /// Its zone.
-    pub zone: Option<Sourced<Arc<str>>>,
+    pub zone: Option<Located<Arc<str>>>,
     /// Its cell.
-    pub cell: Option<Sourced<u32>>,
+    pub cell: Option<Located<u32>>,
     /// Its relative capacity.
-    pub weight: Option<Sourced<f64>>,
+    pub weight: Option<Located<f64>>,
     /// Its state: ready or draining, never gone.
-    pub state: Option<Sourced<EndpointState>>,
+    pub state: Option<Located<EndpointState>>,
     /// Unix time of its last start, in milliseconds.
-    pub started_at_unix: Option<Sourced<Millis>>,
+    pub started_at_unix: Option<Located<Millis>>,
 }
 
 impl EndpointRecord {
@@ -77,8 +77,8 @@
     }
 }
 
-fn same_value<T: PartialEq>(left: Option<&Sourced<T>>, right: Option<&Sourced<T>>) -> bool {
-    left.map(|sourced| &sourced.value) == right.map(|sourced| &sourced.value)
+fn same_value<T: PartialEq>(left: Option<&Located<T>>, right: Option<&Located<T>>) -> bool {
+    left.map(|located| &located.value) == right.map(|located| &located.value)
 }
 
 /// The list that one inventory gives; made by `inventory::read`.
@@ -131,9 +131,9 @@
     }
 
     /// Counts of the list, for the log and the command line.
-    pub fn summary(&self) -> Summary {
+    pub fn summary(&self) -> ListSummary {
         let draining = self.records.iter().filter(|record| record.is_draining()).count();
-        Summary { endpoints: self.records.len(), draining }
+        ListSummary { endpoints: self.records.len(), draining }
     }
 
     /// The name of the file of a place; empty if there is none.
@@ -144,7 +144,7 @@
 
 /// Counts of a list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Summary {
+pub struct ListSummary {
     /// Endpoints named.
     pub endpoints: usize,
     /// Those that are draining.
--- a/src/endpoints/registry.rs
+++ b/src/endpoints/registry.rs
@@ -4,7 +4,7 @@
 use super::file_source::FileSource;
 use super::guard::{GuardSettings, ListGuard};
 use super::history::{Change, Difference, History, Version};
-use super::layout::Layout;
+use super::layout::ShardLayout;
 use super::merge::MergedEndpoint;
 use super::overrides::EndpointOverrides;
 use super::plan::{Plan, plan};
@@ -34,7 +34,7 @@
 
 impl EndpointRegistry {
     /// A registry without sources, which come with [`Input::Started`].
-    pub fn new(layout: Layout, guard: GuardSettings) -> Self {
+    pub fn new(layout: ShardLayout, guard: GuardSettings) -> Self {
         EndpointRegistry {
             guard: ListGuard { layout, settings: guard },
             sources: Sources::default(),
@@ -49,7 +49,7 @@
     pub fn handle(&mut self, now: Millis, input: Input, outputs: &mut Vec<Output>) {
         let first_new = outputs.len();
         match input {
-            Input::Started { known, files } => self.on_started(now, known, files, outputs),
+            Input::Started { initial_list, files } => self.on_started(now, initial_list, files, outputs),
             Input::Discovery(list) => self.on_discovery(now, list, outputs),
             Input::File(file, list) => self.on_file(now, file, list, outputs),
             Input::FileRejected(file, problem) => {
@@ -59,7 +59,7 @@
             Input::FileConfirmed(file, digest) => self.on_file_confirmed(now, file, digest, outputs),
             Input::Layout(layout) => self.guard.layout = layout,
             Input::Overrides(overrides) => self.on_overrides(overrides, outputs),
-            Input::SendAll => outputs.push(Output::List(self.complete_list())),
+            Input::SendCompleteList => outputs.push(Output::List(self.complete_list())),
             Input::TimerFired => self.on_timer(now, outputs),
         }
         for output in &mut outputs[first_new..] {
@@ -102,15 +102,15 @@
     fn on_started(
         &mut self,
         now: Millis,
-        known: Option<EndpointList>,
+        initial_list: Option<EndpointList>,
         files: Vec<Arc<FileList>>,
         outputs: &mut Vec<Output>,
     ) {
-        let source = if files.is_empty() { SourceId::Known } else { SourceId::File(0) };
-        let generation = known.as_ref().map_or(1, |list| list.generation);
+        let source = if files.is_empty() { SourceId::InitialList } else { SourceId::File(0) };
+        let generation = initial_list.as_ref().map_or(1, |list| list.generation);
         self.sources.files = files.iter().cloned().map(FileSource::new).collect();
-        if let Some(known) = known {
-            self.sources.discovery.add_known(known.entries);
+        if let Some(initial_list) = initial_list {
+            self.sources.discovery.add_initial_list(initial_list.entries);
         }
         let mut names: BTreeSet<Arc<str>> = self.sources.discovery.names().cloned().collect();
         for list in &files {
@@ -138,7 +138,7 @@
         outputs.push(Output::Audit(AuditEvent::DiscoveryApplied {
             generation: list.generation,
             complete: list.complete,
-            nodes: self.effective.len(),
+            endpoint_count: self.effective.len(),
             difference: applied.difference,
         }));
         if !has_files {
@@ -304,8 +304,8 @@
         let difference = Difference::of(changes.values());
         if !changes.is_empty() {
             self.version += 1;
-            let nodes = self.effective.len();
-            self.history.push(Version { number: self.version, at: now, source, nodes, changes });
+            let endpoint_count = self.effective.len();
+            self.history.push(Version { number: self.version, at: now, source, endpoint_count, changes });
         }
         AppliedChanges { entries, difference }
     }
--- a/src/inventory/mapping/reader.rs
+++ b/src/inventory/mapping/reader.rs
@@ -4,7 +4,7 @@
 use super::address::{Address, Protocol, is_ipv6, parse_port};
 use super::error::{FieldError, FieldProblem};
 use super::{Field, Mapping};
-use crate::endpoints::{EndpointRecord, EndpointState, SourceLocation, Sourced};
+use crate::endpoints::{EndpointRecord, EndpointState, Located, SourceLocation};
 use crate::yaml::Node;
 use std::sync::Arc;
 
@@ -88,10 +88,10 @@
     /// Host, port and protocol as one address.
     fn full_address(
         &mut self,
-        address: Option<Sourced<Address>>,
-        port: Option<Sourced<u16>>,
+        address: Option<Located<Address>>,
+        port: Option<Located<u16>>,
         protocol: Option<Protocol>,
-    ) -> Option<Sourced<Arc<str>>> {
+    ) -> Option<Located<Arc<str>>> {
         if self.has_problem(Field::Address) || self.has_problem(Field::Port) {
             return None;
         }
@@ -111,11 +111,11 @@
             Protocol::Flight => "grpc+tcp://",
         };
         let host = if is_ipv6(&address.host) { format!("[{}]", address.host) } else { address.host };
-        Some(Sourced { value: format!("{scheme}{host}:{port}").into(), location })
+        Some(Located { value: format!("{scheme}{host}:{port}").into(), location })
     }
 
     /// The port of the address or of the field; if both are set they must be equal.
-    fn agreed_port(&mut self, address_port: Option<u16>, port: Option<Sourced<u16>>) -> Option<u16> {
+    fn agreed_port(&mut self, address_port: Option<u16>, port: Option<Located<u16>>) -> Option<u16> {
         match (address_port, port) {
             (Some(address_port), Some(port)) if address_port != port.value => {
                 let error = FieldError::PortMismatch { port: port.value, address_port };
@@ -138,11 +138,11 @@
         &mut self,
         field: Field,
         parse: impl Fn(&str) -> Result<T, FieldError>,
-    ) -> Option<Sourced<T>> {
+    ) -> Option<Located<T>> {
         let (text, location) = self.field_text(field)?;
         let text = self.translated(field, text.trim());
         match parse(&text) {
-            Ok(value) => Some(Sourced { value, location }),
+            Ok(value) => Some(Located { value, location }),
             Err(error) => {
                 self.report(location, field, error);
                 None
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -61,10 +61,10 @@
             "list applied"
         ),
         // Debug, since discovery sends lists all the time.
-        AuditEvent::DiscoveryApplied { generation, complete, nodes, difference } => debug!(
+        AuditEvent::DiscoveryApplied { generation, complete, endpoint_count, difference } => debug!(
             generation,
             complete,
-            nodes,
+            nodes = endpoint_count,
             added = difference.added,
             gone = difference.removed,
             drained = difference.started_draining,
@@ -113,7 +113,7 @@
             Some(path) => path,
             None => "",
         },
-        SourceId::Known => "known",
+        SourceId::InitialList => "known",
         SourceId::Discovery => "discovery",
     }
 }
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -170,7 +170,7 @@
     let uses_discovery = inventory.as_ref().is_none_or(|inventory| inventory.discovery);
     let generation = discovery.known.generation;
     let input = endpoints::Input::Started {
-        known: uses_discovery.then_some(discovery.known),
+        initial_list: uses_discovery.then_some(discovery.known),
         files: inventory.as_ref().map(inventory_watch::initial_lists).unwrap_or_default(),
     };
     let wall_clock_offset = event_loop.clock.wall_clock_offset();
--- a/tests/aggregator.rs
+++ b/tests/aggregator.rs
@@ -38,7 +38,7 @@
     let limits = Limits::from_max_descriptors(1024);
     let mut state = State::new(settings, limits, 7, GuardSettings::default()).expect("valid settings");
     let files = vec![inventory(servers)];
-    change_endpoints(&mut state, START, Input::Started { known: None, files });
+    change_endpoints(&mut state, START, Input::Started { initial_list: None, files });
     state
 }
 
--- a/tests/endpoints/harness.rs
+++ b/tests/endpoints/harness.rs
@@ -3,18 +3,18 @@
 use sailmux::endpoints::*;
 use std::sync::Arc;
 
-const LAYOUT: Layout = Layout { cells: 3, width: 1 };
+const LAYOUT: ShardLayout = ShardLayout { cells: 3, width: 1 };
 const LOCATION: SourceLocation = SourceLocation { file: 0, line: 7 };
 
-pub fn sourced<T>(value: T) -> Option<Sourced<T>> {
-    Some(Sourced { value, location: LOCATION })
+pub fn located<T>(value: T) -> Option<Located<T>> {
+    Some(Located { value, location: LOCATION })
 }
 
 pub fn record(name: &str, cell: u32, state: Option<EndpointState>) -> EndpointRecord {
     EndpointRecord {
-        address: sourced(format!("{name}:1").into()),
-        cell: sourced(cell),
-        state: state.and_then(sourced),
+        address: located(format!("{name}:1").into()),
+        cell: located(cell),
+        state: state.and_then(located),
         ..EndpointRecord::new(name, LOCATION)
     }
 }
@@ -38,13 +38,17 @@
 }
 
 impl Harness {
-    pub fn new(known: Option<EndpointList>, files: Vec<Arc<FileList>>) -> Self {
-        Self::with_guard(GuardSettings::default(), known, files)
+    pub fn new(initial_list: Option<EndpointList>, files: Vec<Arc<FileList>>) -> Self {
+        Self::with_guard(GuardSettings::default(), initial_list, files)
     }
 
-    pub fn with_guard(guard: GuardSettings, known: Option<EndpointList>, files: Vec<Arc<FileList>>) -> Self {
+    pub fn with_guard(
+        guard: GuardSettings,
+        initial_list: Option<EndpointList>,
+        files: Vec<Arc<FileList>>,
+    ) -> Self {
         let mut harness = Harness { registry: EndpointRegistry::new(LAYOUT, guard), outputs: Vec::new() };
-        harness.handle(0.0, Input::Started { known, files });
+        harness.handle(0.0, Input::Started { initial_list, files });
         harness
     }
 
--- a/tests/endpoints/main.rs
+++ b/tests/endpoints/main.rs
@@ -3,7 +3,7 @@
 mod harness;
 mod precedence;
 
-use harness::{Harness, SIX, entry, list, ready_list, record, sourced};
+use harness::{Harness, SIX, entry, list, located, ready_list, record};
 use sailmux::endpoints::*;
 use std::sync::Arc;
 
@@ -17,7 +17,7 @@
         (
             "shard",
             &[("a0", 0), ("b0", 0), ("a1", 1), ("b1", 1), ("a2", 2)],
-            HoldReason::ShardWithoutHolder(2),
+            HoldReason::ShardWithoutReadyEndpoint(2),
         ),
     ];
     for (digest, endpoints, reason) in cases {
@@ -150,7 +150,7 @@
     partial.partial = true;
     let mut harness = Harness::new(None, vec![ready_list("six", &SIX), Arc::new(partial.clone())]);
     let draining = |name: &str| EndpointRecord {
-        state: sourced(EndpointState::Draining),
+        state: located(EndpointState::Draining),
         ..EndpointRecord::new(name, SourceLocation::default())
     };
     partial.records = vec![draining("a1"), draining("nobody")];
@@ -204,7 +204,7 @@
 
 #[test]
 fn two_endpoints_of_two_files_at_one_address_are_reported() {
-    let twin = EndpointRecord { address: sourced("a0:1".into()), ..record("twin", 0, None) };
+    let twin = EndpointRecord { address: located("a0:1".into()), ..record("twin", 0, None) };
     let harness = Harness::new(None, vec![ready_list("six", &SIX), list("t", vec![twin])]);
     let reports_twin = |output: &Output| match output {
         Output::Audit(AuditEvent::SharedAddress { name, .. }) => &**name == "twin",
--- a/tests/endpoints/precedence.rs
+++ b/tests/endpoints/precedence.rs
@@ -1,6 +1,6 @@
 //! Precedence, against a model that keeps the last statement of each source and asks all of them each time.
 
-use crate::harness::{Harness, entry, list, record, sourced};
+use crate::harness::{Harness, entry, list, located, record};
 use proptest::prelude::*;
 use sailmux::endpoints::*;
 use std::collections::BTreeMap;
@@ -132,11 +132,11 @@
 
 fn file_input(digest: &str, file: u8, rows: &BTreeMap<u8, FileRow>) -> Input {
     let records = rows.iter().map(|(number, row)| EndpointRecord {
-        cell: row.cell.map(u32::from).and_then(sourced),
-        weight: row.weight.map(f64::from).and_then(sourced),
+        cell: row.cell.map(u32::from).and_then(located),
+        weight: row.weight.map(f64::from).and_then(located),
         state: match row.state {
-            StatedState::Ready => sourced(EndpointState::Ready),
-            StatedState::Draining => sourced(EndpointState::Draining),
+            StatedState::Ready => located(EndpointState::Ready),
+            StatedState::Draining => located(EndpointState::Draining),
             StatedState::Absent => None,
         },
         ..record(&endpoint_name(*number), 0, None)
--- a/tests/formats/truncation.rs
+++ b/tests/formats/truncation.rs
@@ -1,7 +1,7 @@
 //! Files of which only a part is there.
 
 use crate::support::*;
-use sailmux::endpoints::{Endpoint, EndpointRegistry, FileList, GuardSettings, Input, Layout};
+use sailmux::endpoints::{Endpoint, EndpointRegistry, FileList, GuardSettings, Input, ShardLayout};
 use sailmux::inventory::*;
 use std::sync::Arc;
 
@@ -68,9 +68,9 @@
 
 /// A registry that had `old` and was then given `list`.
 fn registry_after(old: &FileList, list: &FileList) -> EndpointRegistry {
-    let mut registry = EndpointRegistry::new(Layout { cells: 3, width: 1 }, GuardSettings::default());
+    let mut registry = EndpointRegistry::new(ShardLayout { cells: 3, width: 1 }, GuardSettings::default());
     let mut events = Vec::new();
-    let started = Input::Started { known: None, files: vec![Arc::new(old.clone())] };
+    let started = Input::Started { initial_list: None, files: vec![Arc::new(old.clone())] };
     registry.handle(0.0, started, &mut events);
     registry.handle(1.0, Input::File(0, Arc::new(list.clone())), &mut events);
     registry
--- a/tests/lifecycle.rs
+++ b/tests/lifecycle.rs
@@ -95,7 +95,7 @@
         self.load_overrides(name, overrides);
         let entries = vec![endpoint("a"), endpoint("b")];
         let known = Some(EndpointList { generation: 1, complete: true, entries });
-        let input = Input::Started { known, files: Vec::new() };
+        let input = Input::Started { initial_list: known, files: Vec::new() };
         self.deliver(name, Event::EndpointSourceChanged { input, wall_clock_offset: 0.0 });
         self.update_siblings();
     }
