--- a/src/endpoints/audit.rs
+++ b/src/endpoints/audit.rs
@@ -1,77 +1,77 @@
-//! Changes of the endpoint lists that operators see. `logging` writes each as one structured event.
+//! Audit events of the endpoint registry. `logging` writes each as one structured log event.
 
 use super::{Difference, HoldReason, ListSummary, SourceId};
 use std::sync::Arc;
 
-/// A change of state for the log.
+/// A change of the endpoint list or of its sources, for the log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AuditEvent {
-    /// A file's list has taken effect.
+    /// The list of a file has taken effect.
     ListApplied {
-        /// The file.
+        /// The inventory file.
         source: SourceId,
-        /// Digest of its content.
+        /// Digest of the file's content.
         digest: Arc<str>,
-        /// Counts of the list.
+        /// Endpoint counts of the list.
         summary: ListSummary,
-        /// What it changed.
+        /// Counts of the changed endpoints.
         difference: Difference,
-        /// It had been held back and was confirmed.
+        /// Whether the list had been held back and was then confirmed.
         confirmed: bool,
     },
     /// A list from discovery has taken effect.
     DiscoveryApplied {
-        /// Its version.
+        /// Version of the list, assigned by discovery.
         generation: u64,
-        /// A complete list, not changes.
+        /// True for a complete list, false for changes.
         complete: bool,
-        /// Number of endpoints in force.
+        /// Number of effective endpoints.
         endpoint_count: usize,
-        /// What it changed.
+        /// Counts of the changed endpoints.
         difference: Difference,
     },
-    /// A file's list is held back; only its draining states have taken effect.
+    /// The list of a file is held back; only its draining states have taken effect.
     ListHeldBack {
-        /// The file.
+        /// The inventory file.
         source: SourceId,
-        /// Digest of its content, which a confirmation has to name.
+        /// Digest of the file's content, which a confirmation must contain.
         digest: Arc<str>,
         /// Why it is held back.
         reason: HoldReason,
-        /// What it would change.
+        /// Counts of the endpoints that the list would change.
         difference: Difference,
     },
-    /// The list held back was dropped: the file has the content of the applied list again.
+    /// The held-back list was dropped because the file has the content of the applied list again.
     HeldListWithdrawn {
-        /// The file.
+        /// The inventory file.
         source: SourceId,
     },
-    /// A file could not be used; the applied list stays in force.
+    /// A file could not be used; the applied list stays in effect.
     ListRejected {
-        /// The file.
+        /// The inventory file.
         source: SourceId,
-        /// Why, with file and line.
+        /// Description of the problem, with file and line.
         problem: String,
     },
-    /// A confirmation names a list that is not held back.
+    /// A confirmation does not match a held-back list.
     ConfirmationUnmatched {
-        /// The file.
+        /// The inventory file.
         source: SourceId,
-        /// The digest that it names.
+        /// The digest in the confirmation.
         digest: Arc<str>,
     },
-    /// An operator has taken an endpoint out of service, or put it back.
+    /// An operator has taken an endpoint out of service, or returned it to service.
     OverrideChanged {
-        /// The endpoint.
+        /// Name of the endpoint.
         name: Arc<str>,
-        /// True: out of service.
+        /// True if the endpoint is out of service.
         active: bool,
     },
-    /// Two endpoints have the same address.
+    /// An endpoint has an address that another endpoint has too.
     SharedAddress {
-        /// The address.
+        /// The shared address.
         address: Arc<str>,
-        /// The endpoint that got this address last.
+        /// Name of the endpoint that was last added at this address.
         name: Arc<str>,
     },
 }
--- a/src/endpoints/discovery_source.rs
+++ b/src/endpoints/discovery_source.rs
@@ -1,11 +1,11 @@
-//! Discovery as a source, with the list known at the start, and the names that discovery removed.
+//! Discovery as an endpoint source, including the initial list and the names that discovery has removed.
 
-use super::merge::Statement;
+use super::merge::SourceEntry;
 use super::{Endpoint, EndpointList, EndpointState, SourceId};
 use std::collections::{BTreeSet, HashMap, HashSet, VecDeque};
 use std::sync::Arc;
 
-/// Most removed names that are remembered; the oldest are forgotten first.
+/// Maximum number of removed names that are kept; the oldest are dropped first.
 const MAX_REMOVED_NAMES: usize = 50_000;
 
 #[derive(Clone, Debug)]
@@ -15,7 +15,7 @@
     endpoint: Endpoint,
 }
 
-/// The endpoints that discovery or the list known at the start names.
+/// The endpoints listed by discovery or by the initial list.
 #[derive(Clone, Debug, Default)]
 pub(super) struct DiscoverySource {
     endpoints: HashMap<Arc<str>, DiscoveredEndpoint>,
@@ -23,11 +23,11 @@
 }
 
 impl DiscoverySource {
-    /// Adds the endpoints of the list known at the start.
+    /// Adds the endpoints of the initial list.
     pub fn add_initial_list(&mut self, endpoints: Vec<Endpoint>) {
         for endpoint in endpoints {
-            let known = DiscoveredEndpoint { source: SourceId::InitialList, endpoint };
-            self.endpoints.insert(known.endpoint.name.clone(), known);
+            let discovered = DiscoveredEndpoint { source: SourceId::InitialList, endpoint };
+            self.endpoints.insert(discovered.endpoint.name.clone(), discovered);
         }
     }
 
@@ -36,23 +36,23 @@
         self.endpoints.keys()
     }
 
-    /// Takes a list from discovery; returns the names whose endpoints may change. Names that it removes are remembered
-    /// if `remember_removed`, which is needed where a file may still name them.
-    pub fn update(&mut self, list: &EndpointList, remember_removed: bool) -> BTreeSet<Arc<str>> {
+    /// Applies a list from discovery; returns the names whose endpoints may change. With `track_removed`, the removed
+    /// names are kept, which is needed if a file may still list them.
+    pub fn update(&mut self, list: &EndpointList, track_removed: bool) -> BTreeSet<Arc<str>> {
         let mut names: BTreeSet<Arc<str>> = list.entries.iter().map(|entry| entry.name.clone()).collect();
         if list.complete {
             let missing: Vec<Arc<str>> =
                 self.names().filter(|name| !names.contains(*name)).cloned().collect();
             for name in missing {
-                self.remove(&name, remember_removed);
+                self.remove(&name, track_removed);
                 names.insert(name);
             }
         }
         for entry in &list.entries {
             if entry.state == EndpointState::Gone {
-                self.remove(&entry.name, remember_removed);
+                self.remove(&entry.name, track_removed);
             } else {
-                self.removed.forget(&entry.name);
+                self.removed.discard(&entry.name);
                 let listed = DiscoveredEndpoint { source: SourceId::Discovery, endpoint: entry.clone() };
                 self.endpoints.insert(entry.name.clone(), listed);
             }
@@ -60,35 +60,35 @@
         names
     }
 
-    fn remove(&mut self, name: &Arc<str>, remember: bool) {
+    fn remove(&mut self, name: &Arc<str>, track_removed: bool) {
         self.endpoints.remove(name);
-        if remember {
-            self.removed.remember(name);
+        if track_removed {
+            self.removed.insert(name);
         }
     }
 
-    /// Whether discovery removed an endpoint and has not listed it since.
+    /// Whether discovery has removed an endpoint and not listed it again.
     pub fn has_removed(&self, name: &str) -> bool {
         self.removed.contains(name)
     }
 
-    /// What discovery, or the list known at the start, states about an endpoint.
-    pub fn statement(&self, name: &str) -> Option<Statement<'_>> {
+    /// The entry of discovery or of the initial list for an endpoint name.
+    pub fn entry(&self, name: &str) -> Option<SourceEntry<'_>> {
         let discovered = self.endpoints.get(name)?;
-        Some(Statement::Entry { source: discovered.source, endpoint: &discovered.endpoint })
+        Some(SourceEntry::Endpoint { source: discovered.source, endpoint: &discovered.endpoint })
     }
 }
 
-/// A bounded set of names, oldest first.
+/// A bounded set of removed names, which drops the oldest names first.
 #[derive(Clone, Debug, Default)]
 struct RemovedNames {
     names: HashSet<Arc<str>>,
-    /// In the order of removal. A name that was listed again stays here until it is the oldest.
+    /// Names in the order of removal. A name that was listed again is not removed here until it is the oldest.
     order: VecDeque<Arc<str>>,
 }
 
 impl RemovedNames {
-    fn remember(&mut self, name: &Arc<str>) {
+    fn insert(&mut self, name: &Arc<str>) {
         if !self.names.insert(name.clone()) {
             return;
         }
@@ -99,7 +99,7 @@
         }
     }
 
-    fn forget(&mut self, name: &str) {
+    fn discard(&mut self, name: &str) {
         self.names.remove(name);
     }
 
--- a/src/endpoints/endpoint.rs
+++ b/src/endpoints/endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint (one leaf server) and a list of them, as the aggregator receives them.
+//! An endpoint (one leaf server) and a list of endpoints, as the aggregator receives them.
 
 use super::Millis;
 use std::sync::Arc;
@@ -6,9 +6,9 @@
 /// Whether an endpoint accepts work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// Serving.
+    /// Accepts new attempts.
     Ready,
-    /// Finishing its work in flight: it gets no new attempts.
+    /// Finishes its attempts in flight and accepts no new ones.
     Draining,
     /// Removed from the list.
     Gone,
@@ -17,29 +17,29 @@
 /// One leaf server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// Its name: the same at every aggregator, and after a restart of the leaf server.
+    /// Identifies the leaf server; the same on all aggregators and after a restart of the leaf server.
     pub name: Arc<str>,
-    /// The address it listens at.
+    /// The address at which the leaf server listens.
     pub address: Arc<str>,
-    /// Its zone; empty if unknown.
+    /// The zone, a failure domain; empty if unknown.
     pub zone: Arc<str>,
-    /// Its cell, which determines the shards it holds (see [`ShardLayout`](super::ShardLayout)).
+    /// The cell, which determines the shards that the endpoint holds (see [`ShardLayout`](super::ShardLayout)).
     pub cell: u32,
-    /// Its relative capacity.
+    /// The relative capacity.
     pub weight: f64,
     /// Whether it accepts work.
     pub state: EndpointState,
-    /// Unix time of its last start, in milliseconds; 0 if long ago or unknown.
+    /// Unix time of the leaf server's last start, in milliseconds; 0 if long ago or unknown.
     pub started_at_unix: Millis,
 }
 
 /// A list of endpoints, or changes to it.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointList {
-    /// Version of the list, as its source counts.
+    /// Version of the list, assigned by its source.
     pub generation: u64,
-    /// True for a complete list: endpoints absent from it are gone. False for changes.
+    /// True for a complete list: endpoints absent from it are removed. False for changes.
     pub complete: bool,
-    /// The endpoints.
+    /// The endpoints of a complete list, or the changed endpoints.
     pub entries: Vec<Endpoint>,
 }
--- a/src/endpoints/file_polling.rs
+++ b/src/endpoints/file_polling.rs
@@ -1,45 +1,46 @@
-//! When a watched inventory file is opened, when its content is stable, and what is reported of it.
+//! Polling logic for a watched inventory file: when to open it, when its content is stable, and which problems to
+//! report.
 //!
-//! The watching thread (`net::inventory_watch`) opens the files and reports what it found to a [`FilePoller`], which
-//! decides what to do. The poller itself opens nothing.
+//! The watching thread (`net::inventory_watch`) opens the files and passes the results to a [`FilePoller`], which
+//! decides what to do. The poller itself does no I/O.
 
 use super::Millis;
 use super::problem_reports::ProblemReports;
 use std::sync::Arc;
 
-/// For how long a missing or unreadable file is not reported: tools that replace a file may remove it for a moment.
+/// Time before a missing or unreadable file is reported: tools that replace a file may remove it briefly.
 const ABSENCE_TOLERANCE: Millis = 500.0;
-/// After how long a recently modified file is read again: two writes may share one modification time.
+/// Delay before a recently modified file is read again: two writes may share one modification time.
 const REREAD_DELAY: Millis = 40.0;
-/// How long a confirmation waits for the list that it names.
+/// Time for which a confirmation waits for the list that it names.
 const CONFIRMATION_TIMEOUT: Millis = 5000.0;
 
-/// What was found when the files were opened and read twice.
+/// Result of opening the files of an inventory and reading them twice.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FileCheck {
-    /// They could not be read; the problem.
+    /// A file could not be read; describes the problem.
     Unreadable(String),
-    /// They changed between the two reads.
+    /// The content changed between the two reads.
     BeingWritten,
-    /// Both reads found the same.
+    /// Both reads returned the same content.
     Stable {
         /// Digest of the content.
         digest: Arc<str>,
-        /// Modified so recently that a further change may not show in the modification time.
+        /// Modified so recently that a further write may leave the modification time unchanged.
         recently_modified: bool,
     },
 }
 
-/// What the watching thread does next.
+/// Next action of the watching thread.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PollDecision {
-    /// Nothing: the content is unchanged, or the file may be back in a moment.
+    /// No action: the content is unchanged, or the file may only be missing briefly.
     Nothing,
-    /// Open the files again at once.
+    /// Open and read the files again immediately.
     ReadAgain,
     /// Parse the content and submit the list.
     Read,
-    /// Report that the files cannot be used, and why.
+    /// Report the problem that makes the files unusable.
     Reject(String),
 }
 
@@ -50,12 +51,12 @@
     found_at: Millis,
 }
 
-/// Polling state of one inventory. `Signature` is what a check of its file names finds without reading content.
+/// Polling state of one inventory. `Signature` is the file metadata that shows a change without reading the content.
 #[derive(Clone, Debug)]
 pub struct FilePoller<Signature> {
-    /// As of the last check that found stable or persistently unreadable files.
+    /// Signature at the last check that found stable or persistently unreadable files.
     last_signature: Option<Signature>,
-    /// Of the last submitted list; empty after a problem, so that the next list is submitted in any case.
+    /// Digest of the last submitted list; empty after a problem, so that the next list is submitted even if unchanged.
     submitted_digest: Arc<str>,
     reread_at: Option<Millis>,
     absent_since: Option<Millis>,
@@ -64,7 +65,7 @@
 }
 
 impl<Signature: PartialEq> FilePoller<Signature> {
-    /// Polls an inventory whose content of digest `submitted_digest` was submitted at the start.
+    /// Creates a poller for an inventory whose list with digest `submitted_digest` was submitted at startup.
     pub fn new(submitted_digest: Arc<str>) -> Self {
         FilePoller {
             last_signature: None,
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Whether the files must be opened, given the signature found now.
+    /// Whether the files must be opened, given their current signature.
     pub fn must_open(&mut self, now: Millis, signature: &Signature) -> bool {
         let reread_due = self.reread_at.is_some_and(|at| at <= now);
         if reread_due {
@@ -85,7 +86,7 @@
         reread_due || self.absent_since.is_some() || self.last_signature.as_ref() != Some(signature)
     }
 
-    /// Takes the result of opening the files, with the signature found before.
+    /// Handles the result of opening the files; `signature` was determined before they were opened.
     pub fn on_checked(&mut self, now: Millis, signature: Signature, check: FileCheck) -> PollDecision {
         match check {
             FileCheck::Unreadable(problem) => {
@@ -115,33 +116,34 @@
         }
     }
 
-    /// The content was parsed; its list is submitted now.
+    /// Records that the content was parsed and its list is being submitted.
     pub fn on_submitted(&mut self, digest: Arc<str>) {
         self.submitted_digest = digest;
         self.problem_reports.clear();
     }
 
-    /// The content could not be read or parsed. A repeated problem is not reported; one that comes too soon after the
-    /// last report is left to [`Self::take_due_problem`].
+    /// Handles content that could not be read or parsed. A repeated problem is not reported; one that occurs too soon
+    /// after the last report is returned later by [`Self::take_due_problem`].
     pub fn on_rejected(&mut self, now: Millis, problem: String) -> PollDecision {
-        // The next good list is submitted even if unchanged: it withdraws a list that is held back.
+        // The next valid list is submitted even if unchanged, because it causes a held-back list to be withdrawn.
         self.submitted_digest = "".into();
         self.problem_reports.record(now, problem).map_or(PollDecision::Nothing, PollDecision::Reject)
     }
 
-    /// The problem of the current content, if its report had to wait and is due now.
+    /// The problem of the current content, if its report was delayed and is due now.
     pub fn take_due_problem(&mut self, now: Millis) -> Option<String> {
         self.problem_reports.take_due(now)
     }
 
-    /// A confirmation file that names a list's digest was found.
+    /// Handles a confirmation file, which contains the digest of a list.
     pub fn on_confirmation_found(&mut self, now: Millis, digest: &str) {
         if self.pending_confirmation.is_none() {
             self.pending_confirmation = Some(PendingConfirmation { digest: digest.into(), found_at: now });
         }
     }
 
-    /// The digest to confirm now, once: when the list that it names was submitted, or has not appeared in time.
+    /// The digest of a found confirmation, returned once: when the list with this digest has been submitted, or when it
+    /// was not submitted within [`CONFIRMATION_TIMEOUT`].
     pub fn take_due_confirmation(&mut self, now: Millis) -> Option<Arc<str>> {
         let submitted = &self.submitted_digest;
         let due = self.pending_confirmation.take_if(|pending| {
@@ -150,16 +152,16 @@
         Some(due.digest)
     }
 
-    /// Time until the next check, where `poll_interval` is the usual one.
+    /// Time until the next poll; shorter than the regular `poll_interval` while something is pending.
     pub fn next_poll_after(&self, poll_interval: Millis) -> Millis {
-        let check_soon = self.reread_at.is_some()
+        let poll_soon = self.reread_at.is_some()
             || self.absent_since.is_some()
             || self.pending_confirmation.is_some()
             || self.problem_reports.is_pending();
-        if check_soon { poll_interval.min(REREAD_DELAY) } else { poll_interval }
+        if poll_soon { poll_interval.min(REREAD_DELAY) } else { poll_interval }
     }
 
-    /// For how long after a modification a further one may leave the modification time unchanged.
+    /// Time after a modification during which a further write may leave the modification time unchanged.
     pub fn timestamp_granularity() -> Millis {
         2.0 * REREAD_DELAY
     }
--- a/src/endpoints/file_source.rs
+++ b/src/endpoints/file_source.rs
@@ -1,7 +1,7 @@
-//! One inventory file as a source: its applied list, and a newer list that is held back.
+//! An inventory file as an endpoint source: its applied list, and a newer list that is held back.
 
 use super::Millis;
-use super::merge::Statement;
+use super::merge::SourceEntry;
 use super::record::FileList;
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -30,37 +30,37 @@
     }
 
     pub fn held_back(&self) -> Option<&Arc<FileList>> {
-        self.held_back.as_ref().map(|held| &held.list)
+        self.held_back.as_ref().map(|held_back| &held_back.list)
     }
 
-    /// The list held back, if it has this digest.
+    /// The held-back list, if it has this digest.
     pub fn held_back_with(&self, digest: &str) -> Option<&Arc<FileList>> {
         self.held_back().filter(|list| &*list.digest == digest)
     }
 
-    /// The list that has been held back for `confirm_after` without a change.
+    /// The held-back list, if it has been held back without a change for `confirm_after`.
     pub fn held_back_for(&self, confirm_after: Millis, now: Millis) -> Option<&Arc<FileList>> {
-        let held = self.held_back.as_ref()?;
-        (held.since + confirm_after <= now).then_some(&held.list)
+        let held_back = self.held_back.as_ref()?;
+        (held_back.since + confirm_after <= now).then_some(&held_back.list)
     }
 
-    /// Applies a list; one held back is dropped.
+    /// Applies a list and drops a held-back one.
     pub fn apply(&mut self, list: Arc<FileList>) {
         self.applied = list;
         self.held_back = None;
     }
 
-    /// Holds a list back, in place of one held back before.
+    /// Holds a list back, replacing one held back before.
     pub fn hold_back(&mut self, list: Arc<FileList>, now: Millis) {
         self.held_back = Some(HeldBackList { list, since: now });
     }
 
-    /// Drops the list held back and returns it.
+    /// Drops the held-back list and returns it.
     pub fn withdraw(&mut self) -> Option<Arc<FileList>> {
-        self.held_back.take().map(|held| held.list)
+        self.held_back.take().map(|held_back| held_back.list)
     }
 
-    /// The names whose endpoints may change once `list` is applied or held back in place of the present lists.
+    /// The names whose endpoints may change when `list` is applied or held back in place of the current lists.
     pub fn changed_names(&self, list: &FileList) -> BTreeSet<Arc<str>> {
         let mut names = BTreeSet::from_iter(self.applied.changed_names(list));
         if let Some(held_back) = self.held_back() {
@@ -70,7 +70,7 @@
     }
 }
 
-/// The lists of a file from which statements are made: its own, or others to try out.
+/// The lists of a file that are merged: its own, or substitutes to compute the effect of a new list.
 #[derive(Clone, Copy)]
 pub(super) struct FileLists<'a> {
     pub applied: Option<&'a FileList>,
@@ -82,15 +82,15 @@
         FileLists { applied: Some(&source.applied), held_back: source.held_back().map(|list| &**list) }
     }
 
-    /// Adds what the lists state about an endpoint, in ascending order of precedence.
-    pub fn add_statements(self, file: u16, name: &str, statements: &mut Vec<Statement<'a>>) {
+    /// Appends the entries of the lists for an endpoint name, in ascending order of precedence.
+    pub fn add_entries(self, file: u16, name: &str, entries: &mut Vec<SourceEntry<'a>>) {
         if let Some(list) = self.applied
             && let Some(record) = list.get(name)
         {
-            statements.push(Statement::Record { file, record, partial: list.partial });
+            entries.push(SourceEntry::Record { file, record, partial: list.partial });
         }
         if let Some(record) = self.held_back.and_then(|list| list.get(name)) {
-            statements.push(Statement::HeldBackRecord { file, record });
+            entries.push(SourceEntry::HeldBackRecord { file, record });
         }
     }
 }
--- a/src/endpoints/guard.rs
+++ b/src/endpoints/guard.rs
@@ -1,15 +1,17 @@
-//! The guard of inventory files: whether a new list takes effect or is held back until it is confirmed.
+//! The guard of inventory files: decides whether a new list takes effect or is held back until it is confirmed.
 
 use super::Millis;
-use super::layout::{Holders, ShardLayout};
+use super::layout::{ReadyCounts, ShardLayout};
 use std::fmt;
 
-/// The operator's settings of the guard.
+/// Settings of the guard, from the operator file.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GuardSettings {
-    /// Largest fraction of the endpoints that one list may remove. Removing a single endpoint is always allowed.
+    /// Maximum fraction of the endpoints that one list may remove, in 0..=1. Removing a single endpoint is always
+    /// allowed.
     pub max_removed_fraction: f64,
-    /// A list held back for this long without a change is confirmed; `None`: only by an operator's command.
+    /// Time after which an unchanged held-back list is confirmed automatically; `None` if only an operator confirms
+    /// lists.
     pub confirm_after: Option<Millis>,
 }
 
@@ -24,16 +26,16 @@
 pub enum HoldReason {
     /// The list is empty, or no endpoint would be left.
     Empty,
-    /// It removes too many endpoints at once.
+    /// The list removes too many endpoints at once.
     TooManyRemoved {
-        /// Endpoints that it removes.
+        /// Number of endpoints that the list removes.
         removed: usize,
-        /// Endpoints in force.
+        /// Number of effective endpoints.
         total: usize,
     },
-    /// This shard would be left without an endpoint that is ready.
+    /// This shard would be left without a ready endpoint.
     ShardWithoutReadyEndpoint(u32),
-    /// The file is truncated within a line: its writer has not finished, or has crashed.
+    /// The file ends within a line: its writer has not finished, or has crashed.
     TruncatedMidLine,
 }
 
@@ -47,31 +49,31 @@
             Self::ShardWithoutReadyEndpoint(shard) => {
                 write!(f, "shard {shard} would be left without a leaf server")
             }
-            Self::TruncatedMidLine => write!(f, "it ends within a line"),
+            Self::TruncatedMidLine => write!(f, "the file ends within a line"),
         }
     }
 }
 
-/// Numbers of endpoints before and after a list would take effect.
+/// Numbers of endpoints before and after a list takes effect.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EndpointCounts {
-    /// Endpoints before.
+    /// Number of endpoints before.
     pub before: usize,
-    /// Endpoints after.
+    /// Number of endpoints after.
     pub after: usize,
-    /// Endpoints that are there before and not after.
+    /// Number of endpoints that are present before and absent after.
     pub removed: usize,
 }
 
-/// What a list would change, as far as the guard needs to know.
+/// The changes of a list that the guard checks.
 pub(super) struct ProposedChange<'a> {
     pub counts: EndpointCounts,
-    /// The list names at least one endpoint, or is partial and need not name any.
-    pub names_endpoints: bool,
-    /// Ready endpoints once the draining states of the list are in effect, which are never held back.
-    pub holders_before: &'a Holders,
-    /// Ready endpoints once all of the list is in effect.
-    pub holders_after: &'a Holders,
+    /// The list has at least one endpoint, or is partial and may be empty.
+    pub lists_endpoints: bool,
+    /// Ready endpoints with only the draining states of the list applied, since these are never held back.
+    pub ready_before: &'a ReadyCounts,
+    /// Ready endpoints with the complete list applied.
+    pub ready_after: &'a ReadyCounts,
 }
 
 /// Decides which lists are held back.
@@ -82,24 +84,24 @@
 }
 
 impl ListGuard {
-    /// Why a change must be held back; `None` if it may take effect.
+    /// The reason to hold a change back; `None` if it may take effect.
     pub fn check(&self, change: &ProposedChange<'_>) -> Option<HoldReason> {
         let EndpointCounts { before, after, removed } = change.counts;
-        let list_is_empty = !change.names_endpoints && removed > 0;
+        let list_is_empty = !change.lists_endpoints && removed > 0;
         if before > 0 && (after == 0 || list_is_empty) {
             return Some(HoldReason::Empty);
         }
         if removed > 1 && removed as f64 > self.settings.max_removed_fraction * before as f64 {
             return Some(HoldReason::TooManyRemoved { removed, total: before });
         }
-        // One round over the cells is enough: shards that start at the same cell have the same holders.
+        // Checking one shard for each cell is enough: shards that start at the same cell are held by the same cells.
         (0..self.layout.cells)
-            .find(|shard| self.loses_last_holder(change, *shard))
+            .find(|shard| self.loses_last_ready_endpoint(change, *shard))
             .map(HoldReason::ShardWithoutReadyEndpoint)
     }
 
-    fn loses_last_holder(&self, change: &ProposedChange<'_>, shard: u32) -> bool {
-        change.holders_before.of_shard(self.layout, shard) > 0
-            && change.holders_after.of_shard(self.layout, shard) == 0
+    fn loses_last_ready_endpoint(&self, change: &ProposedChange<'_>, shard: u32) -> bool {
+        change.ready_before.of_shard(self.layout, shard) > 0
+            && change.ready_after.of_shard(self.layout, shard) == 0
     }
 }
--- a/src/endpoints/history.rs
+++ b/src/endpoints/history.rs
@@ -1,35 +1,36 @@
-//! The last versions of the effective endpoint list, stored as changes, and the changes between any two of them.
+//! The most recent versions of the effective endpoint list, stored as changes, and the changes between any two of
+//! them.
 
 use super::{Endpoint, EndpointState, Millis, SourceId};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// Most versions kept.
+/// Maximum number of versions kept.
 const MAX_VERSIONS: usize = 64;
-/// Most changes kept over all versions, which bounds memory where large lists are replaced often.
+/// Maximum number of changes kept over all versions; bounds memory use where large lists are replaced often.
 const MAX_CHANGES: usize = 100_000;
 
-/// One endpoint in two versions.
+/// The difference of one endpoint between two versions.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
-    /// In the older version; `None` if it was absent.
+    /// The endpoint in the older version; `None` if it was absent.
     pub before: Option<Endpoint>,
-    /// In the newer version; `None` if it is absent.
+    /// The endpoint in the newer version; `None` if it is absent.
     pub after: Option<Endpoint>,
 }
 
-/// A version of the list.
+/// A version of the effective endpoint list.
 #[derive(Clone, Debug)]
 pub struct Version {
-    /// Its number, counted from 1.
+    /// Version number, counted from 1.
     pub number: u64,
-    /// When it took effect.
+    /// Time at which the version took effect.
     pub at: Millis,
     /// The source whose list caused it.
     pub source: SourceId,
-    /// Number of endpoints in it.
+    /// Number of endpoints in this version.
     pub endpoint_count: usize,
-    /// What it changed, by endpoint name.
+    /// Changes from the previous version, by endpoint name.
     pub changes: BTreeMap<Arc<str>, Change>,
 }
 
@@ -40,7 +41,7 @@
     pub added: usize,
     /// Removed endpoints.
     pub removed: usize,
-    /// Endpoints that began draining.
+    /// Endpoints that started draining.
     pub started_draining: usize,
     /// Endpoints that stopped draining.
     pub stopped_draining: usize,
@@ -49,7 +50,7 @@
 }
 
 impl Difference {
-    /// Counts changes.
+    /// Counts the given changes by kind.
     pub fn of<'a>(changes: impl IntoIterator<Item = &'a Change>) -> Self {
         let mut difference = Difference::default();
         for change in changes {
@@ -58,7 +59,7 @@
         difference
     }
 
-    /// Whether nothing changed.
+    /// Whether all counts are 0.
     pub fn is_empty(&self) -> bool {
         *self == Difference::default()
     }
@@ -79,7 +80,7 @@
     }
 }
 
-/// The last versions, oldest first. Bounded: the oldest versions are dropped.
+/// The most recent versions, oldest first. Drops the oldest versions to stay within its bounds.
 #[derive(Clone, Debug, Default)]
 pub struct History {
     versions: VecDeque<Version>,
@@ -88,7 +89,7 @@
 }
 
 impl History {
-    /// Adds a version; the latest one is kept whatever its size.
+    /// Adds a version. The latest version is kept regardless of its size.
     pub(super) fn push(&mut self, version: Version) {
         self.total_changes += version.changes.len();
         self.versions.push_back(version);
@@ -104,13 +105,13 @@
         too_many_versions || too_many_changes
     }
 
-    /// The versions kept, oldest first.
+    /// The stored versions, oldest first.
     pub fn versions(&self) -> impl DoubleEndedIterator<Item = &Version> {
         self.versions.iter()
     }
 
-    /// The changes from version `from` to version `to`, by endpoint name; `None` if a version between them is no
-    /// longer kept, or if there is no such version.
+    /// The changes from version `from` to version `to`, by endpoint name; `None` if either version does not exist or a
+    /// version between them has been dropped.
     pub fn between(&self, from: u64, to: u64) -> Option<BTreeMap<Arc<str>, Change>> {
         let oldest = self.versions.front()?.number;
         let latest = self.versions.back()?.number;
--- a/src/endpoints/input.rs
+++ b/src/endpoints/input.rs
@@ -1,33 +1,33 @@
-//! What the registry takes in.
+//! Inputs of the endpoint registry.
 
 use super::{EndpointList, FileList, Override, ShardLayout};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// An input of [`EndpointRegistry::handle`](super::EndpointRegistry::handle). Files are given by their index in the
-/// operator's list.
+/// An input of [`EndpointRegistry::handle`](super::EndpointRegistry::handle). Files are identified by
+/// their index in the operator file.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// The sources as found at the start: once, before any other input.
+    /// The sources at startup. Sent once, before any other input.
     Started {
-        /// The list known at the start; `None` if discovery is not used.
+        /// The initial list from the configuration; `None` if discovery is not used.
         initial_list: Option<EndpointList>,
-        /// The list of each file, in the operator's order.
+        /// The list of each inventory file, in the order of the operator file.
         files: Vec<Arc<FileList>>,
     },
     /// A list from discovery, or changes to it.
     Discovery(EndpointList),
-    /// A file has been read; its list.
+    /// The list of a file that has been read.
     File(u16, Arc<FileList>),
-    /// A file could not be read; the problem, with file and line.
+    /// A file could not be read or parsed; the problem, with file and line.
     FileRejected(u16, String),
-    /// An operator confirms the list held back for a file, by its digest.
+    /// A confirmation of the list held back for a file; identifies the list by its digest.
     FileConfirmed(u16, Arc<str>),
-    /// The placement of shards on cells has changed.
+    /// A new placement of shards on cells.
     Layout(ShardLayout),
-    /// The overrides of all endpoints, by name; replaces those before.
+    /// The overrides of all endpoints, by endpoint name; replaces all previous overrides.
     Overrides(BTreeMap<Arc<str>, Override>),
-    /// The aggregator needs the complete list again.
+    /// A request for the complete list, answered with an [`Output::List`](super::Output::List).
     SendCompleteList,
     /// A timer set by [`Output::SetTimer`](super::Output::SetTimer) has fired.
     TimerFired,
--- a/src/endpoints/layout.rs
+++ b/src/endpoints/layout.rs
@@ -1,34 +1,34 @@
-//! Which cells hold which shards, and how many endpoints are ready to serve each.
+//! The placement of shards on cells, and the number of ready endpoints of each shard.
 
 use super::{Endpoint, EndpointState};
 use std::collections::HashMap;
 
-/// The placement of shards on cells: shard s is held by the cells `(s + j) mod cells` for each j below `width`.
+/// The placement of shards on cells: shard `s` is held by the cells `(s + j) mod cells` for each `j` below `width`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShardLayout {
     /// Number of cells.
     pub cells: u32,
-    /// Number of consecutive cells that hold a shard.
+    /// Number of consecutive cells that hold each shard.
     pub width: u32,
 }
 
 impl ShardLayout {
     /// The cells that hold a shard.
-    pub fn holders(self, shard: u32) -> impl Iterator<Item = u32> {
+    pub fn cells_of_shard(self, shard: u32) -> impl Iterator<Item = u32> {
         let cells = self.cells.max(1);
         let width = self.width.clamp(1, cells);
         (0..width).map(move |offset| (shard % cells + offset) % cells)
     }
 }
 
-/// Number of ready endpoints in each cell, kept up to date by [`add`](Self::add) and [`remove`](Self::remove);
-/// endpoints that are draining do not count. Cells without a ready endpoint have no entry.
+/// Number of ready endpoints in each cell, maintained by [`add`](Self::add) and [`remove`](Self::remove). Draining
+/// endpoints are not counted. Cells without a ready endpoint have no entry.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Holders {
+pub(super) struct ReadyCounts {
     ready_by_cell: HashMap<u32, u32>,
 }
 
-impl Holders {
+impl ReadyCounts {
     pub fn add(&mut self, endpoint: &Endpoint) {
         if endpoint.state == EndpointState::Ready {
             *self.ready_by_cell.entry(endpoint.cell).or_default() += 1;
@@ -46,9 +46,9 @@
         }
     }
 
-    /// Ready endpoints that hold a shard.
+    /// Number of ready endpoints that hold a shard.
     pub fn of_shard(&self, layout: ShardLayout, shard: u32) -> u32 {
-        layout.holders(shard).map(|cell| self.of_cell(cell)).sum()
+        layout.cells_of_shard(shard).map(|cell| self.of_cell(cell)).sum()
     }
 
     fn of_cell(&self, cell: u32) -> u32 {
--- a/src/endpoints/merge.rs
+++ b/src/endpoints/merge.rs
@@ -1,53 +1,53 @@
-//! Precedence: merges what all sources state about one endpoint name.
+//! Precedence: merges the entries of all sources for one endpoint name.
 //!
-//! The rules, in the order in which they apply:
+//! The rules, in the order in which they are applied:
 //!
-//! 1. An endpoint that discovery removed is gone, whatever the files state, until discovery lists it again
-//!    (applied by [`Sources`](super::sources::Sources), before merging).
-//! 2. An endpoint exists if discovery, the list known at the start, or a file that is not partial names it.
-//! 3. If any source, a list held back included, states that it is draining, it is draining.
-//! 4. Each other field comes from the source of highest precedence that states it: discovery, then the list known at
-//!    the start, then the files from the last to the first.
-//! 5. Without an address or a cell from any source there is no endpoint. A missing zone is empty, a missing weight 1,
-//!    a missing state ready, a missing start time 0.
+//! 1. An endpoint that discovery has removed does not exist, even if files list it, until discovery lists it again
+//!    (applied by [`Sources`](super::sources::Sources) before merging).
+//! 2. An endpoint exists if discovery, the initial list, or a file that is not partial lists it.
+//! 3. An endpoint is draining if any source lists it as draining, including a held-back list.
+//! 4. Each other field comes from the source of highest precedence that provides it: discovery, then the initial list,
+//!    then the files from last to first.
+//! 5. An endpoint without an address or a cell from any source is omitted. The defaults are: zone empty, weight 1,
+//!    state ready, start time 0.
 
 use super::record::{EndpointRecord, Located, SourceLocation};
 use super::{Endpoint, EndpointState, FieldName, Millis, Origin, Provenance, SourceId};
 use std::sync::Arc;
 
-/// An endpoint as merged from all sources.
+/// An endpoint merged from the entries of all sources.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MergedEndpoint {
-    /// The endpoint.
+    /// The merged endpoint, without overrides.
     pub endpoint: Endpoint,
-    /// The origin of each of its fields.
+    /// The origin of each field that a source provides.
     pub provenance: Provenance,
 }
 
-/// What one source states about an endpoint name.
-pub(super) enum Statement<'a> {
-    /// A complete entry, from discovery or the list known at the start.
-    Entry { source: SourceId, endpoint: &'a Endpoint },
-    /// A record of a file's applied list. A partial file only adds to endpoints that another source names.
+/// The entry of one source for an endpoint name.
+pub(super) enum SourceEntry<'a> {
+    /// An endpoint with all its fields, from discovery or the initial list.
+    Endpoint { source: SourceId, endpoint: &'a Endpoint },
+    /// A record of a file's applied list. A partial file only adds fields to endpoints that another source lists.
     Record { file: u16, record: &'a EndpointRecord, partial: bool },
-    /// A record of a file's list held back: only its draining state counts.
+    /// A record of a file's held-back list, of which only the draining state is used.
     HeldBackRecord { file: u16, record: &'a EndpointRecord },
 }
 
-impl Statement<'_> {
-    fn names_endpoint(&self) -> bool {
+impl SourceEntry<'_> {
+    fn lists_endpoint(&self) -> bool {
         match self {
-            Self::Entry { .. } => true,
+            Self::Endpoint { .. } => true,
             Self::Record { partial, .. } => !partial,
             Self::HeldBackRecord { .. } => false,
         }
     }
 
-    /// The origin of the draining state, if that is what it states.
+    /// The origin of the draining state, if the entry has that state.
     fn draining_origin(&self) -> Option<Origin> {
         match self {
-            Self::Entry { source, endpoint } => {
-                (endpoint.state == EndpointState::Draining).then_some(Origin::of_entry(*source))
+            Self::Endpoint { source, endpoint } => {
+                (endpoint.state == EndpointState::Draining).then_some(Origin::of_endpoint_list(*source))
             }
             Self::Record { file, record, .. } | Self::HeldBackRecord { file, record } => {
                 let state = record.state.as_ref().filter(|_| record.is_draining())?;
@@ -58,7 +58,7 @@
 }
 
 impl Origin {
-    fn of_entry(source: SourceId) -> Self {
+    fn of_endpoint_list(source: SourceId) -> Self {
         Origin { source, location: SourceLocation::default() }
     }
 
@@ -67,30 +67,30 @@
     }
 }
 
-/// Merges statements in ascending order of precedence; `None` if there is no such endpoint.
-pub(super) fn merge(name: &Arc<str>, statements: &[Statement<'_>]) -> Option<MergedEndpoint> {
-    if !statements.iter().any(Statement::names_endpoint) {
+/// Merges entries, given in ascending order of precedence; `None` if the endpoint does not exist.
+pub(super) fn merge(name: &Arc<str>, entries: &[SourceEntry<'_>]) -> Option<MergedEndpoint> {
+    if !entries.iter().any(SourceEntry::lists_endpoint) {
         return None;
     }
     let mut fields = Fields::default();
     let mut draining_origin = None;
-    for statement in statements {
-        match statement {
-            Statement::Entry { source, endpoint } => fields.set_from_entry(*source, endpoint),
-            Statement::Record { file, record, .. } => fields.set_from_record(*file, record),
-            Statement::HeldBackRecord { .. } => {}
+    for entry in entries {
+        match entry {
+            SourceEntry::Endpoint { source, endpoint } => fields.set_from_endpoint(*source, endpoint),
+            SourceEntry::Record { file, record, .. } => fields.set_from_record(*file, record),
+            SourceEntry::HeldBackRecord { .. } => {}
         }
-        draining_origin = statement.draining_origin().or(draining_origin);
+        draining_origin = entry.draining_origin().or(draining_origin);
     }
     if let Some(origin) = draining_origin {
         fields.state.set(&EndpointState::Draining, origin);
     }
     let provenance = fields.provenance();
-    let entry = fields.into_endpoint(name)?;
-    Some(MergedEndpoint { endpoint: entry, provenance })
+    let merged = fields.into_endpoint(name)?;
+    Some(MergedEndpoint { endpoint: merged, provenance })
 }
 
-/// The fields of an endpoint, each as the statement of highest precedence so far gives it.
+/// The fields of an endpoint, each with the value of highest precedence so far.
 #[derive(Default)]
 struct Fields {
     address: Field<Arc<str>>,
@@ -102,17 +102,17 @@
 }
 
 impl Fields {
-    fn set_from_entry(&mut self, source: SourceId, endpoint: &Endpoint) {
-        let origin = Origin::of_entry(source);
+    fn set_from_endpoint(&mut self, source: SourceId, endpoint: &Endpoint) {
+        let origin = Origin::of_endpoint_list(source);
         self.address.set(&endpoint.address, origin);
-        // An empty zone is an unknown one.
+        // An empty zone is unknown: a file may provide it.
         if !endpoint.zone.is_empty() {
             self.zone.set(&endpoint.zone, origin);
         }
         self.cell.set(&endpoint.cell, origin);
         self.weight.set(&endpoint.weight, origin);
         self.state.set(&endpoint.state, origin);
-        // 0 is long ago or unknown: a file may state the time.
+        // 0 means long ago or unknown: a file may provide the time.
         if endpoint.started_at_unix > 0.0 {
             self.started_at_unix.set(&endpoint.started_at_unix, origin);
         }
@@ -138,7 +138,7 @@
         provenance
     }
 
-    /// The endpoint; `None` without an address or a cell.
+    /// Builds the endpoint; `None` if the address or the cell is missing.
     fn into_endpoint(self, name: &Arc<str>) -> Option<Endpoint> {
         Some(Endpoint {
             name: name.clone(),
@@ -152,25 +152,25 @@
     }
 }
 
-/// A value and its origin, once some source states it; a later statement replaces an earlier one.
+/// A field of an endpoint; `None` until a source provides a value. A later value replaces an earlier one.
 struct Field<T> {
-    stated: Option<Stated<T>>,
+    current: Option<ValueWithOrigin<T>>,
 }
 
-struct Stated<T> {
+struct ValueWithOrigin<T> {
     value: T,
     origin: Origin,
 }
 
 impl<T> Default for Field<T> {
     fn default() -> Self {
-        Field { stated: None }
+        Field { current: None }
     }
 }
 
 impl<T: Clone> Field<T> {
     fn set(&mut self, value: &T, origin: Origin) {
-        self.stated = Some(Stated { value: value.clone(), origin });
+        self.current = Some(ValueWithOrigin { value: value.clone(), origin });
     }
 
     fn set_from_file(&mut self, file: u16, located: Option<&Located<T>>) {
@@ -180,10 +180,10 @@
     }
 
     fn origin(&self) -> Option<Origin> {
-        self.stated.as_ref().map(|stated| stated.origin)
+        self.current.as_ref().map(|current| current.origin)
     }
 
     fn into_value(self) -> Option<T> {
-        self.stated.map(|stated| stated.value)
+        self.current.map(|current| current.value)
     }
 }
--- a/src/endpoints/mod.rs
+++ b/src/endpoints/mod.rs
@@ -1,16 +1,15 @@
-//! Lists of leaf servers: where they come from, how they are merged, and when a new list takes effect. Sans-IO.
+//! Endpoint lists: their sources, how they are merged, and when a new list takes effect. Sans-IO.
 //!
-//! - [`EndpointRegistry`] holds all sources: the list known at the start, discovery, and the inventory files. The
-//!   aggregator feeds it [`Input`]s and carries out its [`Output`]s; the `inventory plan` command asks it for a
-//!   [`Plan`].
-//! - Discovery's lists take effect at once. A file's list passes the guard first: a list that is empty, removes too
-//!   many endpoints at once or is truncated within a line is held back. The applied list then stays in force until
-//!   the new one is confirmed; draining states of a list held back take effect all the same.
-//! - For each field of each endpoint the registry knows the source that gave it ([`Provenance`]).
-//! - [`FilePoller`] and [`DiscoveryTiming`] decide when a file is read and when discovery is asked. The threads and
-//!   tasks that do so live in `net`.
+//! - [`EndpointRegistry`] has all sources: the initial list, discovery, and the inventory files. The aggregator passes
+//!   it [`Input`]s and carries out its [`Output`]s; the `inventory plan` command computes a [`Plan`] with it.
+//! - Lists from discovery take effect immediately. A list from a file is checked by the guard first: a list that is
+//!   empty, removes too many endpoints at once or is truncated within a line is held back. The applied list then stays
+//!   in effect until the new one is confirmed; the draining states of a held-back list take effect regardless.
+//! - For each field of each endpoint the registry records the source of its value ([`Provenance`]).
+//! - [`FilePoller`] and [`DiscoveryTiming`] decide when a file is read and when discovery is called. The threads and
+//!   tasks that do the I/O are in `net`.
 //!
-//! Nothing here opens a file or a socket, and nothing reads a clock: times are arguments.
+//! This module opens no files or sockets and reads no clock: times are passed as arguments.
 
 mod audit;
 mod discovery_source;
@@ -56,10 +55,10 @@
 /// A source of endpoints, in ascending order of precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum SourceId {
-    /// An inventory file, by its index in the operator's list; later files take precedence over earlier ones.
+    /// An inventory file, by its index in the operator file; later files take precedence over earlier ones.
     File(u16),
-    /// The list known at the start, until discovery lists the endpoint.
+    /// The initial list from the configuration, used for an endpoint until discovery lists it.
     InitialList,
-    /// Discovery.
+    /// The discovery service.
     Discovery,
 }
--- a/src/endpoints/output.rs
+++ b/src/endpoints/output.rs
@@ -1,11 +1,11 @@
-//! What the registry asks its caller to do.
+//! Outputs of the endpoint registry.
 
 use super::{AuditEvent, EndpointList, Millis};
 
-/// An output of [`EndpointRegistry::handle`](super::EndpointRegistry::handle), to be carried out in order.
+/// An output of [`EndpointRegistry::handle`](super::EndpointRegistry::handle), which the caller carries out in order.
 #[derive(Clone, Debug)]
 pub enum Output {
-    /// Use this list, or apply these changes; overrides are in it already.
+    /// Replace the endpoint list, or apply these changes to it; overrides are already applied.
     List(EndpointList),
     /// Log this event.
     Audit(AuditEvent),
--- a/src/endpoints/overrides.rs
+++ b/src/endpoints/overrides.rs
@@ -1,38 +1,37 @@
-//! Operators' overrides of the state of endpoints. An override takes precedence over what every source states, for
-//! as long as it is kept.
+//! Operators' overrides of the state of endpoints. An override takes precedence over all sources while it is stored.
 
 use super::{Endpoint, EndpointState, Millis};
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// One override. Times are Unix milliseconds.
+/// One override. Times are Unix times in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Override {
-    /// True: the endpoint is taken out of service. False: it was put back.
+    /// True if the endpoint is out of service, false if it was returned to service.
     pub active: bool,
-    /// When the operator gave it.
+    /// Time at which the operator issued the override.
     pub given_at: Millis,
-    /// When the endpoint was last taken out of service; equal to `given_at` while active.
+    /// Time at which the endpoint was last taken out of service; equal to `given_at` while active.
     pub active_since: Millis,
 }
 
 impl Override {
-    /// Whether it takes precedence over another override of the same subject: the later one does; of two given at the
-    /// same time, the active one.
+    /// Whether this override takes precedence over another one of the same subject: the later one does; of two issued
+    /// at the same time, the active one.
     pub fn supersedes(&self, other: &Override) -> bool {
         self.precedence(other) == Some(Ordering::Greater)
     }
 
     fn precedence(&self, other: &Override) -> Option<Ordering> {
-        // The earlier `since` breaks the last tie, so that merging does not depend on the order.
+        // The earlier `active_since` breaks the last tie, so that merging does not depend on the order.
         let key = |record: &Override| (record.given_at, record.active, -record.active_since);
         key(self).partial_cmp(&key(other))
     }
 
-    /// Changes an endpoint to what it is under this override. While active, the endpoint is draining. After that, it
-    /// counts as restarted while it was out of service: at the start time that its source states if that is later
-    /// than `since`, else when it was put back.
+    /// Applies the override to an endpoint. While the override is active, the endpoint is draining. Afterwards, it is
+    /// treated as restarted while it was out of service: its start time is the one that its source provides if that
+    /// is later than `active_since`, and otherwise the time at which it was returned to service.
     pub fn apply_to(&self, endpoint: &mut Endpoint) {
         if self.active {
             if endpoint.state == EndpointState::Ready {
@@ -58,7 +57,7 @@
 }
 
 impl EndpointOverrides {
-    /// Replaces all overrides; returns what changed, in order of names.
+    /// Replaces all overrides; returns the changes, ordered by name.
     pub fn replace(&mut self, overrides: BTreeMap<Arc<str>, Override>) -> Vec<OverrideChange> {
         let previous = std::mem::replace(&mut self.by_name, overrides);
         let names: BTreeSet<&Arc<str>> = previous.keys().chain(self.by_name.keys()).collect();
@@ -77,7 +76,7 @@
         changes
     }
 
-    /// Applies the overrides to endpoints.
+    /// Applies the overrides to the given endpoints.
     pub fn apply_to(&self, endpoints: &mut [Endpoint]) {
         for endpoint in endpoints {
             if let Some(record) = self.by_name.get(&endpoint.name) {
--- a/src/endpoints/plan.rs
+++ b/src/endpoints/plan.rs
@@ -1,35 +1,36 @@
-//! What applying a file's list would do, worked out before anything changes.
+//! The effect of applying the list of a file, computed before anything changes.
 
 use super::effective::EffectiveEndpoints;
 use super::file_source::FileLists;
 use super::guard::{EndpointCounts, HoldReason, ListGuard, ProposedChange};
 use super::history::{Change, Difference};
-use super::layout::Holders;
+use super::layout::ReadyCounts;
 use super::merge::MergedEndpoint;
 use super::record::FileList;
 use super::sources::{Sources, SubstitutedFile};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// What applying a list would do. The registry makes one before it applies or holds back a list; the command
+/// The effect of applying a list. The registry computes a plan before it applies or holds back a list; the command
 /// `inventory plan` prints one.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The names whose endpoints may change, by the list itself or by its draining states.
+    /// The names whose endpoints may change if the list is applied or held back.
     pub(super) changed_names: BTreeSet<Arc<str>>,
     /// The changes, by endpoint name.
     pub changes: BTreeMap<Arc<str>, Change>,
-    /// Counts of the changes.
+    /// Counts of the changes, by kind.
     pub difference: Difference,
     /// Why the list would be held back; `None` if it would be applied.
     pub hold_reason: Option<HoldReason>,
-    /// Numbers of endpoints before and after.
+    /// Numbers of endpoints before and after the list is applied.
     pub counts: EndpointCounts,
-    /// Ready endpoints of each shard after it, for the first shards, one for each cell; others repeat these.
+    /// Number of ready endpoints of each shard after the list is applied. Covers the shards below the number of cells;
+    /// the counts of higher shards repeat these.
     pub ready_endpoints_by_shard: Vec<u32>,
 }
 
-/// Makes a plan for the list of a file, which need not be one of the sources' files.
+/// Computes the plan for the list of a file, which need not be one of the configured files.
 pub(super) fn plan(
     sources: &Sources,
     effective: &EffectiveEndpoints,
@@ -50,15 +51,15 @@
         projection.add(name, before, held_back.as_ref(), after);
     }
 
-    let hold = guard.check(&projection.proposed_change(list)).or_else(|| projection.truncation(list));
+    let reason = guard.check(&projection.proposed_change(list)).or_else(|| projection.truncation(list));
     let shards = 0..guard.layout.cells;
     Plan {
         changed_names,
         difference: Difference::of(projection.changes.values()),
-        hold_reason: hold,
+        hold_reason: reason,
         counts: projection.counts,
         ready_endpoints_by_shard: shards
-            .map(|shard| projection.holders_if_applied.of_shard(guard.layout, shard))
+            .map(|shard| projection.ready_if_applied.of_shard(guard.layout, shard))
             .collect(),
         changes: projection.changes,
     }
@@ -71,11 +72,11 @@
     }
 }
 
-/// The endpoints as they would be, counted while the changed names are added.
+/// Counts and changes that would result from a list, accumulated as the changed names are added.
 struct Projection {
     counts: EndpointCounts,
-    holders_if_held_back: Holders,
-    holders_if_applied: Holders,
+    ready_if_held_back: ReadyCounts,
+    ready_if_applied: ReadyCounts,
     changes: BTreeMap<Arc<str>, Change>,
 }
 
@@ -84,13 +85,13 @@
         let endpoints = effective.len();
         Projection {
             counts: EndpointCounts { before: endpoints, after: endpoints, removed: 0 },
-            holders_if_held_back: effective.holders().clone(),
-            holders_if_applied: effective.holders().clone(),
+            ready_if_held_back: effective.ready_counts().clone(),
+            ready_if_applied: effective.ready_counts().clone(),
             changes: BTreeMap::new(),
         }
     }
 
-    /// Adds an endpoint as it is now, as it is with the list held back, and as it is with the list applied.
+    /// Adds an endpoint in its current state, with the list held back, and with the list applied.
     fn add(
         &mut self,
         name: &Arc<str>,
@@ -99,14 +100,14 @@
         after: Option<MergedEndpoint>,
     ) {
         if let Some(before) = before {
-            self.holders_if_held_back.remove(&before.endpoint);
-            self.holders_if_applied.remove(&before.endpoint);
+            self.ready_if_held_back.remove(&before.endpoint);
+            self.ready_if_applied.remove(&before.endpoint);
         }
         if let Some(held_back) = held_back {
-            self.holders_if_held_back.add(&held_back.endpoint);
+            self.ready_if_held_back.add(&held_back.endpoint);
         }
         if let Some(after) = &after {
-            self.holders_if_applied.add(&after.endpoint);
+            self.ready_if_applied.add(&after.endpoint);
         }
         match (before, &after) {
             (Some(_), None) => {
@@ -126,13 +127,13 @@
     fn proposed_change(&self, list: &FileList) -> ProposedChange<'_> {
         ProposedChange {
             counts: self.counts,
-            names_endpoints: list.partial || !list.records.is_empty(),
-            holders_before: &self.holders_if_held_back,
-            holders_after: &self.holders_if_applied,
+            lists_endpoints: list.partial || !list.records.is_empty(),
+            ready_before: &self.ready_if_held_back,
+            ready_after: &self.ready_if_applied,
         }
     }
 
-    /// A truncated list is held back only if it would change something.
+    /// A truncated list is held back only if it would change an endpoint.
     fn truncation(&self, list: &FileList) -> Option<HoldReason> {
         (list.truncated_mid_line && !self.changes.is_empty()).then_some(HoldReason::TruncatedMidLine)
     }
--- a/src/endpoints/provenance.rs
+++ b/src/endpoints/provenance.rs
@@ -1,34 +1,34 @@
-//! Which source gave each field of an endpoint, for operators who ask why an endpoint is as it is.
+//! The source of each field value of an endpoint, so that operators can trace where a value comes from.
 
 use super::{SourceId, SourceLocation};
 
 /// A field of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FieldName {
-    /// The address it listens at.
+    /// The address at which the leaf server listens.
     Address,
-    /// Its zone.
+    /// The zone.
     Zone,
-    /// Its cell.
+    /// The cell.
     Cell,
-    /// Its relative capacity.
+    /// The relative capacity.
     Weight,
-    /// Whether it accepts work.
+    /// Whether the leaf server accepts work.
     State,
-    /// The time of its last start.
+    /// The time of the leaf server's last start.
     StartedAt,
 }
 
-/// Where a value comes from.
+/// The origin of a field value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Origin {
-    /// The source.
+    /// The source that provided the value.
     pub source: SourceId,
-    /// The place in the source, if that is a file; the default otherwise.
+    /// The location in the source if the source is a file; the default otherwise.
     pub location: SourceLocation,
 }
 
-/// The origin of each field that some source states.
+/// The origin of each field that a source provides.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Provenance {
     origins: Vec<FieldOrigin>,
@@ -41,12 +41,12 @@
 }
 
 impl Provenance {
-    /// The origin of a field; `None` if no source states it and it has its default.
+    /// The origin of a field; `None` if no source provides it, so that it has its default value.
     pub fn of(&self, field: FieldName) -> Option<Origin> {
-        self.origins.iter().find(|stated| stated.field == field).map(|stated| stated.origin)
+        self.origins.iter().find(|entry| entry.field == field).map(|entry| entry.origin)
     }
 
-    /// Adds the origin of a field, if some source states it.
+    /// Adds the origin of a field, if a source provides it.
     pub(super) fn record(&mut self, field: FieldName, origin: Option<Origin>) {
         if let Some(origin) = origin {
             self.origins.push(FieldOrigin { field, origin });
--- a/src/endpoints/record.rs
+++ b/src/endpoints/record.rs
@@ -1,4 +1,4 @@
-//! What one inventory file states about endpoints: fields that may be absent, each with its place in the file.
+//! Endpoint records of an inventory: optional fields, each with its location in the file.
 
 use super::{EndpointState, Millis};
 use std::cmp::Ordering;
@@ -6,7 +6,7 @@
 use std::collections::hash_map::Entry;
 use std::sync::Arc;
 
-/// A place in an inventory.
+/// A location in an inventory.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SourceLocation {
     /// The file, as an index into [`FileList::files`].
@@ -15,38 +15,38 @@
     pub line: u32,
 }
 
-/// A value and its place.
+/// A value with its location.
 #[derive(Clone, Debug)]
 pub struct Located<T> {
     /// The value.
     pub value: T,
-    /// Where it is stated.
+    /// Location of the value in the inventory.
     pub location: SourceLocation,
 }
 
-/// What a file states about one endpoint.
+/// The fields that an inventory provides for one endpoint; absent fields are `None`.
 #[derive(Clone, Debug)]
 pub struct EndpointRecord {
     /// The endpoint's name.
     pub name: Arc<str>,
-    /// Where it is named.
+    /// Location of the record in the inventory.
     pub location: SourceLocation,
-    /// The address it listens at; may be a Flight location.
+    /// The address at which the leaf server listens; may be an Arrow Flight location.
     pub address: Option<Located<Arc<str>>>,
-    /// Its zone.
+    /// The zone, a failure domain.
     pub zone: Option<Located<Arc<str>>>,
-    /// Its cell.
+    /// The cell, which determines the shards that the endpoint holds.
     pub cell: Option<Located<u32>>,
-    /// Its relative capacity.
+    /// The relative capacity.
     pub weight: Option<Located<f64>>,
-    /// Its state: ready or draining, never gone.
+    /// Ready or draining, never gone.
     pub state: Option<Located<EndpointState>>,
-    /// Unix time of its last start, in milliseconds.
+    /// Unix time of the leaf server's last start, in milliseconds.
     pub started_at_unix: Option<Located<Millis>>,
 }
 
 impl EndpointRecord {
-    /// A record that names an endpoint and states nothing else.
+    /// A record with a name and no other fields.
     pub fn new(name: &str, location: SourceLocation) -> Self {
         EndpointRecord {
             name: name.into(),
@@ -60,13 +60,13 @@
         }
     }
 
-    /// Whether it states that the endpoint is draining.
+    /// Whether the record has the draining state.
     pub fn is_draining(&self) -> bool {
         self.state.as_ref().is_some_and(|state| state.value == EndpointState::Draining)
     }
 
-    /// Whether both records state the same, wherever they stand.
-    pub fn states_same_as(&self, other: &EndpointRecord) -> bool {
+    /// Whether both records have the same values, regardless of their locations.
+    pub fn has_same_values_as(&self, other: &EndpointRecord) -> bool {
         self.name == other.name
             && same_value(self.address.as_ref(), other.address.as_ref())
             && same_value(self.zone.as_ref(), other.zone.as_ref())
@@ -81,18 +81,18 @@
     left.map(|located| &located.value) == right.map(|located| &located.value)
 }
 
-/// The list that one inventory gives; made by `inventory::read`.
+/// The endpoint list of one inventory, as parsed by `inventory::read`.
 #[derive(Clone, Debug, Default)]
 pub struct FileList {
     /// The records, sorted by name, with each name once.
     pub records: Vec<EndpointRecord>,
-    /// The names of the files that were read for it, as operators know them.
+    /// The names of the files that the list was read from, as shown to operators.
     pub files: Vec<Arc<str>>,
-    /// Digest of the content: the first digits, in hex, of a SHA-256 over all files.
+    /// Digest of the content: the leading hex digits of a SHA-256 hash over all files.
     pub digest: Arc<str>,
-    /// The file is truncated within a line: its writer may not have finished.
+    /// A file ends within a line: its writer may not have finished.
     pub truncated_mid_line: bool,
-    /// The list only adds to endpoints that another source names.
+    /// The list only adds fields to endpoints that another source lists.
     pub partial: bool,
 }
 
@@ -103,7 +103,7 @@
         Some(&self.records[index])
     }
 
-    /// The names, in order, of the records that differ between two lists. Walks both lists once.
+    /// The names of the records that differ between two lists, in ascending order. Iterates over both lists once.
     pub fn changed_names(&self, other: &FileList) -> Vec<Arc<str>> {
         let mut left = self.records.iter().peekable();
         let mut right = other.records.iter().peekable();
@@ -118,14 +118,14 @@
             let from_left = left.next_if(|_| order.is_le());
             let from_right = right.next_if(|_| order.is_ge());
             match (from_left, from_right) {
-                (Some(left), Some(right)) if left.states_same_as(right) => {}
+                (Some(left), Some(right)) if left.has_same_values_as(right) => {}
                 (Some(record), _) | (None, Some(record)) => names.push(record.name.clone()),
                 (None, None) => return names,
             }
         }
     }
 
-    /// The names of the endpoints that it states to be draining.
+    /// The names of the records with the draining state.
     pub(super) fn draining_names(&self) -> impl Iterator<Item = Arc<str>> {
         self.records.iter().filter(|record| record.is_draining()).map(|record| record.name.clone())
     }
@@ -136,31 +136,31 @@
         ListSummary { endpoints: self.records.len(), draining }
     }
 
-    /// The name of the file of a place; empty if there is none.
+    /// The name of the file of a location; empty if there is no such file.
     pub fn file_name(&self, location: SourceLocation) -> &str {
         self.files.get(usize::from(location.file)).map_or("", |file| file)
     }
 }
 
-/// Counts of a list.
+/// Endpoint counts of a [`FileList`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ListSummary {
-    /// Endpoints named.
+    /// Number of endpoints in the list.
     pub endpoints: usize,
-    /// Those that are draining.
+    /// Number of endpoints in the list that are draining.
     pub draining: usize,
 }
 
-/// Two records that give one address under two names, so that the load of one leaf server would count as that of two.
+/// Two records with different names and the same address, so that one leaf server would be balanced as if it were two.
 #[derive(Clone, Copy, Debug)]
 pub struct SharedAddress<'a> {
     /// The first record with the address.
     pub first: &'a EndpointRecord,
-    /// A later record with it.
+    /// A later record with the same address.
     pub second: &'a EndpointRecord,
 }
 
-/// The addresses that occur under more than one name, in the order of the later records.
+/// Finds addresses that occur under more than one name, in the order of the later records.
 pub fn shared_addresses(records: &[EndpointRecord]) -> Vec<SharedAddress<'_>> {
     let mut first_by_address: HashMap<&str, &EndpointRecord> = HashMap::with_capacity(records.len());
     let mut shared = Vec::new();
--- a/src/endpoints/registry.rs
+++ b/src/endpoints/registry.rs
@@ -1,4 +1,4 @@
-//! The registry of endpoints: takes in what the sources report and decides which list is in force.
+//! The endpoint registry: receives the lists of all sources and maintains the effective endpoint list.
 
 use super::effective::EffectiveEndpoints;
 use super::file_source::FileSource;
@@ -14,7 +14,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// The endpoints of all sources. Owned by the aggregator's state; also used by the command `inventory plan`.
+/// Merges the endpoints of all sources. Part of the aggregator's state; also used by the command `inventory plan`.
 pub struct EndpointRegistry {
     guard: ListGuard,
     sources: Sources,
@@ -25,15 +25,15 @@
     overrides: EndpointOverrides,
 }
 
-/// The endpoints that an input has changed.
+/// The endpoints changed by an input.
 struct AppliedChanges {
-    /// As they are now, in order of names; removed ones with the state [`EndpointState::Gone`].
+    /// The changed endpoints in their new form, ordered by name; removed ones have the state [`EndpointState::Gone`].
     entries: Vec<Endpoint>,
     difference: Difference,
 }
 
 impl EndpointRegistry {
-    /// A registry without sources, which come with [`Input::Started`].
+    /// Creates a registry without sources; [`Input::Started`] adds them.
     pub fn new(layout: ShardLayout, guard: GuardSettings) -> Self {
         EndpointRegistry {
             guard: ListGuard { layout, settings: guard },
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Handles an input; appends its outputs in the order in which they are to be carried out.
+    /// Handles an input and appends its outputs in the order in which the caller must carry them out.
     pub fn handle(&mut self, now: Millis, input: Input, outputs: &mut Vec<Output>) {
         let first_new = outputs.len();
         match input {
@@ -69,27 +69,27 @@
         }
     }
 
-    /// The endpoints in force, by name, without overrides.
+    /// The effective endpoints by name, without overrides.
     pub fn endpoints(&self) -> BTreeMap<&Arc<str>, &MergedEndpoint> {
         self.effective.sorted()
     }
 
-    /// One endpoint in force, without overrides.
+    /// One effective endpoint, without overrides.
     pub fn endpoint(&self, name: &str) -> Option<&MergedEndpoint> {
         self.effective.get(name)
     }
 
-    /// The last versions of the list.
+    /// The most recent versions of the effective list.
     pub fn history(&self) -> &History {
         &self.history
     }
 
-    /// The list held back for a file.
+    /// The list held back for a file, if there is one.
     pub fn held_back(&self, file: u16) -> Option<&Arc<FileList>> {
         self.sources.file(file)?.held_back()
     }
 
-    /// What applying a list for a file would do; changes nothing.
+    /// Computes the effect of applying a list for a file, without changing anything.
     pub fn plan(&self, file: u16, list: &FileList) -> Plan {
         plan(&self.sources, &self.effective, &self.guard, file, list)
     }
@@ -130,7 +130,8 @@
         outputs.push(Output::List(EndpointList { generation, complete: true, entries: applied.entries }));
     }
 
-    /// Discovery's lists are never held back: the platform counts a change from the moment it was announced.
+    /// Lists from discovery are never held back, because the platform's time limits for a change start when the change
+    /// is announced.
     fn on_discovery(&mut self, now: Millis, list: EndpointList, outputs: &mut Vec<Output>) {
         let has_files = !self.sources.files.is_empty();
         let names = self.sources.discovery.update(&list, has_files);
@@ -142,7 +143,7 @@
             difference: applied.difference,
         }));
         if !has_files {
-            // Discovery as the only source is passed on unchanged.
+            // If discovery is the only source, its list is forwarded unchanged.
             outputs.push(Output::List(list));
         } else if !applied.entries.is_empty() {
             let generation = list.generation;
@@ -251,7 +252,7 @@
         self.push_changes(entries, outputs);
     }
 
-    /// Merges some names again and sends what has changed.
+    /// Merges the given names again and outputs the changed endpoints.
     fn send_changes(
         &mut self,
         now: Millis,
@@ -269,7 +270,7 @@
         }
     }
 
-    /// Merges some names again; if an endpoint has changed, that is a new version of the list.
+    /// Merges the given names again; if any endpoint has changed, adds a version to the history.
     fn apply_sources(
         &mut self,
         now: Millis,
@@ -311,7 +312,7 @@
     }
 }
 
-/// The problem of the first record whose cell does not exist.
+/// Describes the first record whose cell is out of range, if any.
 fn cell_out_of_range(list: &FileList, cells: u32) -> Option<String> {
     for record in &list.records {
         let Some(cell) = &record.cell else { continue };
--- a/src/endpoints/sources.rs
+++ b/src/endpoints/sources.rs
@@ -1,11 +1,11 @@
-//! All sources of endpoints together.
+//! The set of all endpoint sources.
 
 use super::discovery_source::DiscoverySource;
 use super::file_source::{FileLists, FileSource};
 use super::merge::{MergedEndpoint, merge};
 use std::sync::Arc;
 
-/// Lists to try out in place of those of one file.
+/// Replaces the lists of one file in a merge, to compute the effect of a list before it is applied.
 #[derive(Clone, Copy)]
 pub(super) struct SubstitutedFile<'a> {
     pub file: u16,
@@ -15,7 +15,7 @@
 /// The inventory files and discovery.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Sources {
-    /// In the operator's order, which is the ascending order of precedence.
+    /// In the order of the operator file, which is the ascending order of precedence.
     pub files: Vec<FileSource>,
     pub discovery: DiscoverySource,
 }
@@ -29,12 +29,12 @@
         self.files.get_mut(usize::from(file))
     }
 
-    /// The endpoint that all sources together give for a name.
+    /// Merges the entries of all sources for an endpoint name.
     pub fn merged(&self, name: &Arc<str>) -> Option<MergedEndpoint> {
         self.merged_with(name, None)
     }
 
-    /// The endpoint for a name, with the lists of one file substituted.
+    /// Like [`merged`](Self::merged), with the lists of one file substituted.
     pub fn merged_with(
         &self,
         name: &Arc<str>,
@@ -43,17 +43,17 @@
         if self.discovery.has_removed(name) {
             return None;
         }
-        let mut statements = Vec::new();
+        let mut entries = Vec::new();
         for (index, source) in self.files.iter().enumerate() {
             let file = index as u16;
             let lists = match substituted {
                 Some(substitute) if substitute.file == file => substitute.lists,
                 _ => FileLists::of(source),
             };
-            lists.add_statements(file, name, &mut statements);
+            lists.add_entries(file, name, &mut entries);
         }
-        // Discovery comes last, with the highest precedence: it is closest to the leaf servers.
-        statements.extend(self.discovery.statement(name));
-        merge(name, &statements)
+        // Discovery has the highest precedence, since it has the most direct view of the leaf servers.
+        entries.extend(self.discovery.entry(name));
+        merge(name, &entries)
     }
 }
