--- a/tests/endpoints/harness.rs
+++ b/tests/endpoints/harness.rs
@@ -1,4 +1,4 @@
-//! A registry under test, and short forms of lists and records.
+//! Test harness: a registry with its last outputs, and constructors of lists and records.
 
 use sailmux::endpoints::*;
 use std::sync::Arc;
@@ -24,14 +24,15 @@
     Arc::new(FileList { records, digest: digest.into(), files: vec!["n.csv".into()], ..FileList::default() })
 }
 
-/// A list of ready endpoints, given by name and cell.
+/// A list of ready endpoints, each given as name and cell.
 pub fn ready_list(digest: &str, endpoints: &[(&str, u32)]) -> Arc<FileList> {
     list(digest, endpoints.iter().map(|(name, cell)| record(name, *cell, None)).collect())
 }
 
+/// Six endpoints as name and cell: two in each of the three cells.
 pub const SIX: [(&str, u32); 6] = [("a0", 0), ("b0", 0), ("a1", 1), ("b1", 1), ("a2", 2), ("b2", 2)];
 
-/// A registry with the outputs of the last input.
+/// A registry under test, with the outputs of its last input.
 pub struct Harness {
     pub registry: EndpointRegistry,
     pub outputs: Vec<Output>,
--- a/tests/endpoints/main.rs
+++ b/tests/endpoints/main.rs
@@ -1,4 +1,4 @@
-//! The endpoint registry: the guard, what discovery may do that files may not, history, and precedence.
+//! Tests of the endpoint registry: the guard, discovery compared with files, history, and precedence.
 
 mod harness;
 mod precedence;
@@ -8,12 +8,12 @@
 use std::sync::Arc;
 
 #[test]
-fn a_list_that_removes_too_much_is_held_back_except_for_its_draining_states() {
+fn a_list_that_removes_too_many_endpoints_is_held_back_except_for_its_draining_states() {
     type Case = (&'static str, &'static [(&'static str, u32)], HoldReason);
     let cases: [Case; 3] = [
         ("empty", &[], HoldReason::Empty),
         ("share", &[("a0", 0), ("a1", 1), ("a2", 2)], HoldReason::TooManyRemoved { removed: 3, total: 6 }),
-        // A single endpoint may be removed, but not the last one of a shard.
+        // Removing a single endpoint is allowed, unless it is the last one of a shard.
         (
             "shard",
             &[("a0", 0), ("b0", 0), ("a1", 1), ("b1", 1), ("a2", 2)],
@@ -35,15 +35,15 @@
         });
         harness.handle(2.0, Input::File(0, list(digest, shorter.collect())));
         assert_eq!(harness.hold_reason(), Some(reason), "{digest}");
-        assert_eq!(harness.endpoint_count(), 6, "{digest}: the applied list stays in force");
+        assert_eq!(harness.endpoint_count(), 6, "{digest}: the applied list stays in effect");
         if digest != "empty" {
             let draining = Some(EndpointState::Draining);
-            assert_eq!(harness.state("a0"), draining, "{digest}: its draining state takes effect");
+            assert_eq!(harness.state("a0"), draining, "{digest}: the draining state takes effect");
             let sends_one_change =
                 |output: &Output| matches!(output, Output::List(list) if list.entries.len() == 1);
             assert!(harness.outputs.iter().any(sends_one_change));
         }
-        // A confirmation of another list changes nothing; the right one applies the list.
+        // A confirmation of another list has no effect; a confirmation of this list applies it.
         harness.handle(3.0, Input::FileConfirmed(0, "other".into()));
         assert_eq!(harness.endpoint_count(), 6);
         harness.handle(4.0, Input::FileConfirmed(0, digest.into()));
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn draining_states_take_effect_even_if_a_shard_is_left_without_a_ready_endpoint() {
+fn draining_states_take_effect_even_if_a_shard_has_no_ready_endpoint_left() {
     let mut harness = Harness::new(None, vec![ready_list("six", &SIX)]);
     let all_draining = SIX.map(|(name, cell)| record(name, cell, Some(EndpointState::Draining)));
     harness.handle(1.0, Input::File(0, list("drained", all_draining.to_vec())));
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_list_held_back_is_applied_after_the_set_time_and_withdrawn_when_the_file_is_as_before() {
+fn a_held_back_list_is_applied_after_confirm_after_and_withdrawn_when_the_file_is_restored() {
     let guard = GuardSettings { confirm_after: Some(1000.0), ..GuardSettings::default() };
     let six = ready_list("six", &SIX);
     let mut harness = Harness::with_guard(guard, None, vec![six.clone()]);
@@ -73,9 +73,13 @@
     harness.handle(500.0, Input::File(0, six.clone()));
     let last = harness.outputs.last().expect("an output");
     assert!(matches!(last, Output::Audit(AuditEvent::HeldListWithdrawn { .. })), "{last:?}");
-    assert_eq!(harness.state("a0"), Some(EndpointState::Ready), "its draining state is withdrawn with it");
+    assert_eq!(
+        harness.state("a0"),
+        Some(EndpointState::Ready),
+        "the draining state is withdrawn with the list"
+    );
     harness.handle(1100.0, Input::TimerFired);
-    assert_eq!(harness.endpoint_count(), 6, "the time counts from when it was last held back");
+    assert_eq!(harness.endpoint_count(), 6, "the time is measured from when the list was last held back");
     harness.handle(1200.0, Input::File(0, short.clone()));
     harness.handle(1900.0, Input::File(0, short));
     harness.handle(2199.0, Input::TimerFired);
@@ -85,7 +89,7 @@
 }
 
 #[test]
-fn a_truncated_list_is_held_back_unless_it_changes_nothing() {
+fn a_truncated_list_is_held_back_only_if_it_changes_an_endpoint() {
     let mut harness = Harness::new(None, vec![ready_list("six", &SIX)]);
     let mut seven = SIX.to_vec();
     seven.push(("c0", 0));
@@ -99,7 +103,7 @@
 }
 
 #[test]
-fn discovery_takes_effect_at_once_and_files_do_not_bring_back_what_it_removed() {
+fn discovery_takes_effect_immediately_and_files_do_not_restore_endpoints_it_removed() {
     let complete = |names: &[&str]| EndpointList {
         generation: 5,
         complete: true,
@@ -107,41 +111,41 @@
     };
     let mut harness = Harness::new(Some(complete(&["a0", "b0"])), vec![ready_list("six", &SIX)]);
     let address = harness.registry.endpoint("a0").map(|merged| merged.endpoint.address.to_string());
-    assert_eq!(address, Some("a0:9".into()), "discovery's address");
-    // Discovery removes all it had: that takes effect, and the files do not bring it back.
+    assert_eq!(address, Some("a0:9".into()), "the address from discovery takes precedence");
+    // Discovery removes all its endpoints: that takes effect, and the files do not restore them.
     harness.handle(1.0, Input::Discovery(complete(&[])));
     assert_eq!((harness.state("a0"), harness.state("b0")), (None, None));
-    assert_eq!(harness.endpoint_count(), 4, "endpoints that discovery never named stay");
+    assert_eq!(harness.endpoint_count(), 4, "endpoints that discovery never listed remain");
     harness.handle(2.0, Input::File(0, ready_list("again", &[SIX[0], SIX[2], SIX[3], SIX[4], SIX[5]])));
     assert_eq!(harness.state("a0"), None);
-    // An endpoint is back when discovery lists it, and still draining if the file states so.
+    // The endpoint is restored when discovery lists it again, as draining because the file lists it as draining.
     let draining =
         SIX.map(|(name, cell)| record(name, cell, (name == "a0").then_some(EndpointState::Draining)));
     harness.handle(3.0, Input::File(0, list("drained", draining.to_vec())));
-    let back =
+    let relisted =
         EndpointList { generation: 6, complete: false, entries: vec![entry("a0", 0, EndpointState::Ready)] };
-    harness.handle(4.0, Input::Discovery(back));
+    harness.handle(4.0, Input::Discovery(relisted));
     assert_eq!(harness.state("a0"), Some(EndpointState::Draining));
-    let provenance = &harness.registry.endpoint("a0").expect("listed").provenance;
-    let state_origin = provenance.of(FieldName::State).expect("stated");
+    let provenance = &harness.registry.endpoint("a0").expect("the endpoint exists").provenance;
+    let state_origin = provenance.of(FieldName::State).expect("the state has an origin");
     assert_eq!((state_origin.source, state_origin.location.line), (SourceId::File(0), 7));
-    let address_origin = provenance.of(FieldName::Address).expect("stated");
+    let address_origin = provenance.of(FieldName::Address).expect("the address has an origin");
     assert_eq!(address_origin.source, SourceId::Discovery);
 }
 
 #[test]
-fn discovery_as_the_only_source_is_passed_on_unchanged() {
+fn lists_of_discovery_as_the_only_source_are_forwarded_unchanged() {
     let update =
         EndpointList { generation: 9, complete: true, entries: vec![entry("x", 1, EndpointState::Ready)] };
     let known = EndpointList { complete: true, ..EndpointList::default() };
     let mut harness = Harness::new(Some(known), vec![]);
     let outputs = harness.handle(1.0, Input::Discovery(update.clone()));
-    let [Output::Audit(AuditEvent::DiscoveryApplied { .. }), Output::List(passed_on)] = outputs else {
+    let [Output::Audit(AuditEvent::DiscoveryApplied { .. }), Output::List(forwarded)] = outputs else {
         panic!("{outputs:?}");
     };
-    assert!(passed_on.complete);
-    assert_eq!(passed_on.generation, 9);
-    assert_eq!(passed_on.entries, update.entries);
+    assert!(forwarded.complete);
+    assert_eq!(forwarded.generation, 9);
+    assert_eq!(forwarded.entries, update.entries);
 }
 
 #[test]
@@ -153,11 +157,11 @@
         state: located(EndpointState::Draining),
         ..EndpointRecord::new(name, SourceLocation::default())
     };
-    partial.records = vec![draining("a1"), draining("nobody")];
+    partial.records = vec![draining("a1"), draining("unlisted")];
     partial.digest = "d2".into();
     harness.handle(1.0, Input::File(1, Arc::new(partial.clone())));
-    assert_eq!((harness.state("a1"), harness.state("nobody")), (Some(EndpointState::Draining), None));
-    // Empty again: it removes no endpoint, so it is not held back.
+    assert_eq!((harness.state("a1"), harness.state("unlisted")), (Some(EndpointState::Draining), None));
+    // An empty partial list removes no endpoint, so it is not held back.
     partial.records = vec![];
     partial.digest = "d3".into();
     harness.handle(2.0, Input::File(1, Arc::new(partial)));
@@ -169,11 +173,11 @@
 fn a_list_with_a_cell_out_of_range_is_rejected() {
     let mut harness = Harness::new(None, vec![ready_list("six", &SIX)]);
     harness.handle(3.0, Input::File(0, ready_list("far", &[("a0", 99_999)])));
-    let names_the_cell = |output: &Output| match output {
+    let reports_the_cell = |output: &Output| match output {
         Output::Audit(AuditEvent::ListRejected { problem, .. }) => problem.contains("n.csv:7: a0.cell"),
         _ => false,
     };
-    assert!(harness.outputs.iter().any(names_the_cell), "{:?}", harness.outputs);
+    assert!(harness.outputs.iter().any(reports_the_cell), "{:?}", harness.outputs);
     assert_eq!(harness.endpoint_count(), 6);
 }
 
@@ -193,8 +197,8 @@
     assert_eq!(difference(1, 3), Some(Difference { added: 1, removed: 1, ..Default::default() }));
     assert_eq!(difference(3, 3), Some(Difference::default()));
     assert_eq!(difference(1, 4), None);
-    for i in 0..500 {
-        let name = format!("v{i}");
+    for number in 0..500 {
+        let name = format!("v{number}");
         let next = [SIX[1], SIX[2], SIX[3], SIX[4], SIX[5], (&*name, 0)];
         harness.handle(3.0, Input::File(0, ready_list(&name, &next)));
     }
@@ -203,12 +207,12 @@
 }
 
 #[test]
-fn two_endpoints_of_two_files_at_one_address_are_reported() {
-    let twin = EndpointRecord { address: located("a0:1".into()), ..record("twin", 0, None) };
-    let harness = Harness::new(None, vec![ready_list("six", &SIX), list("t", vec![twin])]);
-    let reports_twin = |output: &Output| match output {
-        Output::Audit(AuditEvent::SharedAddress { name, .. }) => &**name == "twin",
+fn an_address_shared_by_endpoints_of_two_files_is_reported() {
+    let duplicate = EndpointRecord { address: located("a0:1".into()), ..record("duplicate", 0, None) };
+    let harness = Harness::new(None, vec![ready_list("six", &SIX), list("t", vec![duplicate])]);
+    let reports_duplicate = |output: &Output| match output {
+        Output::Audit(AuditEvent::SharedAddress { name, .. }) => &**name == "duplicate",
         _ => false,
     };
-    assert!(harness.outputs.iter().any(reports_twin));
+    assert!(harness.outputs.iter().any(reports_duplicate));
 }
--- a/tests/endpoints/precedence.rs
+++ b/tests/endpoints/precedence.rs
@@ -1,4 +1,5 @@
-//! Precedence, against a model that keeps the last statement of each source and asks all of them each time.
+//! Property test of precedence, against a model that stores the last list of each source and merges them from scratch
+//! after each update.
 
 use crate::harness::{Harness, entry, list, located, record};
 use proptest::prelude::*;
@@ -6,39 +7,39 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// What discovery states about an endpoint, or a file about its state.
+/// The state of an endpoint in a list of discovery or of a file.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum StatedState {
+enum ListedState {
     Ready,
     Draining,
     Absent,
 }
 
-fn stated_state() -> impl Strategy<Value = StatedState> {
-    prop_oneof![Just(StatedState::Ready), Just(StatedState::Draining), Just(StatedState::Absent)]
+fn listed_state() -> impl Strategy<Value = ListedState> {
+    prop_oneof![Just(ListedState::Ready), Just(ListedState::Draining), Just(ListedState::Absent)]
 }
 
-/// What a file states about an endpoint.
+/// A row of a file for an endpoint.
 #[derive(Clone, Copy, Debug)]
 struct FileRow {
     cell: Option<u8>,
     weight: Option<u8>,
-    state: StatedState,
+    state: ListedState,
 }
 
-/// An update of a source; endpoints are numbered.
+/// An update of a source; endpoints are identified by numbers.
 #[derive(Clone, Debug)]
 enum Update {
-    /// An absent state is a removal.
-    Discovery { complete: bool, rows: BTreeMap<u8, StatedState> },
-    /// An absent state states nothing.
+    /// An absent state removes the endpoint.
+    Discovery { complete: bool, rows: BTreeMap<u8, ListedState> },
+    /// An absent state means that the row has no state field.
     File { file: u8, rows: BTreeMap<u8, FileRow> },
 }
 
 fn updates() -> impl Strategy<Value = Vec<Update>> {
-    let discovery = (any::<bool>(), prop::collection::vec((0..5u8, stated_state()), 0..4))
+    let discovery = (any::<bool>(), prop::collection::vec((0..5u8, listed_state()), 0..4))
         .prop_map(|(complete, rows)| Update::Discovery { complete, rows: rows.into_iter().collect() });
-    let row = (prop::option::of(0..3u8), prop::option::of(0..4u8), stated_state())
+    let row = (prop::option::of(0..3u8), prop::option::of(0..4u8), listed_state())
         .prop_map(|(cell, weight, state)| FileRow { cell, weight, state });
     let file = (0..2u8, prop::collection::vec((0..5u8, row), 0..5))
         .prop_map(|(file, rows)| Update::File { file, rows: rows.into_iter().collect() });
@@ -64,10 +65,10 @@
     }
 }
 
-/// The last statement of each source, and what discovery removed.
+/// The last list of each source, and the endpoints that discovery has removed.
 #[derive(Default)]
 struct Model {
-    discovery: BTreeMap<u8, StatedState>,
+    discovery: BTreeMap<u8, ListedState>,
     removed: Vec<u8>,
     files: [BTreeMap<u8, FileRow>; 2],
 }
@@ -85,7 +86,7 @@
                 }
                 for (number, state) in rows {
                     self.removed.retain(|removed| removed != number);
-                    if *state == StatedState::Absent {
+                    if *state == ListedState::Absent {
                         self.remove(*number);
                     } else {
                         self.discovery.insert(*number, *state);
@@ -107,23 +108,23 @@
         }
         let discovered = self.discovery.get(&number);
         let rows: Vec<&FileRow> = self.files.iter().filter_map(|file| file.get(&number)).collect();
-        let cell_of_files = rows.iter().rev().find_map(|row| row.cell).map(u32::from);
-        let weight_of_files = rows.iter().rev().find_map(|row| row.weight).map(f64::from);
+        let cell_in_files = rows.iter().rev().find_map(|row| row.cell).map(u32::from);
+        let weight_in_files = rows.iter().rev().find_map(|row| row.weight).map(f64::from);
         Some(Expected {
-            cell: discovered.map(|_| 1).or(cell_of_files)?,
-            weight: discovered.map(|_| 1.0).or(weight_of_files).unwrap_or(1.0),
-            draining: discovered == Some(&StatedState::Draining)
-                || rows.iter().any(|row| row.state == StatedState::Draining),
+            cell: discovered.map(|_| 1).or(cell_in_files)?,
+            weight: discovered.map(|_| 1.0).or(weight_in_files).unwrap_or(1.0),
+            draining: discovered == Some(&ListedState::Draining)
+                || rows.iter().any(|row| row.state == ListedState::Draining),
         })
     }
 }
 
-fn discovery_input(generation: u64, complete: bool, rows: &BTreeMap<u8, StatedState>) -> Input {
+fn discovery_input(generation: u64, complete: bool, rows: &BTreeMap<u8, ListedState>) -> Input {
     let entries = rows.iter().map(|(number, state)| {
         let state = match state {
-            StatedState::Ready => EndpointState::Ready,
-            StatedState::Draining => EndpointState::Draining,
-            StatedState::Absent => EndpointState::Gone,
+            ListedState::Ready => EndpointState::Ready,
+            ListedState::Draining => EndpointState::Draining,
+            ListedState::Absent => EndpointState::Gone,
         };
         entry(&endpoint_name(*number), 1, state)
     });
@@ -135,16 +136,16 @@
         cell: row.cell.map(u32::from).and_then(located),
         weight: row.weight.map(f64::from).and_then(located),
         state: match row.state {
-            StatedState::Ready => located(EndpointState::Ready),
-            StatedState::Draining => located(EndpointState::Draining),
-            StatedState::Absent => None,
+            ListedState::Ready => located(EndpointState::Ready),
+            ListedState::Draining => located(EndpointState::Draining),
+            ListedState::Absent => None,
         },
         ..record(&endpoint_name(*number), 0, None)
     });
     Input::File(u16::from(file), list(digest, records.collect()))
 }
 
-/// Carries out the lists among some outputs, as the aggregator does.
+/// Applies the lists among the outputs, as the aggregator does.
 fn apply_lists(endpoints: &mut BTreeMap<Arc<str>, Endpoint>, outputs: Vec<Output>) {
     for output in outputs {
         let Output::List(list) = output else { continue };
@@ -166,13 +167,13 @@
 
     #[test]
     fn precedence_agrees_with_the_model(updates in updates()) {
-        // A guard that holds back only empty lists, and confirms them at once.
+        // A guard that holds back only empty lists, and confirms them immediately.
         let guard = GuardSettings { max_removed_fraction: 1.0, confirm_after: Some(0.0) };
-        let empty = || list("empty", vec![]);
+        let empty_list = || list("empty", vec![]);
         let mut harness =
-            Harness::with_guard(guard, Some(EndpointList::default()), vec![empty(), empty()]);
+            Harness::with_guard(guard, Some(EndpointList::default()), vec![empty_list(), empty_list()]);
         let mut model = Model::default();
-        let mut aggregator: BTreeMap<Arc<str>, Endpoint> = BTreeMap::new();
+        let mut aggregator_endpoints: BTreeMap<Arc<str>, Endpoint> = BTreeMap::new();
         for (step, update) in updates.into_iter().enumerate() {
             model.update(&update);
             let input = match &update {
@@ -182,13 +183,13 @@
             let mut outputs = Vec::new();
             harness.registry.handle(step as Millis, input, &mut outputs);
             harness.registry.handle(step as Millis, Input::TimerFired, &mut outputs);
-            apply_lists(&mut aggregator, outputs);
+            apply_lists(&mut aggregator_endpoints, outputs);
             for number in 0..5u8 {
                 let name = endpoint_name(number);
                 let expected = model.endpoint(number);
                 let merged = harness.registry.endpoint(&name).map(|merged| Expected::of(&merged.endpoint));
                 prop_assert_eq!(merged, expected, "{} after step {}", name, step);
-                let received = aggregator.get(name.as_str()).map(Expected::of);
+                let received = aggregator_endpoints.get(name.as_str()).map(Expected::of);
                 prop_assert_eq!(received, expected, "the aggregator's {} after step {}", name, step);
             }
         }
