--- a/examples/inventory_scale.rs
+++ b/examples/inventory_scale.rs
@@ -88,7 +88,7 @@
         })
         .len()
     };
-    step("apply all, at the start", Input::Started { known: None, files: vec![initial_list.clone()] });
+    step("apply all, at the start", Input::Started { initial_list: None, files: vec![initial_list.clone()] });
     step("apply one drained", Input::File(0, drained_list));
     step("apply a tenth moved", Input::File(0, moved_list));
     step("apply the initial list again", Input::File(0, initial_list));
--- a/tests/endpoints/harness.rs
+++ b/tests/endpoints/harness.rs
@@ -1,20 +1,20 @@
-//! A registry under test, and short forms of lists and records.
+//! Test harness: a registry with its last outputs, and constructors of lists and records.
 
 use sailmux::endpoints::*;
 use std::sync::Arc;
 
-const LAYOUT: Layout = Layout { cells: 3, width: 1 };
+const LAYOUT: ShardLayout = ShardLayout { cells: 3, width: 1 };
 const LOCATION: SourceLocation = SourceLocation { file: 0, line: 7 };
 
-pub fn sourced<T>(value: T) -> Option<Sourced<T>> {
-    Some(Sourced { value, location: LOCATION })
+pub fn located<T>(value: T) -> Option<Located<T>> {
+    Some(Located { value, location: LOCATION })
 }
 
 pub fn record(name: &str, cell: u32, state: Option<EndpointState>) -> EndpointRecord {
     EndpointRecord {
-        address: sourced(format!("{name}:1").into()),
-        cell: sourced(cell),
-        state: state.and_then(sourced),
+        address: located(format!("{name}:1").into()),
+        cell: located(cell),
+        state: state.and_then(located),
         ..EndpointRecord::new(name, LOCATION)
     }
 }
@@ -24,27 +24,32 @@
     Arc::new(FileList { records, digest: digest.into(), files: vec!["n.csv".into()], ..FileList::default() })
 }
 
-/// A list of ready endpoints, given by name and cell.
+/// A list of ready endpoints, each given as name and cell.
 pub fn ready_list(digest: &str, endpoints: &[(&str, u32)]) -> Arc<FileList> {
     list(digest, endpoints.iter().map(|(name, cell)| record(name, *cell, None)).collect())
 }
 
+/// Six endpoints as name and cell: two in each of the three cells.
 pub const SIX: [(&str, u32); 6] = [("a0", 0), ("b0", 0), ("a1", 1), ("b1", 1), ("a2", 2), ("b2", 2)];
 
-/// A registry with the outputs of the last input.
+/// A registry under test, with the outputs of its last input.
 pub struct Harness {
     pub registry: EndpointRegistry,
     pub outputs: Vec<Output>,
 }
 
 impl Harness {
-    pub fn new(known: Option<EndpointList>, files: Vec<Arc<FileList>>) -> Self {
-        Self::with_guard(GuardSettings::default(), known, files)
+    pub fn new(initial_list: Option<EndpointList>, files: Vec<Arc<FileList>>) -> Self {
+        Self::with_guard(GuardSettings::default(), initial_list, files)
     }
 
-    pub fn with_guard(guard: GuardSettings, known: Option<EndpointList>, files: Vec<Arc<FileList>>) -> Self {
+    pub fn with_guard(
+        guard: GuardSettings,
+        initial_list: Option<EndpointList>,
+        files: Vec<Arc<FileList>>,
+    ) -> Self {
         let mut harness = Harness { registry: EndpointRegistry::new(LAYOUT, guard), outputs: Vec::new() };
-        harness.handle(0.0, Input::Started { known, files });
+        harness.handle(0.0, Input::Started { initial_list, files });
         harness
     }
 
