--- a/src/endpoints/history.rs
+++ b/src/endpoints/history.rs
@@ -110,8 +110,8 @@
         self.versions.iter()
     }
 
-    /// The changes from version `from` to version `to`, by endpoint name; `None` if either version does not exist or a
-    /// version between them has been dropped.
+    /// The changes from version `from` to version `to`, by endpoint name; `None` if `from` is later than
+    /// `to`, `to` does not exist, or a version between them has been dropped.
     pub fn between(&self, from: u64, to: u64) -> Option<BTreeMap<Arc<str>, Change>> {
         let oldest = self.versions.front()?.number;
         let latest = self.versions.back()?.number;
