--- a/src/cli/ledger/correct.rs
+++ b/src/cli/ledger/correct.rs
@@ -45,13 +45,13 @@
             id: unique_id(),
             tenant: self.tenant,
             class: self.class,
-            corrects: self.corrects.to_string(),
+            corrected_period: self.corrects.to_string(),
             share: if self.beyond { QuotaShare::OverQuota } else { QuotaShare::WithinQuota },
             queries: self.queries,
             parts: self.parts,
             work: self.work,
-            by: self.by,
-            why: self.why,
+            author: self.by,
+            reason: self.why,
         };
         self.location.submit(Request::Correct(correction))
     }
--- a/src/cli/ledger/reconcile.rs
+++ b/src/cli/ledger/reconcile.rs
@@ -4,7 +4,7 @@
 use super::super::print;
 use super::LedgerLocation;
 use super::table::totals_table;
-use crate::ledger::{Gap, Ledger, Reconciled, Record, lines, reconcile};
+use crate::ledger::{Gap, Ledger, Reconciliation, Record, reconcile, totals_to_json};
 use serde_json::{Value, json};
 use std::path::PathBuf;
 
@@ -41,16 +41,16 @@
             records.push((sequence, record.clone()));
         }
     })?;
-    Ok(Ledger { place: location.dir.display().to_string(), book, records })
+    Ok(Ledger { directory: location.dir.display().to_string(), book, records })
 }
 
-fn json_text(reconciled: &Reconciled) -> String {
+fn json_text(reconciled: &Reconciliation) -> String {
     let gaps: Vec<Value> =
         reconciled.gaps.iter().map(|(aggregator, gap)| gap_object(aggregator, gap)).collect();
     let object = json!({
         "complete": reconciled.is_complete(),
         "entries": reconciled.entries,
-        "totals": lines(&reconciled.totals),
+        "totals": totals_to_json(&reconciled.totals),
         "gaps": gaps,
         "overlaps": reconciled.overlaps,
         "clocks": reconciled.clock_differences,
@@ -69,7 +69,7 @@
     })
 }
 
-fn plain_text(reconciled: &Reconciled) -> String {
+fn plain_text(reconciled: &Reconciliation) -> String {
     let mut text = totals_table(&reconciled.totals);
     for finding in reconciled.overlaps.iter().chain(&reconciled.clock_differences) {
         text.push_str(&format!("{finding}\n"));
--- a/src/cli/ledger/show.rs
+++ b/src/cli/ledger/show.rs
@@ -4,7 +4,7 @@
 use super::super::print;
 use super::LedgerLocation;
 use super::table::totals_table;
-use crate::ledger::{BilledCorrection, Book, Period, Record, Totals, UnixMs, lines};
+use crate::ledger::{BilledCorrection, Book, Period, Record, Totals, UnixMs, totals_to_json};
 use jiff::Timestamp;
 use serde_json::{Value, json};
 
@@ -82,7 +82,7 @@
 
 fn json_text(totals: &Totals, corrections: &[&BilledCorrection]) -> String {
     let corrections: Vec<Value> = corrections.iter().map(|billed| correction_object(billed)).collect();
-    format!("{:#}\n", json!({ "totals": lines(totals), "corrections": corrections }))
+    format!("{:#}\n", json!({ "totals": totals_to_json(totals), "corrections": corrections }))
 }
 
 fn correction_object(billed: &BilledCorrection) -> Value {
@@ -90,15 +90,15 @@
     json!({
         "seq": sequence,
         "billed_in": billed_in.to_string(),
-        "corrects": correction.corrects,
+        "corrects": correction.corrected_period,
         "tenant": correction.tenant,
         "class": correction.class,
-        "share": correction.share.word(),
+        "share": correction.share.as_str(),
         "queries": correction.queries,
         "parts": correction.parts,
         "work_milliunits": correction.work,
-        "by": correction.by,
-        "why": correction.why,
+        "by": correction.author,
+        "why": correction.reason,
         "at_ms": correction.at,
     })
 }
@@ -107,13 +107,13 @@
     let BilledCorrection { sequence, billed_in, correction } = billed;
     format!(
         "correction {sequence}, billed in {billed_in}, of {}: {} {} {:+} queries, {:+} parts, {:+.3} units; by {}: {}\n",
-        correction.corrects,
+        correction.corrected_period,
         correction.tenant,
         correction.class,
         correction.queries,
         correction.parts,
         correction.work as f64 / 1e3,
-        correction.by,
-        correction.why
+        correction.author,
+        correction.reason
     )
 }
--- a/src/cli/ledger/submit.rs
+++ b/src/cli/ledger/submit.rs
@@ -3,7 +3,7 @@
 use super::super::failure::Failure;
 use super::super::print;
 use super::{LedgerLocation, now};
-use crate::ledger::{Options, RealDisk, Reply, Request, Store, reply_name, request_name};
+use crate::ledger::{Options, RealDisk, Reply, Request, Store, reply_file_name, request_file_name};
 use std::fs;
 use std::io::ErrorKind;
 use std::thread;
@@ -31,15 +31,15 @@
         let options = Options { loss_window_ms: 0, ..Options::default() };
         let (mut store, _) = Store::open(disk, self.calendar()?, options, aggregator, now())?;
         let outcome = store.perform(request, now());
-        store.end(now())?;
+        store.end_run(now())?;
         print(&format!("{}\n", outcome?))
     }
 
     /// Writes a request as a file for the owner and waits for the reply.
     fn send(&self, request: &Request) -> Result<(), Failure> {
         let id = unique_id();
-        let request_path = self.dir.join(request_name(&id));
-        let reply_path = self.dir.join(reply_name(&id));
+        let request_path = self.dir.join(request_file_name(&id));
+        let reply_path = self.dir.join(reply_file_name(&id));
         let mut temporary_path = request_path.clone().into_os_string();
         temporary_path.push(".tmp");
         fs::write(&temporary_path, request.to_json())?;
--- a/src/cli/ledger/table.rs
+++ b/src/cli/ledger/table.rs
@@ -1,7 +1,7 @@
 //! Billing lines as a table.
 
 use crate::inventory::columns;
-use crate::ledger::{Line, Sums, Totals};
+use crate::ledger::{BillingLine, Totals, Usage};
 
 const HEADER: [&str; 12] = [
     "PERIOD", "TENANT", "CLASS", "SHARE", "QUERIES", "BILLED", "REFUSED", "FAILED", "PARTS", "ATTEMPTS",
@@ -15,12 +15,12 @@
     columns(&rows)
 }
 
-fn row(line: &Line, sums: &Sums) -> [String; 12] {
+fn row(line: &BillingLine, sums: &Usage) -> [String; 12] {
     [
         line.period.to_string(),
         line.account.name(),
         line.class.clone(),
-        line.share.word().to_owned(),
+        line.share.as_str().to_owned(),
         sums.queries.to_string(),
         sums.billed.to_string(),
         sums.rejected.to_string(),
--- a/src/ledger/accounts.rs
+++ b/src/ledger/accounts.rs
@@ -55,7 +55,7 @@
 
 /// The key of a billing line.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Line {
+pub struct BillingLine {
     /// The period in which it is billed.
     pub period: Period,
     /// The account that is billed.
@@ -68,7 +68,7 @@
 
 /// What a billing line counts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Sums {
+pub struct Usage {
     /// Queries with a final answer.
     pub queries: u64,
     /// Queries that are billed.
@@ -89,7 +89,7 @@
     pub late: u64,
 }
 
-impl Sums {
+impl Usage {
     /// Counts an entry; `late` if its own period had closed.
     pub(super) fn add_entry(&mut self, entry: &Entry, late: bool) {
         self.queries += 1;
@@ -108,7 +108,7 @@
     }
 
     /// Adds the sums of the same line in another ledger.
-    pub(super) fn add(&mut self, other: &Sums) {
+    pub(super) fn add(&mut self, other: &Usage) {
         self.queries += other.queries;
         self.billed += other.billed;
         self.rejected += other.rejected;
@@ -122,4 +122,4 @@
 }
 
 /// Billing lines and their sums.
-pub type Totals = BTreeMap<Line, Sums>;
+pub type Totals = BTreeMap<BillingLine, Usage>;
--- a/src/ledger/book.rs
+++ b/src/ledger/book.rs
@@ -2,7 +2,7 @@
 //! order; two books that took the same records are equal. It reads no clock and no file.
 
 use super::UnixMs;
-use super::accounts::{Line, Totals, UnknownTenants};
+use super::accounts::{BillingLine, Totals, UnknownTenants};
 use super::period::{Calendar, Period};
 use super::record::{Correction, Entry, Gap, Record};
 use std::collections::BTreeMap;
@@ -166,7 +166,7 @@
         let (period, late) = self.billed_in(entry.at);
         self.last_changes.insert(period, sequence);
         let account = self.unknown_tenants.account_of(entry);
-        let line = Line { period, account, class: entry.class.clone(), share: entry.share };
+        let line = BillingLine { period, account, class: entry.class.clone(), share: entry.share };
         self.totals.entry(line).or_default().add_entry(entry, late);
     }
 
@@ -208,7 +208,7 @@
     }
 
     /// Whether a period still takes entries.
-    pub fn state(&self, period: Period) -> PeriodState {
+    pub fn period_state(&self, period: Period) -> PeriodState {
         if self.closed_periods.contains_key(&period) { PeriodState::Closed } else { PeriodState::Open }
     }
 
@@ -223,11 +223,11 @@
     }
 
     /// Periods with lines or corrections that ended at least `grace` milliseconds ago and are still open, oldest first.
-    pub fn due(&self, now: UnixMs, grace: UnixMs) -> Vec<Period> {
+    pub fn due_periods(&self, now: UnixMs, grace: UnixMs) -> Vec<Period> {
         let billed = self.totals.keys().map(|line| line.period);
         let corrected = self.corrections.iter().map(|billed| billed.billed_in);
         let is_due = |period: &Period| {
-            let is_open = self.state(*period) == PeriodState::Open;
+            let is_open = self.period_state(*period) == PeriodState::Open;
             is_open && self.calendar.end(*period).saturating_add(grace) <= now
         };
         let mut due: Vec<Period> = billed.chain(corrected).filter(is_due).collect();
--- a/src/ledger/disk.rs
+++ b/src/ledger/disk.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 
 /// A flat directory of files with two separate durability guarantees: the bytes of a file survive a power cut after
-/// [`Disk::sync`], and names (of files created, renamed or removed) after [`Disk::sync_names`].
+/// [`Disk::sync`], and names (of files created, renamed or removed) after [`Disk::sync_directory`].
 pub trait Disk {
     /// The names of all files, in any order.
     ///
@@ -41,13 +41,13 @@
     fn sync(&mut self, name: &str) -> io::Result<()>;
 
     /// Renames a file and replaces any file of the new name. It is atomic: after a crash either the old or the new file
-    /// has the name. Durable after [`Disk::sync_names`].
+    /// has the name. Durable after [`Disk::sync_directory`].
     ///
     /// # Errors
     /// There is no such file, or it cannot be renamed.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
 
-    /// Removes a file. Durable after [`Disk::sync_names`].
+    /// Removes a file. Durable after [`Disk::sync_directory`].
     ///
     /// # Errors
     /// There is no such file, or it cannot be removed.
@@ -57,7 +57,7 @@
     ///
     /// # Errors
     /// It is unknown which changes to names are durable.
-    fn sync_names(&mut self) -> io::Result<()>;
+    fn sync_directory(&mut self) -> io::Result<()>;
 }
 
 /// The file whose lock marks the owner of the directory.
@@ -154,7 +154,7 @@
         fs::remove_file(self.directory.join(name))
     }
 
-    fn sync_names(&mut self) -> io::Result<()> {
+    fn sync_directory(&mut self) -> io::Result<()> {
         File::open(&self.directory)?.sync_all()
     }
 }
--- a/src/ledger/export.rs
+++ b/src/ledger/export.rs
@@ -1,7 +1,7 @@
 //! The content of an export: the records that are billed in one period, and its manifest. [`render`](super::render)
 //! turns it into bytes.
 
-use super::accounts::{Account, Line, Sums, Totals};
+use super::accounts::{Account, BillingLine, Totals, Usage};
 use super::book::{Book, ExportRecord, SequenceRange};
 use super::record::{Correction, Entry, Record};
 use serde_json::{Value, json};
@@ -75,7 +75,7 @@
         } else {
             Account::Unknown(entry.tenant.clone())
         };
-        let line = Line { period, account, class: entry.class.clone(), share: entry.share };
+        let line = BillingLine { period, account, class: entry.class.clone(), share: entry.share };
         self.totals.entry(line).or_default().add_entry(entry, late);
         self.rows.push(BilledRow { sequence, record: BilledRecord::Entry(entry.clone()) });
     }
@@ -108,22 +108,22 @@
             "entries": entries,
             "corrections": self.rows.len() - entries,
             "sha256": hash,
-            "totals": lines(&self.totals),
+            "totals": totals_to_json(&self.totals),
         }))
     }
 }
 
 /// Billing lines as JSON objects, for manifests and the command line.
-pub fn lines(totals: &Totals) -> Vec<Value> {
+pub fn totals_to_json(totals: &Totals) -> Vec<Value> {
     totals.iter().map(line_object).collect()
 }
 
-fn line_object((line, sums): (&Line, &Sums)) -> Value {
+fn line_object((line, sums): (&BillingLine, &Usage)) -> Value {
     json!({
         "period": line.period.to_string(),
         "tenant": line.account.name(),
         "class": line.class,
-        "share": line.share.word(),
+        "share": line.share.as_str(),
         "queries": sums.queries,
         "billed": sums.billed,
         "refused": sums.rejected,
--- a/src/ledger/export_format.rs
+++ b/src/ledger/export_format.rs
@@ -24,7 +24,7 @@
 
 impl Format {
     /// Its name in the journal, which is also the extension of its files.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Format::Csv => "csv",
             Format::JsonLines => "jsonl",
@@ -33,8 +33,8 @@
     }
 
     /// The format of that name.
-    pub fn named(word: &str) -> Option<Self> {
-        [Format::Csv, Format::JsonLines, Format::Arrow].into_iter().find(|format| format.word() == word)
+    pub fn from_name(name: &str) -> Option<Self> {
+        [Format::Csv, Format::JsonLines, Format::Arrow].into_iter().find(|format| format.as_str() == name)
     }
 }
 
@@ -156,8 +156,8 @@
             served_parts: i64::from(entry.parts_served),
             attempts: i64::from(entry.attempts),
             work_milliunits: i128::from(billed_work),
-            outcome: entry.outcome.word(),
-            share: entry.share.word(),
+            outcome: entry.outcome.as_str(),
+            share: entry.share.as_str(),
             corrected_period: "",
             note: String::new(),
         }
@@ -177,9 +177,9 @@
             attempts: 0,
             work_milliunits: i128::from(correction.work),
             outcome: "correction",
-            share: correction.share.word(),
-            corrected_period: &correction.corrects,
-            note: format!("by {}: {}", correction.by, correction.why),
+            share: correction.share.as_str(),
+            corrected_period: &correction.corrected_period,
+            note: format!("by {}: {}", correction.author, correction.reason),
         }
     }
 }
--- a/src/ledger/journal/mod.rs
+++ b/src/ledger/journal/mod.rs
@@ -35,7 +35,7 @@
 
 /// The content of a segment.
 #[derive(Clone, Debug, Default)]
-pub struct Scanned {
+pub struct ScannedSegment {
     /// Its records, in order.
     pub records: Vec<ScannedRecord>,
     /// Length of the readable part, in bytes.
@@ -69,16 +69,16 @@
 ///
 /// # Errors
 /// The segment is damaged before its torn tail.
-pub fn scan(bytes: &[u8], first_sequence: u64, is_last: bool) -> Result<Scanned, Damage> {
+pub fn scan(bytes: &[u8], first_sequence: u64, is_last: bool) -> Result<ScannedSegment, Damage> {
     if let Some(kind) = header_damage(bytes, first_sequence) {
         // The header of the last segment may never have been synced; then nothing behind it was.
         let is_unsynced = bytes.len() < HEADER_BYTES || bytes.iter().all(|byte| *byte == 0);
         if is_last && is_unsynced {
-            return Ok(Scanned { torn_bytes: bytes.len(), ..Scanned::default() });
+            return Ok(ScannedSegment { torn_bytes: bytes.len(), ..ScannedSegment::default() });
         }
         return Err(Damage { offset: 0, kind });
     }
-    let mut scanned = Scanned::default();
+    let mut scanned = ScannedSegment::default();
     let mut offset = HEADER_BYTES;
     let mut sequence = first_sequence;
     while offset < bytes.len() {
--- a/src/ledger/journal/record.rs
+++ b/src/ledger/journal/record.rs
@@ -80,9 +80,9 @@
     put_text(into, &correction.id);
     put_text(into, &correction.tenant);
     put_text(into, &correction.class);
-    put_text(into, &correction.corrects);
-    put_text(into, &correction.by);
-    put_text(into, &correction.why);
+    put_text(into, &correction.corrected_period);
+    put_text(into, &correction.author);
+    put_text(into, &correction.reason);
     into.push(correction.share as u8);
     put_signed(into, correction.queries);
     put_signed(into, correction.parts);
@@ -145,9 +145,9 @@
         id: fields.text()?,
         tenant: fields.text()?,
         class: fields.text()?,
-        corrects: fields.text()?,
-        by: fields.text()?,
-        why: fields.text()?,
+        corrected_period: fields.text()?,
+        author: fields.text()?,
+        reason: fields.text()?,
         share: fields.share()?,
         queries: fields.signed()?,
         parts: fields.signed()?,
--- a/src/ledger/metrics.rs
+++ b/src/ledger/metrics.rs
@@ -55,8 +55,8 @@
         let labels = Labels {
             tenant: tenant.to_owned(),
             class: entry.class.clone(),
-            share: entry.share.word(),
-            outcome: entry.outcome.word(),
+            share: entry.share.as_str(),
+            outcome: entry.outcome.as_str(),
         };
         self.queries.get_or_create(&labels).inc();
         if entry.outcome.is_billed() {
--- a/src/ledger/mod.rs
+++ b/src/ledger/mod.rs
@@ -28,21 +28,21 @@
 mod request;
 mod writer;
 
-pub use accounts::{Account, Line, Sums, Totals};
+pub use accounts::{Account, BillingLine, Totals, Usage};
 pub use book::{BilledCorrection, Book, BookPosition, ExportRecord, PeriodState, RecordedGap, SequenceRange};
 pub use disk::{Disk, RealDisk};
 pub use error::LedgerError;
-pub use export::{Export, Manifest, lines};
+pub use export::{Export, Manifest, totals_to_json};
 pub use export_format::{Format, RenderError, render};
 pub use metrics::TenantMetrics;
 pub use options::{Options, Recovery};
 pub use period::{Calendar, ParsePeriodError, Period, UnknownTimeZone};
 pub use price::{ClassPrices, PriceList};
-pub use reconcile::{Ledger, Reconciled, reconcile};
+pub use reconcile::{Ledger, Reconciliation, reconcile};
 pub use record::{Correction, Entry, Gap, Outcome, QuotaShare, Record};
-pub use request::{Reply, Request, RequestError, RequestOutcome, reply_name, request_name};
+pub use request::{Reply, Request, RequestError, RequestOutcome, reply_file_name, request_file_name};
 pub use store::{Store, read_all};
-pub use writer::{Intake, LedgerEvent, LedgerHandle, NumberedRecord, Writer, queue};
+pub use writer::{LedgerEvent, LedgerHandle, NumberedRecord, QueueReceiver, Writer, queue};
 
 /// Unix time in milliseconds.
 pub type UnixMs = i64;
--- a/src/ledger/options.rs
+++ b/src/ledger/options.rs
@@ -29,7 +29,7 @@
     /// Records read behind the newest snapshot.
     pub records: u64,
     /// Bytes of a torn tail that were cut off.
-    pub torn: usize,
+    pub torn_bytes: usize,
     /// Exports that a crash had interrupted and that are complete now.
-    pub finished: usize,
+    pub completed_exports: usize,
 }
--- a/src/ledger/reconcile.rs
+++ b/src/ledger/reconcile.rs
@@ -14,7 +14,7 @@
 
 /// The sum of several ledgers, and what is missing or contradictory in them.
 #[derive(Clone, Debug, Default)]
-pub struct Reconciled {
+pub struct Reconciliation {
     /// All billing lines together.
     pub totals: Totals,
     /// Number of entries in all ledgers.
@@ -32,7 +32,7 @@
     pub overlaps: Vec<String>,
 }
 
-impl Reconciled {
+impl Reconciliation {
     /// Whether the totals are proven to be complete: no gap was recorded and no two ledgers are of one aggregator.
     pub fn is_complete(&self) -> bool {
         self.gaps.is_empty() && self.overlaps.is_empty()
@@ -42,7 +42,7 @@
 /// The ledger of one aggregator, as it was read.
 pub struct Ledger {
     /// The directory, for messages.
-    pub place: String,
+    pub directory: String,
     /// The state after all its records.
     pub book: Book,
     /// Its records with their sequence numbers; only entries are compared.
@@ -57,8 +57,8 @@
 }
 
 /// Compares ledgers and adds them up.
-pub fn reconcile(ledgers: &[Ledger]) -> Reconciled {
-    let mut reconciler = Reconciler { ledgers, sightings: HashMap::new(), result: Reconciled::default() };
+pub fn reconcile(ledgers: &[Ledger]) -> Reconciliation {
+    let mut reconciler = Reconciler { ledgers, sightings: HashMap::new(), result: Reconciliation::default() };
     reconciler.find_overlaps();
     for (index, ledger) in ledgers.iter().enumerate() {
         reconciler.add_totals(&ledger.book);
@@ -72,7 +72,7 @@
     ledgers: &'a [Ledger],
     /// The last ledger in which each query was found.
     sightings: HashMap<&'a str, Sighting>,
-    result: Reconciled,
+    result: Reconciliation,
 }
 
 impl<'a> Reconciler<'a> {
@@ -80,7 +80,7 @@
         let mut places: HashMap<&str, &str> = HashMap::new();
         for ledger in self.ledgers {
             let aggregator = ledger.book.position().aggregator;
-            let place = &ledger.place;
+            let place = &ledger.directory;
             if let Some(other) = places.insert(aggregator, place) {
                 self.result.overlaps.push(format!("{other} and {place} are both {aggregator}'s"));
             }
@@ -132,8 +132,8 @@
         let apart = (other.at - entry.at).abs();
         if apart > CLOCK_TOLERANCE_MS {
             let query = &entry.query;
-            let other_place = &self.ledgers[other.ledger].place;
-            let place = &self.ledgers[index].place;
+            let other_place = &self.ledgers[other.ledger].directory;
+            let place = &self.ledgers[index].directory;
             self.report_clock(format!("{query}: {other_place} and {place} saw it {apart} ms apart"));
         }
     }
--- a/src/ledger/record.rs
+++ b/src/ledger/record.rs
@@ -37,7 +37,7 @@
     }
 
     /// The name in exports, metric labels and command output.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Outcome::Complete => "whole",
             Outcome::Partial => "partial",
@@ -60,7 +60,7 @@
 
 impl QuotaShare {
     /// The name in exports, metric labels and command output.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             QuotaShare::WithinQuota => "within",
             QuotaShare::OverQuota => "beyond",
@@ -134,7 +134,7 @@
     /// The query class.
     pub class: String,
     /// The period that was billed wrongly, as `2026-11`; it may be closed, and does not change.
-    pub corrects: String,
+    pub corrected_period: String,
     /// Within the tenant's quota or beyond it.
     pub share: QuotaShare,
     /// Added to the queries billed.
@@ -144,9 +144,9 @@
     /// Added to the work billed, in thousandths of a unit.
     pub work: i64,
     /// Who made it.
-    pub by: String,
+    pub author: String,
     /// Why it was made.
-    pub why: String,
+    pub reason: String,
 }
 
 /// A record of the journal.
@@ -234,8 +234,8 @@
         entry.attempts,
         entry.work / 1000,
         entry.work % 1000,
-        entry.outcome.word(),
-        entry.share.word()
+        entry.outcome.as_str(),
+        entry.share.as_str()
     )
 }
 
@@ -243,11 +243,11 @@
     write!(
         f,
         "correct  {} {} {}: {:+} queries, by {}: {}",
-        correction.corrects,
+        correction.corrected_period,
         correction.tenant,
         correction.class,
         correction.queries,
-        correction.by,
-        correction.why
+        correction.author,
+        correction.reason
     )
 }
--- a/src/ledger/request.rs
+++ b/src/ledger/request.rs
@@ -72,12 +72,12 @@
 }
 
 /// The name of a request's file; `id` must be unique in the directory.
-pub fn request_name(id: &str) -> String {
+pub fn request_file_name(id: &str) -> String {
     format!("{REQUEST_PREFIX}{id}{REQUEST_SUFFIX}")
 }
 
 /// The name of the file with the reply to a request.
-pub fn reply_name(id: &str) -> String {
+pub fn reply_file_name(id: &str) -> String {
     format!("reply-{id}.json")
 }
 
@@ -100,17 +100,17 @@
                 "id": correction.id,
                 "tenant": correction.tenant,
                 "class": correction.class,
-                "corrects": correction.corrects,
+                "corrects": correction.corrected_period,
                 "beyond": correction.share == QuotaShare::OverQuota,
                 "queries": correction.queries,
                 "parts": correction.parts,
                 "work": correction.work,
-                "by": correction.by,
-                "why": correction.why,
+                "by": correction.author,
+                "why": correction.reason,
             }),
             Request::Close(period) => json!({ "do": "close", "period": period.to_string() }),
             Request::Export(period, format) => {
-                json!({ "do": "export", "period": period.to_string(), "format": format.word() })
+                json!({ "do": "export", "period": period.to_string(), "format": format.as_str() })
             }
         };
         format!("{object}\n")
@@ -128,7 +128,7 @@
             "close" => Ok(Request::Close(fields.text("period")?.parse()?)),
             "export" => {
                 let name = fields.text("format")?;
-                let format = Format::named(&name).ok_or(RequestError::UnknownFormat(name))?;
+                let format = Format::from_name(&name).ok_or(RequestError::UnknownFormat(name))?;
                 Ok(Request::Export(fields.text("period")?.parse()?, format))
             }
             other => Err(RequestError::UnknownRequest(other.to_owned())),
@@ -157,13 +157,13 @@
             id: self.text("id")?,
             tenant: self.text("tenant")?,
             class: self.text("class")?,
-            corrects: self.text("corrects")?,
+            corrected_period: self.text("corrects")?,
             share: if self.0["beyond"] == true { QuotaShare::OverQuota } else { QuotaShare::WithinQuota },
             queries: self.number("queries")?,
             parts: self.number("parts")?,
             work: self.number("work")?,
-            by: self.text("by")?,
-            why: self.text("why")?,
+            author: self.text("by")?,
+            reason: self.text("why")?,
         })
     }
 }
--- a/src/ledger/store/compaction.rs
+++ b/src/ledger/store/compaction.rs
@@ -38,7 +38,7 @@
             self.book.exports().iter().any(|export| export.period == period && export.is_finished())
         };
         let is_unfinished =
-            |period: &Period| self.book.state(*period) == PeriodState::Open || !is_exported(period);
+            |period: &Period| self.book.period_state(*period) == PeriodState::Open || !is_exported(period);
         let periods = self.book.totals().keys().map(|line| line.period);
         periods.filter(is_unfinished).collect()
     }
--- a/src/ledger/store/exports.rs
+++ b/src/ledger/store/exports.rs
@@ -30,7 +30,7 @@
         if let Some(interrupted) = interrupted {
             self.complete_export(&interrupted, now)?;
         }
-        let Some(begun) = self.book.next_export(period, format.word()) else {
+        let Some(begun) = self.book.next_export(period, format.as_str()) else {
             return Ok(None);
         };
         let SequenceRange { after, up_to } = begun.range;
@@ -61,7 +61,7 @@
     /// Writes an export whose intent is in the journal: the file, its manifest, and the record that it is done.
     fn complete_export(&mut self, begun: &ExportRecord, now: UnixMs) -> Result<(), LedgerError> {
         let content = self.export_content(begun)?;
-        let Some(format) = Format::named(&begun.format) else {
+        let Some(format) = Format::from_name(&begun.format) else {
             return Err(LedgerError::UnknownFormat(begun.format.clone()));
         };
         let bytes = render(&content, format)?;
--- a/src/ledger/store/mod.rs
+++ b/src/ledger/store/mod.rs
@@ -61,11 +61,11 @@
         let mut recovery = Recovery { records: loaded.records, ..Recovery::default() };
         store.remove_temporary_files()?;
         if let Some(last) = loaded.last_segment {
-            recovery.torn = last.torn_bytes;
+            recovery.torn_bytes = last.torn_bytes;
             store.adopt_segment(last)?;
         }
         store.begin_run(aggregator, now)?;
-        recovery.finished = store.complete_interrupted_exports(now)?;
+        recovery.completed_exports = store.complete_interrupted_exports(now)?;
         Ok((store, recovery))
     }
 
@@ -107,7 +107,7 @@
     /// # Errors
     /// The disk failed, or the period is not over or is closed already.
     pub fn close(&mut self, period: Period, now: UnixMs) -> Result<(), LedgerError> {
-        if self.book.state(period) == PeriodState::Closed {
+        if self.book.period_state(period) == PeriodState::Closed {
             return Err(LedgerError::PeriodClosed(period));
         }
         if self.book.calendar().end(period) > now {
@@ -122,10 +122,10 @@
     /// # Errors
     /// The disk failed, or the correction lacks an author, a reason or a valid period.
     pub fn correct(&mut self, correction: Correction) -> Result<(), LedgerError> {
-        if correction.by.trim().is_empty() || correction.why.trim().is_empty() {
+        if correction.author.trim().is_empty() || correction.reason.trim().is_empty() {
             return Err(LedgerError::CorrectionWithoutReason);
         }
-        correction.corrects.parse::<Period>()?;
+        correction.corrected_period.parse::<Period>()?;
         self.append(&[Record::Correction(correction)])?;
         self.commit()
     }
@@ -134,7 +134,7 @@
     ///
     /// # Errors
     /// The disk failed.
-    pub fn gap(&mut self, gap: Gap) -> Result<(), LedgerError> {
+    pub fn record_gap(&mut self, gap: Gap) -> Result<(), LedgerError> {
         self.append(&[Record::Gap(gap)])
     }
 
@@ -142,7 +142,7 @@
     ///
     /// # Errors
     /// The disk failed: then the next run records that entries may be missing.
-    pub fn end(&mut self, now: UnixMs) -> Result<(), LedgerError> {
+    pub fn end_run(&mut self, now: UnixMs) -> Result<(), LedgerError> {
         self.append(&[Record::End { at: now }])?;
         self.commit()
     }
--- a/src/ledger/store/recovery.rs
+++ b/src/ledger/store/recovery.rs
@@ -3,7 +3,7 @@
 use super::super::book::Book;
 use super::super::disk::Disk;
 use super::super::error::LedgerError;
-use super::super::journal::{self, Damage, DamageKind, Scanned, ScannedRecord};
+use super::super::journal::{self, Damage, DamageKind, ScannedRecord, ScannedSegment};
 use super::super::period::Calendar;
 use super::super::record::Record;
 use super::{file_names, snapshot};
@@ -93,7 +93,7 @@
     name: &str,
     first: u64,
     is_last: bool,
-) -> Result<Scanned, LedgerError> {
+) -> Result<ScannedSegment, LedgerError> {
     let bytes = disk.read(name)?;
     journal::scan(&bytes, first, is_last)
         .map_err(|damage| LedgerError::Damaged { file: name.to_owned(), damage })
@@ -125,7 +125,7 @@
 }
 
 /// Records that are in no file: between the book and a segment, or between that segment and the next.
-fn missing_records(scanned: &Scanned, taken: u64, first: u64, next: Option<u64>) -> Option<Damage> {
+fn missing_records(scanned: &ScannedSegment, taken: u64, first: u64, next: Option<u64>) -> Option<Damage> {
     if first > taken + 1 {
         let kind = DamageKind::MissingBefore { first: taken + 1, last: first - 1 };
         return Some(Damage { offset: 0, kind });
--- a/src/ledger/store/requests.rs
+++ b/src/ledger/store/requests.rs
@@ -5,7 +5,7 @@
 use super::super::error::LedgerError;
 use super::super::record::Correction;
 use super::super::request::{
-    Reply, Request, RequestError, RequestOutcome, reply_name, request_id, request_name,
+    Reply, Request, RequestError, RequestOutcome, reply_file_name, request_file_name, request_id,
 };
 use super::Store;
 
@@ -56,10 +56,10 @@
         let names = self.disk.list()?;
         let ids: Vec<&str> = names.iter().filter_map(|name| request_id(name)).take(MAX_REQUESTS).collect();
         for id in &ids {
-            let bytes = self.disk.read(&request_name(id))?;
+            let bytes = self.disk.read(&request_file_name(id))?;
             let reply = self.reply_to(bytes, now)?;
-            self.place_file(&reply_name(id), reply.to_json().as_bytes())?;
-            self.disk.remove(&request_name(id))?;
+            self.place_file(&reply_file_name(id), reply.to_json().as_bytes())?;
+            self.disk.remove(&request_file_name(id))?;
         }
         Ok(ids.len())
     }
--- a/src/ledger/store/segments.rs
+++ b/src/ledger/store/segments.rs
@@ -106,7 +106,7 @@
         let name = file_names::segment(first_sequence);
         // A crash or a failed write may have left a file of that name, with no synced record in it.
         self.write_file(&name, &journal::segment_header(first_sequence))?;
-        self.disk.sync_names()?;
+        self.disk.sync_directory()?;
         self.segment = ActiveSegment { name, length: journal::HEADER_BYTES, synced: journal::HEADER_BYTES };
         Ok(())
     }
@@ -125,6 +125,6 @@
         let temporary = file_names::temporary(name);
         self.write_file(&temporary, bytes)?;
         self.disk.rename(&temporary, name)?;
-        Ok(self.disk.sync_names()?)
+        Ok(self.disk.sync_directory()?)
     }
 }
--- a/src/ledger/store/snapshot.rs
+++ b/src/ledger/store/snapshot.rs
@@ -1,7 +1,7 @@
 //! The binary format of a snapshot: the book after some record, with a checksum in front. A damaged snapshot is skipped:
 //! an older one, or the records themselves, take its place.
 
-use super::super::accounts::{Account, Line, Sums};
+use super::super::accounts::{Account, BillingLine, Usage};
 use super::super::book::{BilledCorrection, Book, ExportRecord, RecordedGap, SequenceRange};
 use super::super::journal::{self, FieldReader, put_bytes, put_number, put_signed, put_text, read_frame};
 use super::super::period::Calendar;
@@ -84,7 +84,7 @@
     Some(())
 }
 
-fn encode_line(into: &mut Vec<u8>, line: &Line) {
+fn encode_line(into: &mut Vec<u8>, line: &BillingLine) {
     put_text(into, &line.period.to_string());
     let (kind, name) = match &line.account {
         Account::Tenant(name) => (account_kind::TENANT, name.as_str()),
@@ -97,7 +97,7 @@
     into.push(line.share as u8);
 }
 
-fn decode_line(fields: &mut FieldReader<'_>) -> Option<Line> {
+fn decode_line(fields: &mut FieldReader<'_>) -> Option<BillingLine> {
     let period = fields.text()?.parse().ok()?;
     let kind = fields.byte()?;
     let name = fields.text()?;
@@ -108,10 +108,10 @@
     };
     let class = fields.text()?;
     let share = fields.share()?;
-    Some(Line { period, account, class, share })
+    Some(BillingLine { period, account, class, share })
 }
 
-fn encode_sums(into: &mut Vec<u8>, sums: &Sums) {
+fn encode_sums(into: &mut Vec<u8>, sums: &Usage) {
     put_number(into, sums.queries);
     put_number(into, sums.billed);
     put_number(into, sums.rejected);
@@ -124,8 +124,8 @@
 }
 
 /// The fields of the literal are evaluated in the order in which they are written, which is the stored order.
-fn decode_sums(fields: &mut FieldReader<'_>) -> Option<Sums> {
-    Some(Sums {
+fn decode_sums(fields: &mut FieldReader<'_>) -> Option<Usage> {
+    Some(Usage {
         queries: fields.number()?,
         billed: fields.number()?,
         rejected: fields.number()?,
--- a/src/ledger/writer/mod.rs
+++ b/src/ledger/writer/mod.rs
@@ -8,7 +8,7 @@
 mod timers;
 
 pub use event::LedgerEvent;
-pub use queue::{Intake, LedgerHandle, NumberedRecord, queue};
+pub use queue::{LedgerHandle, NumberedRecord, QueueReceiver, queue};
 
 use super::UnixMs;
 use super::book::ExportRecord;
@@ -77,13 +77,13 @@
 
     /// Runs until the [`LedgerHandle`] is dropped, commits what was enqueued and ends the run. `now` reads the wall
     /// clock.
-    pub fn run(mut self, intake: Intake, now: impl Fn() -> UnixMs) -> Store<D> {
+    pub fn run(mut self, intake: QueueReceiver, now: impl Fn() -> UnixMs) -> Store<D> {
         let mut timers = Timers::new();
         loop {
             let wake_at = timers.next_wake(self.failed_at.map(|failed_at| failed_at + RETRY_INTERVAL));
             match intake.receive(wake_at) {
                 Received::Record(record) => {
-                    self.take_all(record, &intake);
+                    self.accept_all(record, &intake);
                     timers.schedule_commit(self.commit_interval);
                 }
                 Received::Nothing => {}
@@ -105,12 +105,12 @@
     }
 
     /// Takes a record and all others that are in the queue, up to the bound.
-    fn take_all(&mut self, first: NumberedRecord, intake: &Intake) {
-        self.take(first);
+    fn accept_all(&mut self, first: NumberedRecord, intake: &QueueReceiver) {
+        self.accept(first);
         while self.pending.len() < MAX_PENDING_RECORDS
             && let Some(next) = intake.try_receive()
         {
-            self.take(next);
+            self.accept(next);
         }
     }
 
@@ -124,14 +124,14 @@
 
     fn finish(mut self, now: UnixMs) -> Store<D> {
         self.flush();
-        if let Err(error) = self.store.end(now) {
+        if let Err(error) = self.store.end_run(now) {
             self.report_failure(&error);
         }
         self.store
     }
 
     /// Holds a record until it is durable; beyond the bound it is lost.
-    pub fn take(&mut self, numbered: NumberedRecord) {
+    pub fn accept(&mut self, numbered: NumberedRecord) {
         self.newest = numbered.number;
         if self.pending.len() < MAX_PENDING_RECORDS {
             self.pending.push_back(numbered);
@@ -172,7 +172,7 @@
             self.appended += group.len();
         }
         if let Some(gap) = self.lost.gap() {
-            self.store.gap(gap.clone())?;
+            self.store.record_gap(gap.clone())?;
         }
         self.store.commit()?;
         for numbered in self.pending.drain(..) {
@@ -199,7 +199,7 @@
 
     /// Closes the periods that are due, exports them if that is configured, and compacts the ledger.
     pub fn close_due_periods(&mut self, now: UnixMs) {
-        for period in self.store.book().due(now, self.grace_ms) {
+        for period in self.store.book().due_periods(now, self.grace_ms) {
             match self.close_and_export(period, now) {
                 Ok(Some(export)) => (self.emit)(LedgerEvent::ExportFinished(export.name)),
                 Ok(None) => {}
--- a/src/ledger/writer/queue.rs
+++ b/src/ledger/writer/queue.rs
@@ -28,7 +28,7 @@
 }
 
 /// The end of the queue where the ledger's thread takes entries.
-pub struct Intake {
+pub struct QueueReceiver {
     receiver: Receiver<NumberedRecord>,
 }
 
@@ -42,10 +42,10 @@
 }
 
 /// A queue from the event loop to the ledger's thread.
-pub fn queue() -> (LedgerHandle, Intake) {
+pub fn queue() -> (LedgerHandle, QueueReceiver) {
     let (sender, receiver) = sync_channel(QUEUE_RECORDS);
     let handle = LedgerHandle { sender, newest: 0, lost: LostEntries::default() };
-    (handle, Intake { receiver })
+    (handle, QueueReceiver { receiver })
 }
 
 impl LedgerHandle {
@@ -71,7 +71,7 @@
     }
 }
 
-impl Intake {
+impl QueueReceiver {
     /// The next record, waiting for it until a deadline.
     pub(super) fn receive(&self, deadline: Instant) -> Received {
         let wait = deadline.saturating_duration_since(Instant::now());
--- a/src/net/ledger_writer.rs
+++ b/src/net/ledger_writer.rs
@@ -68,8 +68,8 @@
         info!(
             dir = directory,
             records = recovery.records,
-            torn = recovery.torn,
-            exports_finished = recovery.finished,
+            torn = recovery.torn_bytes,
+            exports_finished = recovery.completed_exports,
             "ledger opened"
         );
         let (entries, intake) = queue();
--- a/tests/common/faulty.rs
+++ b/tests/common/faulty.rs
@@ -165,7 +165,7 @@
         self.0.borrow_mut().names.remove(name).map(drop).ok_or_else(|| ErrorKind::NotFound.into())
     }
 
-    fn sync_names(&mut self) -> io::Result<()> {
+    fn sync_directory(&mut self) -> io::Result<()> {
         self.step()?;
         let mut state = self.0.borrow_mut();
         state.synced_names = state.names.clone();
--- a/tests/ledger.rs
+++ b/tests/ledger.rs
@@ -40,13 +40,13 @@
         id: id.to_owned(),
         tenant: "lanyang-law".to_owned(),
         class: "envelope-search".to_owned(),
-        corrects: "2026-11".to_owned(),
+        corrected_period: "2026-11".to_owned(),
         share: QuotaShare::WithinQuota,
         queries: -1,
         parts: -3,
         work: -3000,
-        by: by.to_owned(),
-        why: "counted for a test of ours".to_owned(),
+        author: by.to_owned(),
+        reason: "counted for a test of ours".to_owned(),
     }
 }
 
@@ -118,7 +118,7 @@
         }
     }
     let december = NOVEMBER + 20 * DAY;
-    for period in store.book().due(december, 0) {
+    for period in store.book().due_periods(december, 0) {
         store.close(period, december)?;
     }
     for period in ["2026-11", "2026-12"] {
@@ -256,7 +256,7 @@
         let mut take = |writer: &mut Writer<_, _>, n: u64| {
             number += 1;
             let record = Record::Entry(entry(n, NOVEMBER + n as UnixMs));
-            writer.take(NumberedRecord { number, record });
+            writer.accept(NumberedRecord { number, record });
         };
         take(&mut writer, 0);
         writer.flush();
@@ -301,12 +301,12 @@
     assert_eq!(end, 1_796_054_400_000, "midnight in Taipei, 16:00 in UTC");
     store.append(&[Record::Entry(entry(0, end - 1)), Record::Entry(entry(1, end))]).expect("written");
     assert!(store.close(november, end - 1).is_err(), "it is not over");
-    assert_eq!(store.book().due(end + 999, 1000), []);
-    assert_eq!(store.book().due(end + 1000, 1000), [november]);
+    assert_eq!(store.book().due_periods(end + 999, 1000), []);
+    assert_eq!(store.book().due_periods(end + 1000, 1000), [november]);
     store.close(november, end + 1000).expect("closed");
     assert!(store.close(november, end + 1000).is_err(), "closed already");
     let sum = |store: &Store<FaultyDisk>, period: &str| -> (u64, u64) {
-        let of = |l: &Line| l.period.to_string() == period;
+        let of = |l: &BillingLine| l.period.to_string() == period;
         store
             .book()
             .totals()
@@ -358,7 +358,7 @@
         let mut store = start();
         store.append(&[Record::Entry(entry(1, NOVEMBER + 5))]).expect("written");
         if ends {
-            store.end(NOVEMBER + 6).expect("ended");
+            store.end_run(NOVEMBER + 6).expect("ended");
         }
         drop(store);
         let store = start();
@@ -392,11 +392,11 @@
         let texts =
             [correction_request("c1"), Request::Export(november, Format::Csv).to_json(), "{}".to_owned()];
         for (i, text) in texts.iter().enumerate() {
-            let name = request_name(&format!("r{i}"));
+            let name = request_file_name(&format!("r{i}"));
             handle.append(&name, text.as_bytes()).expect("left");
             handle.sync(&name).expect("synced");
         }
-        handle.sync_names().expect("synced");
+        handle.sync_directory().expect("synced");
         disk
     };
     let process = |disk: &FaultyDisk| {
@@ -422,7 +422,8 @@
             let names = disk.list().expect("names");
             assert!(!names.iter().any(|n| n.starts_with("request-")), "{stop} {down:?}: {names:?}");
             let reply = |i: usize| {
-                String::from_utf8(disk.read(&reply_name(&format!("r{i}"))).expect("there")).expect("text")
+                String::from_utf8(disk.read(&reply_file_name(&format!("r{i}"))).expect("there"))
+                    .expect("text")
             };
             assert!(
                 reply(0).contains("billed in 2026-11") && reply(2).contains("refused"),
@@ -454,7 +455,7 @@
         }
         let mut records = Vec::new();
         let book = read_all(&disk, &calendar(), |seq, r, _| records.push((seq, r.clone()))).expect("whole");
-        Ledger { place: aggregator.to_owned(), book, records }
+        Ledger { directory: aggregator.to_owned(), book, records }
     };
     let found = reconcile(&[make("n1", 0, 50, 0), make("n2", 50, 80, 0)]);
     assert!(found.is_complete() && found.entries == 80 && found.duplicate_count == 0);
@@ -510,6 +511,6 @@
         let (again, found) = open(&disk.after(Down::Power(0)), NOVEMBER).expect("opened");
         prop_assert!(found.records <= 20, "the snapshot was not used: {} records", found.records);
         prop_assert_eq!(again.book().totals(), all.totals());
-        prop_assert_eq!(again.book().due(NOVEMBER + 100 * DAY, 0), all.due(NOVEMBER + 100 * DAY, 0));
+        prop_assert_eq!(again.book().due_periods(NOVEMBER + 100 * DAY, 0), all.due_periods(NOVEMBER + 100 * DAY, 0));
     }
 }
--- a/tests/stored_formats.rs
+++ b/tests/stored_formats.rs
@@ -10,9 +10,9 @@
     StoredOverrides, snapshot,
 };
 use sailmux::ledger::{
-    Account, BilledCorrection, BookPosition, Calendar, Correction, Entry, ExportRecord, Format, Gap, Line,
-    Options, Outcome, Period, PeriodState, QuotaShare, RealDisk, Record, RecordedGap, Request, SequenceRange,
-    Store, Sums, Totals, journal, read_all, reply_name, request_name,
+    Account, BilledCorrection, BillingLine, BookPosition, Calendar, Correction, Entry, ExportRecord, Format,
+    Gap, Options, Outcome, Period, PeriodState, QuotaShare, RealDisk, Record, RecordedGap, Request,
+    SequenceRange, Store, Totals, Usage, journal, read_all, reply_file_name, request_file_name,
 };
 use serde_json::{Value, json};
 use std::fs;
@@ -196,13 +196,13 @@
         id: format!("id-{number}"),
         tenant: "acme".to_owned(),
         class: "c".to_owned(),
-        corrects: "2026-10".to_owned(),
+        corrected_period: "2026-10".to_owned(),
         share: if number % 2 == 0 { QuotaShare::OverQuota } else { QuotaShare::WithinQuota },
         queries: -number,
         parts: 300 * number,
         work: -70_000 * number,
-        by: "ops".to_owned(),
-        why: format!("ticket {number}, \"twice\""),
+        author: "ops".to_owned(),
+        reason: format!("ticket {number}, \"twice\""),
     }
 }
 
@@ -293,8 +293,8 @@
 
 // ---- Ledger: snapshot -------------------------------------------------------------------------------------------
 
-fn line(of: &str, account: Account, class: &str, share: QuotaShare) -> Line {
-    Line { period: period(of), account, class: class.to_owned(), share }
+fn line(of: &str, account: Account, class: &str, share: QuotaShare) -> BillingLine {
+    BillingLine { period: period(of), account, class: class.to_owned(), share }
 }
 
 /// Totals of records 1 to 33.
@@ -303,7 +303,7 @@
     let zoe = Account::Tenant("zo\u{eb}, \"b\"".to_owned());
     let unknown = |name: &str| Account::Unknown(name.to_owned());
     // Queries, billed, rejected, failed, requested parts, parts, attempts, work, late.
-    let sums = |[queries, billed, rejected, failed, asked, parts, attempts, work, late]: [u64; 9]| Sums {
+    let sums = |[queries, billed, rejected, failed, asked, parts, attempts, work, late]: [u64; 9]| Usage {
         queries,
         billed,
         rejected,
@@ -364,8 +364,8 @@
         [RecordedGap { sequence: 8, gap: gap() }, RecordedGap { sequence: 35, gap: gap_of_run() }]
     );
     assert_eq!(book.exports(), [begun(0), begun(1), begun(2)]);
-    assert_eq!(book.state(november), PeriodState::Closed);
-    assert_eq!(book.state(period("2026-12")), PeriodState::Open);
+    assert_eq!(book.period_state(november), PeriodState::Closed);
+    assert_eq!(book.period_state(period("2026-12")), PeriodState::Open);
     // The last change of each period: none in November since its last export, one in December.
     assert_eq!(book.next_export(november, "csv"), None);
     let next = ExportRecord {
@@ -550,7 +550,7 @@
         let disk = RealDisk::own(&dir).expect("owned");
         let (_, recovery) =
             Store::open(disk, calendar(), Options::default(), "n0", DECEMBER).expect("opened");
-        assert_eq!(recovery.finished, 1, "{name}");
+        assert_eq!(recovery.completed_exports, 1, "{name}");
         for file in [format!("{name}.{format}"), format!("{name}.manifest.json")] {
             let made = fs::read(dir.join(&file)).expect("written");
             assert!(made == bytes(&format!("ledger/{file}")), "{file}: other bytes than the stored ones");
@@ -654,13 +654,13 @@
         id: "id-5".to_owned(),
         tenant: "zo\u{eb}, \"b\"".to_owned(),
         class: "slow".to_owned(),
-        corrects: "2026-11".to_owned(),
+        corrected_period: "2026-11".to_owned(),
         share: QuotaShare::OverQuota,
         queries: -5,
         parts: 6,
         work: -7000,
-        by: "ops".to_owned(),
-        why: "line 1\nline 2".to_owned(),
+        author: "ops".to_owned(),
+        reason: "line 1\nline 2".to_owned(),
     };
     [
         ("1", Request::Correct(made)),
@@ -673,7 +673,7 @@
 #[test]
 fn request_files_decode_and_reencode() {
     for (id, request) in requests_of() {
-        let stored = text(&format!("requests/{}", request_name(id)));
+        let stored = text(&format!("requests/{}", request_file_name(id)));
         assert_eq!(Request::from_json(&stored, NOW), Ok(request.clone()), "{id}");
         assert_eq!(request.to_json(), stored, "{id}");
     }
@@ -683,15 +683,16 @@
 fn stored_requests_are_done_by_the_store_with_the_stored_replies() {
     let dir = whole_ledger();
     for (id, _) in requests_of() {
-        fs::copy(stored("requests").join(request_name(id)), dir.join(request_name(id))).expect("copied");
+        fs::copy(stored("requests").join(request_file_name(id)), dir.join(request_file_name(id)))
+            .expect("copied");
     }
     let disk = RealDisk::own(&dir).expect("owned");
     let mut store = Store::open(disk, calendar(), Options::default(), "n0", NOW).expect("opened").0;
     assert_eq!(store.process_requests(NOW).expect("done"), 4);
     for (id, request) in requests_of() {
-        let reply = fs::read_to_string(dir.join(reply_name(id))).expect("a reply");
-        assert_eq!(reply, text(&format!("requests/{}", reply_name(id))), "{id}");
-        assert!(!dir.join(request_name(id)).exists(), "request {id} is removed");
+        let reply = fs::read_to_string(dir.join(reply_file_name(id))).expect("a reply");
+        assert_eq!(reply, text(&format!("requests/{}", reply_file_name(id))), "{id}");
+        assert!(!dir.join(request_file_name(id)).exists(), "request {id} is removed");
         if let Request::Correct(correction) = request {
             let of = |made: &BilledCorrection| (made.billed_in, made.correction.clone());
             let made: Vec<_> = store.book().corrections().iter().map(of).collect();
@@ -738,11 +739,11 @@
             assert!(Instant::now() < end, "no request came");
             sleep(Duration::from_millis(5));
         };
-        let request = fs::read_to_string(dir.join(request_name(&id))).expect("a request");
+        let request = fs::read_to_string(dir.join(request_file_name(&id))).expect("a request");
         assert_eq!(request, text("requests/request-4.json"));
         let whole = dir.join("reply.tmp");
-        fs::write(&whole, bytes(&format!("requests/{}", reply_name(reply)))).expect("written");
-        fs::rename(&whole, dir.join(reply_name(&id))).expect("renamed");
+        fs::write(&whole, bytes(&format!("requests/{}", reply_file_name(reply)))).expect("written");
+        fs::rename(&whole, dir.join(reply_file_name(&id))).expect("renamed");
         let output = command.wait_with_output().expect("it ends");
         let problem = String::from_utf8(output.stderr.clone()).expect("UTF-8");
         match words {
