--- a/src/ledger/accounts.rs
+++ b/src/ledger/accounts.rs
@@ -1,25 +1,25 @@
-//! Billing lines: whose use is counted, under which key, and the sums of it.
+//! Billing lines: the accounts that queries are billed to, the keys under which usage is summed, and the sums.
 
 use super::period::Period;
 use super::record::{Entry, Outcome, QuotaShare};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Unknown tenant names that get an account of their own; all others share one.
+/// Maximum number of unknown tenant names with an account of their own; all further names share one.
 const MAX_UNKNOWN_TENANTS: usize = 1000;
 
-/// Whose use a line counts.
+/// The account that a query is billed to.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Account {
-    /// A tenant that the settings know.
+    /// A configured tenant.
     Tenant(String),
-    /// A tenant name that the settings do not know.
+    /// A tenant name that is not configured; empty if the client sent none.
     Unknown(String),
-    /// All unknown names beyond the bound.
+    /// All unknown tenant names beyond the maximum number of accounts.
     Others,
 }
 
 impl Account {
-    /// The name under which exports and commands print the account.
+    /// The account's name in manifests and command output.
     pub fn name(&self) -> String {
         match self {
             Account::Tenant(name) => name.clone(),
@@ -30,14 +30,15 @@
     }
 }
 
-/// Unknown tenant names with an account of their own: bounded, since clients choose the names.
+/// Unknown tenant names with an account of their own. Their number is bounded because clients choose the names.
 #[derive(Clone, Debug, Default)]
 pub(super) struct UnknownTenants {
     pub(super) names: BTreeSet<String>,
 }
 
 impl UnknownTenants {
-    /// The account that an entry is billed to; a new unknown name gets an account while there is capacity.
+    /// Returns the account that an entry is billed to. A new unknown name gets an account of its own until the maximum
+    /// is reached.
     pub(super) fn account_of(&mut self, entry: &Entry) -> Account {
         if entry.tenant_is_known {
             return Account::Tenant(entry.tenant.clone());
@@ -56,41 +57,41 @@
 /// The key of a billing line.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BillingLine {
-    /// The period in which it is billed.
+    /// The period in which the queries are billed.
     pub period: Period,
     /// The account that is billed.
     pub account: Account,
     /// The query class.
     pub class: String,
-    /// Within the tenant's quota or beyond it.
+    /// Whether the queries were within the tenant's quota.
     pub share: QuotaShare,
 }
 
-/// What a billing line counts.
+/// The usage summed in one billing line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
     /// Queries with a final answer.
     pub queries: u64,
-    /// Queries that are billed.
+    /// Queries that are billed: those with a complete or partial answer.
     pub billed: u64,
     /// Queries that were rejected.
     pub rejected: u64,
-    /// Queries that failed, expired or lost their client.
+    /// Queries that failed or expired, or whose client disconnected.
     pub failed: u64,
     /// Parts requested.
     pub requested_parts: u64,
-    /// Parts billed: served in answers, each once.
+    /// Parts billed: those served in answers, each counted once.
     pub parts: u64,
-    /// Attempts sent.
+    /// Attempts sent to leaf servers.
     pub attempts: u64,
     /// Work billed, in thousandths of a unit.
     pub work: u64,
-    /// Queries that were entered after their own period had closed.
+    /// Queries that were recorded after their own period had closed.
     pub late: u64,
 }
 
 impl Usage {
-    /// Counts an entry; `late` if its own period had closed.
+    /// Adds an entry; `late` tells whether the entry's own period had already closed.
     pub(super) fn add_entry(&mut self, entry: &Entry, late: bool) {
         self.queries += 1;
         match entry.outcome {
@@ -107,7 +108,7 @@
         self.late += u64::from(late);
     }
 
-    /// Adds the sums of the same line in another ledger.
+    /// Adds the usage of the same billing line in another ledger.
     pub(super) fn add(&mut self, other: &Usage) {
         self.queries += other.queries;
         self.billed += other.billed;
@@ -121,5 +122,5 @@
     }
 }
 
-/// Billing lines and their sums.
+/// Usage by billing line.
 pub type Totals = BTreeMap<BillingLine, Usage>;
--- a/src/ledger/book.rs
+++ b/src/ledger/book.rs
@@ -1,5 +1,5 @@
-//! The ledger's state: totals by billing line, corrections, closed periods and exports. The store feeds it records in
-//! order; two books that took the same records are equal. It reads no clock and no file.
+//! The ledger's state: totals by billing line, corrections, closed periods and exports. The store applies records in
+//! order; two books to which the same records were applied are equal. It reads no clock and does no I/O.
 
 use super::UnixMs;
 use super::accounts::{BillingLine, Totals, UnknownTenants};
@@ -7,21 +7,21 @@
 use super::record::{Correction, Entry, Gap, Record};
 use std::collections::BTreeMap;
 
-/// Whether a period still takes entries.
+/// Whether entries are still billed in a period.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeriodState {
-    /// It takes entries.
+    /// Entries are billed in it.
     Open,
-    /// It takes no entries any more; what comes late is billed in a later period.
+    /// No further entries are billed in it; late ones are billed in the next open period.
     Closed,
 }
 
 /// The records that an export covers, by their sequence numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SequenceRange {
-    /// The last record before it; 0 if it covers the first record.
+    /// The last record before the range; 0 if the range starts with the first record.
     pub after: u64,
-    /// The last record in it.
+    /// The last record in the range.
     pub up_to: u64,
 }
 
@@ -30,9 +30,9 @@
 pub struct BilledCorrection {
     /// The sequence number of its record.
     pub sequence: u64,
-    /// The period in which it is billed, which may be later than the one that it corrects.
+    /// The period in which it is billed; may be later than the corrected period.
     pub billed_in: Period,
-    /// The correction.
+    /// The correction itself, as recorded.
     pub correction: Correction,
 }
 
@@ -41,38 +41,38 @@
 pub struct RecordedGap {
     /// The sequence number of its record.
     pub sequence: u64,
-    /// The gap.
+    /// The gap itself, as recorded.
     pub gap: Gap,
 }
 
-/// How far a ledger's journal has come.
+/// The position of the last record of a ledger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BookPosition<'a> {
     /// The sequence number of the last record.
     pub sequence: u64,
-    /// The aggregator that wrote it.
+    /// Name of the aggregator that wrote it; empty before the first run.
     pub aggregator: &'a str,
-    /// The number of its run, counted from 1.
+    /// Number of the run that wrote it, counted from 1; 0 before the first run.
     pub epoch: u64,
 }
 
-/// An export whose intent is in the journal.
+/// An export that has been started: its intent is in the journal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ExportRecord {
-    /// The export's name, which is unique.
+    /// The export's name, unique in the ledger.
     pub name: String,
-    /// The period that it covers.
+    /// The exported period, as `2026-11`.
     pub period: String,
-    /// The name of its format.
+    /// The name of its format, as [`Format::as_str`](super::Format::as_str) returns it.
     pub format: String,
     /// The records that it covers.
     pub range: SequenceRange,
-    /// SHA-256 of its bytes in hex, once it is finished.
+    /// SHA-256 of the file in hex; `None` until the export is finished.
     pub hash: Option<String>,
 }
 
 impl ExportRecord {
-    /// The export's file and its manifest are in place.
+    /// Whether the export's file and its manifest are in place.
     pub fn is_finished(&self) -> bool {
         self.hash.is_some()
     }
@@ -83,13 +83,13 @@
     }
 }
 
-/// The sum of all records so far.
+/// The state of a ledger after all records applied so far.
 #[derive(Clone, Debug)]
 pub struct Book {
     calendar: Calendar,
     /// The sequence number of the last record.
     pub(super) sequence: u64,
-    /// The aggregator that wrote the last run.
+    /// Name of the aggregator that wrote the last run.
     pub(super) aggregator: String,
     /// The number of the last run, counted from 1.
     pub(super) epoch: u64,
@@ -97,19 +97,19 @@
     pub(super) unknown_tenants: UnknownTenants,
     pub(super) corrections: Vec<BilledCorrection>,
     pub(super) gaps: Vec<RecordedGap>,
-    /// Closed periods, and when each was closed.
+    /// Closed periods and the time when each was closed.
     pub(super) closed_periods: BTreeMap<Period, UnixMs>,
     pub(super) exports: Vec<ExportRecord>,
     /// The latest time of any entry.
     pub(super) latest_entry: UnixMs,
-    /// The last run ended by a graceful shutdown, or there was none.
+    /// Whether the last run ended with a graceful shutdown, or there was no run.
     pub(super) ended_gracefully: bool,
-    /// The last record that changed each period.
+    /// Sequence number of the last record that changed each period.
     pub(super) last_changes: BTreeMap<Period, u64>,
 }
 
 impl Book {
-    /// A book without records.
+    /// Creates a book without records.
     pub fn new(calendar: Calendar) -> Self {
         Book {
             calendar,
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Takes the next record.
+    /// Applies the next record.
     pub fn apply(&mut self, sequence: u64, record: &Record) {
         self.sequence = sequence;
         self.ended_gracefully = matches!(record, Record::End { .. });
@@ -177,7 +177,8 @@
         self.corrections.push(BilledCorrection { sequence, billed_in, correction: correction.clone() });
     }
 
-    /// The period in which an event of that time is billed, and whether its own period had closed.
+    /// Returns the period in which an entry or correction made at `at` is billed, and whether the period of `at` itself
+    /// is already closed.
     pub fn billed_in(&self, at: UnixMs) -> (Period, bool) {
         let own = self.calendar.period(at);
         let mut period = own;
@@ -202,12 +203,12 @@
         &self.gaps
     }
 
-    /// Exports in the order in which they were begun, finished or not.
+    /// All exports, finished or not, in the order in which they were started.
     pub fn exports(&self) -> &[ExportRecord] {
         &self.exports
     }
 
-    /// Whether a period still takes entries.
+    /// Whether a period is open or closed.
     pub fn period_state(&self, period: Period) -> PeriodState {
         if self.closed_periods.contains_key(&period) { PeriodState::Closed } else { PeriodState::Open }
     }
@@ -222,7 +223,7 @@
         &self.calendar
     }
 
-    /// Periods with lines or corrections that ended at least `grace` milliseconds ago and are still open, oldest first.
+    /// Open periods with billing lines or corrections that ended at least `grace` milliseconds ago, oldest first.
     pub fn due_periods(&self, now: UnixMs, grace: UnixMs) -> Vec<Period> {
         let billed = self.totals.keys().map(|line| line.period);
         let corrected = self.corrections.iter().map(|billed| billed.billed_in);
@@ -236,18 +237,18 @@
         due
     }
 
-    /// The next export of a period: the records since its last export up to the newest one. `None` if nothing in the
-    /// period changed since.
+    /// The next export of a period, which covers the records after its previous export up to the newest one. `None` if
+    /// nothing in the period has changed since.
     pub fn next_export(&self, period: Period, format: &str) -> Option<ExportRecord> {
         let period_name = period.to_string();
-        let earlier = || self.exports.iter().filter(|export| export.period == period_name);
-        let after = earlier().map(|export| export.range.up_to).max().unwrap_or(0);
+        let previous_exports = || self.exports.iter().filter(|export| export.period == period_name);
+        let after = previous_exports().map(|export| export.range.up_to).max().unwrap_or(0);
         if self.last_changes.get(&period).is_none_or(|last| *last <= after) {
             return None;
         }
-        let aggregator = file_name_part(&self.aggregator);
+        let aggregator = sanitize_for_file_name(&self.aggregator);
         let epoch = self.epoch;
-        let number = earlier().count() + 1;
+        let number = previous_exports().count() + 1;
         Some(ExportRecord {
             name: format!("{aggregator}-e{epoch}-{period_name}-{number:04}"),
             period: period_name,
@@ -258,8 +259,8 @@
     }
 }
 
-/// A name without characters that a file name may not have.
-fn file_name_part(name: &str) -> String {
-    let plain = |c: char| if c.is_ascii_alphanumeric() || matches!(c, '-' | '_') { c } else { '_' };
-    name.chars().map(plain).collect()
+/// Replaces characters that are unsafe in file names by underscores.
+fn sanitize_for_file_name(name: &str) -> String {
+    let sanitize = |c: char| if c.is_ascii_alphanumeric() || matches!(c, '-' | '_') { c } else { '_' };
+    name.chars().map(sanitize).collect()
 }
--- a/src/ledger/disk.rs
+++ b/src/ledger/disk.rs
@@ -1,12 +1,13 @@
-//! The file operations that the ledger needs. [`RealDisk`] performs them in a directory; tests use a disk with faults.
+//! The file operations that the ledger needs. [`RealDisk`] performs them in a directory; tests use an implementation
+//! that injects faults.
 
 use std::collections::HashMap;
 use std::fs::{self, File, OpenOptions, TryLockError};
 use std::io::{self, ErrorKind, Write};
 use std::path::{Path, PathBuf};
 
-/// A flat directory of files with two separate durability guarantees: the bytes of a file survive a power cut after
-/// [`Disk::sync`], and names (of files created, renamed or removed) after [`Disk::sync_directory`].
+/// A flat directory of files with two separate durability guarantees: the content of a file survives a power failure
+/// after [`Disk::sync`], and creating, renaming or removing a file after [`Disk::sync_directory`].
 pub trait Disk {
     /// The names of all files, in any order.
     ///
@@ -14,34 +15,34 @@
     /// The directory cannot be read.
     fn list(&self) -> io::Result<Vec<String>>;
 
-    /// The content of a file, including bytes that are not synced yet.
+    /// The content of a file, including bytes that are not yet synced.
     ///
     /// # Errors
     /// There is no such file, or it cannot be read.
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
 
-    /// Appends to a file, which is created if it does not exist. Nothing is durable before the next sync; a power cut
-    /// may keep any prefix of what was appended.
+    /// Appends to a file, which is created if it does not exist. Nothing is durable before the next sync; after a power
+    /// failure any prefix of the appended bytes may remain.
     ///
     /// # Errors
-    /// The write failed; a part of it may have been done.
+    /// The write failed; some of the bytes may have been written.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
 
-    /// Cuts a file to a length in bytes. Durable after the next sync of the file.
+    /// Truncates a file to a length in bytes. Durable after the next sync of the file.
     ///
     /// # Errors
-    /// The file has its old length, or an unknown one.
+    /// The file keeps its old length or has an unknown one.
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()>;
 
-    /// Makes the bytes of a file durable.
+    /// Makes the content of a file durable.
     ///
     /// # Errors
-    /// It is unknown what of the bytes since the last sync is durable, and a repeated sync does not tell either: the
-    /// caller truncates the file and writes them again.
+    /// It is unknown which bytes written since the last sync are durable, and a repeated sync may succeed although they
+    /// are lost: the caller truncates the file and writes them again.
     fn sync(&mut self, name: &str) -> io::Result<()>;
 
-    /// Renames a file and replaces any file of the new name. It is atomic: after a crash either the old or the new file
-    /// has the name. Durable after [`Disk::sync_directory`].
+    /// Renames a file atomically and replaces any file with the new name: after a crash the name refers either to the
+    /// old file or to the new one. Durable after [`Disk::sync_directory`].
     ///
     /// # Errors
     /// There is no such file, or it cannot be renamed.
@@ -53,19 +54,19 @@
     /// There is no such file, or it cannot be removed.
     fn remove(&mut self, name: &str) -> io::Result<()>;
 
-    /// Makes all names of the directory durable.
+    /// Makes all created, renamed and removed directory entries durable.
     ///
     /// # Errors
-    /// It is unknown which changes to names are durable.
+    /// It is unknown which changes to the directory are durable.
     fn sync_directory(&mut self) -> io::Result<()>;
 }
 
-/// The file whose lock marks the owner of the directory.
+/// The file that the owner of the directory holds locked.
 const LOCK_FILE: &str = "lock";
-/// Open files that are kept. Few suffice, since one file is written at a time.
+/// Maximum number of cached file handles. Few suffice, since only one file is written at a time.
 const MAX_OPEN_FILES: usize = 4;
 
-/// A directory in the file system, either owned by this process through a lock or opened for reading.
+/// A directory in the file system, either locked for writing by this process or opened for reading.
 pub struct RealDisk {
     directory: PathBuf,
     open_files: HashMap<String, File>,
@@ -74,7 +75,7 @@
 }
 
 impl RealDisk {
-    /// Takes ownership of a directory, which is created if it does not exist.
+    /// Locks a directory for writing; creates it if it does not exist.
     ///
     /// # Errors
     /// [`ErrorKind::WouldBlock`] if another process owns it.
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Opens a directory for reading; another process may own it. The caller must not write.
+    /// Opens a directory for reading, even if another process owns it. The caller must not write.
     pub fn open_read_only(directory: &Path) -> Self {
         RealDisk::new(directory, None)
     }
--- a/src/ledger/error.rs
+++ b/src/ledger/error.rs
@@ -1,4 +1,4 @@
-//! Why an operation on a ledger failed or was rejected.
+//! Errors of ledger operations.
 
 use super::export_format::RenderError;
 use super::journal::Damage;
@@ -10,24 +10,24 @@
 /// Why an operation on a ledger failed.
 #[derive(Debug)]
 pub enum LedgerError {
-    /// The disk failed; the operation may succeed when it is tried again.
+    /// A disk operation failed; a retry may succeed.
     Io(io::Error),
-    /// A file lost records that had been synced.
+    /// A file is damaged or missing: synced records were lost.
     Damaged {
         /// The file's name in the ledger's directory.
         file: String,
         /// What is damaged, and where in the file.
         damage: Damage,
     },
-    /// The period is closed already.
+    /// The period is already closed.
     PeriodClosed(Period),
     /// The period has not ended yet.
     PeriodNotOver(Period),
-    /// A correction names no author or no reason.
+    /// A correction has no author or no reason.
     CorrectionWithoutReason,
-    /// The text is no period.
+    /// The text is not a valid period.
     InvalidPeriod(ParsePeriodError),
-    /// The journal names an export format that this version does not know.
+    /// The journal contains an export format that this version does not support.
     UnknownFormat(String),
     /// An export could not be rendered.
     Render(RenderError),
--- a/src/ledger/export.rs
+++ b/src/ledger/export.rs
@@ -6,12 +6,12 @@
 use super::record::{Correction, Entry, Record};
 use serde_json::{Value, json};
 
-/// What a row of an export is made from.
+/// The record from which a row of an export is made.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum BilledRecord {
-    /// A query.
+    /// A query with its final answer.
     Entry(Entry),
-    /// A correction.
+    /// A correction of an earlier bill.
     Correction(Correction),
 }
 
@@ -32,30 +32,30 @@
     totals: Totals,
 }
 
-/// The description that lies beside an export's file.
+/// The description written next to an export's file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Manifest(Value);
 
 impl Manifest {
-    /// One JSON object, over several lines.
+    /// Formats the manifest as an indented JSON object and a line feed.
     pub fn to_json(&self) -> String {
         format!("{:#}\n", self.0)
     }
 }
 
 impl Export {
-    /// An export without content.
-    pub(super) fn new(begun: &ExportRecord) -> Self {
+    /// Creates an export without content.
+    pub(super) fn new(export: &ExportRecord) -> Self {
         Export {
-            name: begun.name.clone(),
-            period: begun.period.clone(),
-            range: begun.range,
+            name: export.name.clone(),
+            period: export.period.clone(),
+            range: export.range,
             rows: Vec::new(),
             totals: Totals::new(),
         }
     }
 
-    /// Adds a record if it is billed in the export's period. `book` has taken the record already.
+    /// Adds a record if it is billed in the export's period. The record must already be applied to `book`.
     pub(super) fn add(&mut self, sequence: u64, record: &Record, book: &Book) {
         match record {
             Record::Entry(entry) => self.add_entry(sequence, entry, book),
@@ -69,7 +69,7 @@
         if period.to_string() != self.period {
             return;
         }
-        // An export names each unknown tenant: unlike the book it is written once and needs no bound.
+        // Each unknown tenant has its own account here: unlike the book, an export is written once and needs no bound.
         let account = if entry.tenant_is_known {
             Account::Tenant(entry.tenant.clone())
         } else {
@@ -92,12 +92,12 @@
         &self.rows
     }
 
-    /// Number of queries in it.
+    /// Number of queries in the export.
     pub fn entries(&self) -> usize {
         self.rows.iter().filter(|row| matches!(row.record, BilledRecord::Entry(_))).count()
     }
 
-    /// The manifest, once the SHA-256 of the export's bytes is known, in hex.
+    /// Creates the manifest; `hash` is the SHA-256 of the export's file in hex.
     pub(super) fn manifest(&self, hash: &str) -> Manifest {
         let entries = self.entries();
         Manifest(json!({
@@ -113,25 +113,25 @@
     }
 }
 
-/// Billing lines as JSON objects, for manifests and the command line.
+/// Converts billing lines to JSON objects, for manifests and the command line.
 pub fn totals_to_json(totals: &Totals) -> Vec<Value> {
     totals.iter().map(line_object).collect()
 }
 
-fn line_object((line, sums): (&BillingLine, &Usage)) -> Value {
+fn line_object((line, usage): (&BillingLine, &Usage)) -> Value {
     json!({
         "period": line.period.to_string(),
         "tenant": line.account.name(),
         "class": line.class,
         "share": line.share.as_str(),
-        "queries": sums.queries,
-        "billed": sums.billed,
-        "refused": sums.rejected,
-        "failed": sums.failed,
-        "asked": sums.requested_parts,
-        "parts": sums.parts,
-        "attempts": sums.attempts,
-        "work_milliunits": sums.work,
-        "late": sums.late,
+        "queries": usage.queries,
+        "billed": usage.billed,
+        "refused": usage.rejected,
+        "failed": usage.failed,
+        "asked": usage.requested_parts,
+        "parts": usage.parts,
+        "attempts": usage.attempts,
+        "work_milliunits": usage.work,
+        "late": usage.late,
     })
 }
--- a/src/ledger/export_format.rs
+++ b/src/ledger/export_format.rs
@@ -1,5 +1,5 @@
-//! The formats of exports. The same content gives the same bytes, so that an export that a crash interrupted is
-//! completed as it was begun.
+//! The formats of exports. Encoding is deterministic, so that an export that was interrupted by a crash is completed
+//! with the same bytes.
 
 use super::export::{BilledRecord, BilledRow, Export};
 use super::record::{Correction, Entry};
@@ -11,19 +11,19 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// A format of exports.
+/// The file format of an export.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Format {
-    /// CSV with a header.
+    /// CSV with a header row.
     Csv,
-    /// One JSON object a line.
+    /// One JSON object per line.
     JsonLines,
     /// Arrow's IPC file format.
     Arrow,
 }
 
 impl Format {
-    /// Its name in the journal, which is also the extension of its files.
+    /// The format's name in the journal, which is also its file extension.
     pub fn as_str(self) -> &'static str {
         match self {
             Format::Csv => "csv",
@@ -32,20 +32,20 @@
         }
     }
 
-    /// The format of that name.
+    /// Looks up a format by its name.
     pub fn from_name(name: &str) -> Option<Self> {
         [Format::Csv, Format::JsonLines, Format::Arrow].into_iter().find(|format| format.as_str() == name)
     }
 }
 
-/// An export could not be rendered, which is a fault of this program.
+/// An export could not be encoded, which is a bug in this program.
 #[derive(Debug)]
 pub enum RenderError {
-    /// By the CSV writer.
+    /// The CSV writer failed.
     Csv(csv::Error),
-    /// By the JSON writer.
+    /// The JSON writer failed.
     Json(serde_json::Error),
-    /// By the Arrow writer.
+    /// The Arrow writer failed.
     Arrow(ArrowError),
 }
 
@@ -98,7 +98,7 @@
     "note",
 ];
 
-/// A row as it is written. The names and the order of its fields are those of the JSON format.
+/// A row of an export. The JSON format uses the names and the order of these fields.
 #[derive(Serialize)]
 struct ExportRow<'a> {
     #[serde(rename = "seq")]
@@ -121,7 +121,7 @@
     served_parts: i64,
     #[serde(rename = "attempts")]
     attempts: i64,
-    /// Wide enough for unsigned work and negative corrections.
+    /// 128 bits hold both the unsigned work of entries and negative corrections.
     #[serde(rename = "work_milliunits")]
     work_milliunits: i128,
     #[serde(rename = "outcome")]
@@ -137,12 +137,12 @@
 impl<'a> ExportRow<'a> {
     fn new(row: &'a BilledRow) -> Self {
         match &row.record {
-            BilledRecord::Entry(entry) => ExportRow::of_entry(row.sequence, entry),
-            BilledRecord::Correction(correction) => ExportRow::of_correction(row.sequence, correction),
+            BilledRecord::Entry(entry) => ExportRow::from_entry(row.sequence, entry),
+            BilledRecord::Correction(correction) => ExportRow::from_correction(row.sequence, correction),
         }
     }
 
-    fn of_entry(sequence: u64, entry: &'a Entry) -> Self {
+    fn from_entry(sequence: u64, entry: &'a Entry) -> Self {
         let billed_work = if entry.outcome.is_billed() { entry.work } else { 0 };
         ExportRow {
             sequence,
@@ -163,7 +163,7 @@
         }
     }
 
-    fn of_correction(sequence: u64, correction: &'a Correction) -> Self {
+    fn from_correction(sequence: u64, correction: &'a Correction) -> Self {
         ExportRow {
             sequence,
             kind: "correction",
@@ -184,10 +184,10 @@
     }
 }
 
-/// The bytes of an export.
+/// Encodes an export in a format.
 ///
 /// # Errors
-/// The writer of the format failed, which is a fault of this program.
+/// The format's writer failed, which is a bug in this program.
 pub fn render(export: &Export, format: Format) -> Result<Vec<u8>, RenderError> {
     let rows: Vec<ExportRow<'_>> = export.rows().iter().map(ExportRow::new).collect();
     match format {
@@ -198,7 +198,7 @@
 }
 
 fn render_csv(rows: &[ExportRow<'_>]) -> Result<Vec<u8>, RenderError> {
-    // The header is written here, since the writer adds none to an export without rows.
+    // The header is written explicitly, since the CSV writer omits it if there are no rows.
     let mut writer = csv::WriterBuilder::new().has_headers(false).from_writer(Vec::new());
     writer.write_record(COLUMNS)?;
     for row in rows {
--- a/src/ledger/journal/damage.rs
+++ b/src/ledger/journal/damage.rs
@@ -1,48 +1,48 @@
-//! Damage to a segment: what cannot be read, and where.
+//! Damage to a segment of the journal.
 
 use std::error::Error;
 use std::fmt;
 
-/// What of a segment cannot be read, and where.
+/// Damage to a segment, with its position.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Damage {
-    /// Bytes from the start of the segment.
+    /// Offset in the segment, in bytes.
     pub offset: usize,
-    /// What is wrong there.
+    /// The kind of damage at that offset.
     pub kind: DamageKind,
 }
 
-/// How a segment is damaged.
+/// The kind of damage to a segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DamageKind {
     /// The segment is shorter than its header.
     ShortHeader,
-    /// The header is of another file format or version.
+    /// The header has an unknown file format, version or first sequence number.
     UnknownHeader,
-    /// A frame is intact, but this version cannot decode its record.
+    /// A frame is intact, but its record has a kind or encoding that this version does not support.
     UnknownRecord,
-    /// A frame has another sequence number than the one that follows.
+    /// A frame's sequence number does not follow that of the previous frame.
     UnexpectedSequence {
-        /// The number in the frame.
+        /// The sequence number in the frame.
         found: u64,
-        /// The number that follows.
+        /// The next sequence number in order.
         expected: u64,
     },
-    /// A frame cannot be read, in a segment that was sealed.
+    /// A frame in a sealed segment is unreadable.
     UnreadableRecord,
-    /// A frame cannot be read, though it had been synced when a later one was written.
+    /// A frame is unreadable although it had been synced before a later frame was written.
     UnreadableSyncedRecord {
-        /// The sequence number of the later one.
+        /// The sequence number of the later frame.
         later: u64,
     },
-    /// Records before this segment are in no file.
+    /// Records before this segment are missing.
     MissingBefore {
         /// The first missing sequence number.
         first: u64,
         /// The last missing sequence number.
         last: u64,
     },
-    /// Records between this segment and the next are in no file.
+    /// Records between this segment and the next one are missing.
     MissingAfter {
         /// The first missing sequence number.
         first: u64,
--- a/src/ledger/journal/field.rs
+++ b/src/ledger/journal/field.rs
@@ -1,54 +1,55 @@
-//! Fields of records and snapshots: variable-length numbers and texts with their length in front.
+//! Encoding of the fields of records and snapshots: variable-length integers and length-prefixed strings.
 
 use super::super::record::QuotaShare;
 
-/// Appends a number, seven bits a byte, the low ones first.
-pub(in super::super) fn put_number(into: &mut Vec<u8>, mut number: u64) {
+/// Appends an unsigned integer in LEB128 encoding: seven bits per byte, the least significant ones first.
+pub(in super::super) fn put_number(output: &mut Vec<u8>, mut number: u64) {
     while number >= 0x80 {
-        into.push(number as u8 | 0x80);
+        output.push(number as u8 | 0x80);
         number >>= 7;
     }
-    into.push(number as u8);
+    output.push(number as u8);
 }
 
-/// Appends a signed number in zigzag encoding, which keeps small ones of either sign short.
-pub(in super::super) fn put_signed(into: &mut Vec<u8>, number: i64) {
-    put_number(into, ((number << 1) ^ (number >> 63)) as u64);
+/// Appends a signed integer in zigzag encoding, which keeps small numbers of either sign short.
+pub(in super::super) fn put_signed(output: &mut Vec<u8>, number: i64) {
+    put_number(output, ((number << 1) ^ (number >> 63)) as u64);
 }
 
-/// Appends a text with its length in front.
-pub(in super::super) fn put_text(into: &mut Vec<u8>, text: &str) {
-    put_bytes(into, text.as_bytes());
+/// Appends a length-prefixed string.
+pub(in super::super) fn put_text(output: &mut Vec<u8>, text: &str) {
+    put_bytes(output, text.as_bytes());
 }
 
-/// Appends bytes with their length in front.
-pub(in super::super) fn put_bytes(into: &mut Vec<u8>, bytes: &[u8]) {
-    put_number(into, bytes.len() as u64);
-    into.extend(bytes);
+/// Appends length-prefixed bytes.
+pub(in super::super) fn put_bytes(output: &mut Vec<u8>, bytes: &[u8]) {
+    put_number(output, bytes.len() as u64);
+    output.extend(bytes);
 }
 
-/// Reads fields in the order in which they were put. Each method returns `None` if the bytes end early or are invalid.
+/// Reads fields in the order in which they were written. Each method returns `None` if the input is truncated or
+/// invalid.
 pub(in super::super) struct FieldReader<'a> {
-    rest: &'a [u8],
+    remaining: &'a [u8],
 }
 
 impl<'a> FieldReader<'a> {
     pub fn new(bytes: &'a [u8]) -> Self {
-        FieldReader { rest: bytes }
+        FieldReader { remaining: bytes }
     }
 
     /// Whether all bytes have been read.
     pub fn is_at_end(&self) -> bool {
-        self.rest.is_empty()
+        self.remaining.is_empty()
     }
 
     pub fn byte(&mut self) -> Option<u8> {
-        let (first, rest) = self.rest.split_first()?;
-        self.rest = rest;
+        let (first, rest) = self.remaining.split_first()?;
+        self.remaining = rest;
         Some(*first)
     }
 
-    /// A byte that is 0 for false.
+    /// Reads a boolean: a byte that is 0 for false.
     pub fn flag(&mut self) -> Option<bool> {
         self.byte().map(|byte| byte != 0)
     }
@@ -65,8 +66,8 @@
         None
     }
 
-    /// A number below 2^32.
-    pub fn small_number(&mut self) -> Option<u32> {
+    /// Reads an unsigned integer below 2^32.
+    pub fn number_u32(&mut self) -> Option<u32> {
         u32::try_from(self.number()?).ok()
     }
 
@@ -77,8 +78,8 @@
 
     pub fn bytes(&mut self) -> Option<&'a [u8]> {
         let length = usize::try_from(self.number()?).ok()?;
-        let (bytes, rest) = self.rest.split_at_checked(length)?;
-        self.rest = rest;
+        let (bytes, rest) = self.remaining.split_at_checked(length)?;
+        self.remaining = rest;
         Some(bytes)
     }
 
--- a/src/ledger/journal/frame.rs
+++ b/src/ledger/journal/frame.rs
@@ -1,30 +1,30 @@
-//! Frames: how one record is delimited and checked.
+//! Frames, each of which delimits a record and protects it with a checksum.
 
 use super::super::record::Record;
 use super::record::decode_record;
 
-/// Bytes before the record's fields: length, checksum, sequence number, synced length and record kind.
+/// Length of the frame header in bytes: length, checksum, sequence number, synced length and record kind.
 const FRAME_HEADER_BYTES: usize = 4 + 4 + 8 + 4 + 1;
-/// Offset of the record's kind, with which its encoding begins.
+/// Offset of the encoded record, which begins with its kind.
 const RECORD_OFFSET: usize = FRAME_HEADER_BYTES - 1;
-/// A longer frame is taken for noise.
+/// Maximum length of a frame; a larger length field is treated as garbage.
 const MAX_FRAME_BYTES: usize = 64 << 10;
-/// A later frame's sequence number is at most this far ahead; a larger one is taken for noise.
+/// Maximum distance of a later frame's sequence number; a larger one is treated as garbage.
 const MAX_SEQUENCE_GAP: u64 = 1 << 32;
 
 /// An intact frame.
 pub(super) struct Frame<'a> {
-    /// Bytes of the whole frame.
+    /// Length of the frame with its header, in bytes.
     pub length: usize,
     pub sequence: u64,
-    /// Bytes of the segment that were known to be synced when the frame was written.
+    /// Length of the segment that was known to be synced when the frame was written, in bytes.
     pub synced_bytes: u32,
     /// The encoded record.
     pub record: &'a [u8],
 }
 
 impl<'a> Frame<'a> {
-    /// The frame at the start of some bytes, if it is complete and its checksum is right.
+    /// Reads the frame at the start of `bytes`; `None` if it is incomplete or its checksum does not match.
     pub(super) fn read(bytes: &'a [u8]) -> Option<Self> {
         let length = read_u32(bytes, 0)? as usize + 8;
         if !(FRAME_HEADER_BYTES..=MAX_FRAME_BYTES).contains(&length) {
@@ -43,25 +43,26 @@
     }
 }
 
-/// A record that was read from the start of some bytes.
+/// A decoded record with the length of its frame.
 pub(in super::super) struct FramedRecord {
-    /// Bytes of its frame.
+    /// Length of the frame, in bytes.
     pub length: usize,
     pub sequence: u64,
     pub record: Record,
 }
 
-/// The record at the start of some bytes, if its frame is intact. Snapshots store corrections and gaps this way.
+/// Decodes the record at the start of `bytes`; `None` if its frame is damaged. Snapshots store corrections and gaps as
+/// frames.
 pub(in super::super) fn read_frame(bytes: &[u8]) -> Option<FramedRecord> {
     let frame = Frame::read(bytes)?;
     let record = decode_record(frame.record)?;
     Some(FramedRecord { length: frame.length, sequence: frame.sequence, record })
 }
 
-/// The sequence number of a frame behind `offset` that was written after `offset` had been synced.
+/// The sequence number of a frame after `offset` that was written when the bytes at `offset` had already been synced.
 pub(super) fn find_later_synced_frame(bytes: &[u8], offset: usize, sequence: u64) -> Option<u64> {
     for candidate in offset + 1..bytes.len() {
-        // Compared before the checksum is computed, or noise would be hashed over and over.
+        // Checked first, so that a checksum is not computed at every offset of garbage.
         let is_plausible = read_u64(bytes, candidate + 8)
             .is_some_and(|number| number > sequence && number - sequence < MAX_SEQUENCE_GAP);
         if !is_plausible {
@@ -76,12 +77,12 @@
     None
 }
 
-fn read_u32(bytes: &[u8], at: usize) -> Option<u32> {
-    let bytes = bytes.get(at..at + 4)?;
+fn read_u32(bytes: &[u8], offset: usize) -> Option<u32> {
+    let bytes = bytes.get(offset..offset + 4)?;
     bytes.try_into().ok().map(u32::from_le_bytes)
 }
 
-fn read_u64(bytes: &[u8], at: usize) -> Option<u64> {
-    let bytes = bytes.get(at..at + 8)?;
+fn read_u64(bytes: &[u8], offset: usize) -> Option<u64> {
+    let bytes = bytes.get(offset..offset + 8)?;
     bytes.try_into().ok().map(u64::from_le_bytes)
 }
--- a/src/ledger/journal/mod.rs
+++ b/src/ledger/journal/mod.rs
@@ -1,9 +1,9 @@
 //! The binary format of records: frames in segments.
 //!
-//! A segment begins with `SMXLEDG`, the version of the format and its first sequence number. A frame is its length, a
-//! CRC-32 of the rest, the sequence number, how many bytes of the segment were known to be synced when it was written,
-//! and the record. The synced length tells a torn tail from a damaged middle: if a frame is unreadable, but a later one
-//! was written when that place had been synced, then the disk lost synced data.
+//! A segment begins with `SMXLEDG`, the format version and the segment's first sequence number. A frame consists of its
+//! length, a CRC-32 of the rest, the sequence number, the length of the segment that was known to be synced when the
+//! frame was written, and the record. The synced length distinguishes a torn tail from damage to synced data: if a
+//! frame is unreadable but a later one was written after its offset had been synced, the disk lost synced data.
 
 mod damage;
 mod field;
@@ -17,34 +17,34 @@
 use super::record::Record;
 use frame::Frame;
 
-/// What a segment begins with; the last byte is the version of the format.
+/// Magic number at the start of a segment; the last byte is the format version.
 pub const MAGIC: [u8; 8] = *b"SMXLEDG\x01";
-/// Bytes of a segment's header: [`MAGIC`] and the first sequence number.
+/// Length of a segment's header in bytes: [`MAGIC`] and the first sequence number.
 pub const HEADER_BYTES: usize = 16;
 
-/// A record of a segment.
+/// A record read from a segment.
 #[derive(Clone, Debug)]
 pub struct ScannedRecord {
-    /// Its sequence number.
+    /// Sequence number of the record.
     pub sequence: u64,
-    /// The record.
+    /// The decoded record.
     pub record: Record,
-    /// The offset behind its frame, in bytes from the segment's start.
+    /// End of its frame, as an offset in the segment in bytes.
     pub end: usize,
 }
 
 /// The content of a segment.
 #[derive(Clone, Debug, Default)]
 pub struct ScannedSegment {
-    /// Its records, in order.
+    /// The records, in the order of their sequence numbers.
     pub records: Vec<ScannedRecord>,
     /// Length of the readable part, in bytes.
     pub readable_bytes: usize,
-    /// Length of the torn tail behind it, in bytes.
+    /// Length of the torn tail after the readable part, in bytes.
     pub torn_bytes: usize,
 }
 
-/// The header of a segment that begins with that sequence number.
+/// Creates the header of a segment.
 pub fn segment_header(first_sequence: u64) -> [u8; HEADER_BYTES] {
     let mut header = [0; HEADER_BYTES];
     header[..8].copy_from_slice(&MAGIC);
@@ -52,17 +52,17 @@
     header
 }
 
-/// Appends the frame of a record. `synced_bytes` is the length of its segment that is known to be synced.
-pub fn encode(into: &mut Vec<u8>, sequence: u64, synced_bytes: u32, record: &Record) {
-    let start = into.len();
-    into.extend([0; 8]);
-    into.extend(sequence.to_le_bytes());
-    into.extend(synced_bytes.to_le_bytes());
-    record::encode_record(into, record);
-    let length = (into.len() - start - 8) as u32;
-    let checksum = crc32fast::hash(&into[start + 8..]);
-    into[start..start + 4].copy_from_slice(&length.to_le_bytes());
-    into[start + 4..start + 8].copy_from_slice(&checksum.to_le_bytes());
+/// Appends the frame of a record. `synced_bytes` is the length of the segment that is known to be synced.
+pub fn encode(output: &mut Vec<u8>, sequence: u64, synced_bytes: u32, record: &Record) {
+    let start = output.len();
+    output.extend([0; 8]);
+    output.extend(sequence.to_le_bytes());
+    output.extend(synced_bytes.to_le_bytes());
+    record::encode_record(output, record);
+    let length = (output.len() - start - 8) as u32;
+    let checksum = crc32fast::hash(&output[start + 8..]);
+    output[start..start + 4].copy_from_slice(&length.to_le_bytes());
+    output[start + 4..start + 8].copy_from_slice(&checksum.to_le_bytes());
 }
 
 /// Reads a segment. Only the last segment of a ledger may have a torn tail.
@@ -71,7 +71,7 @@
 /// The segment is damaged before its torn tail.
 pub fn scan(bytes: &[u8], first_sequence: u64, is_last: bool) -> Result<ScannedSegment, Damage> {
     if let Some(kind) = header_damage(bytes, first_sequence) {
-        // The header of the last segment may never have been synced; then nothing behind it was.
+        // The header of the last segment may not have been synced; then nothing after it was synced either.
         let is_unsynced = bytes.len() < HEADER_BYTES || bytes.iter().all(|byte| *byte == 0);
         if is_last && is_unsynced {
             return Ok(ScannedSegment { torn_bytes: bytes.len(), ..ScannedSegment::default() });
@@ -106,7 +106,7 @@
     None
 }
 
-/// The record of a frame that has the expected sequence number.
+/// Decodes the record of a frame, which must have the expected sequence number.
 fn expected_record(frame: &Frame<'_>, expected: u64) -> Result<Record, DamageKind> {
     if frame.sequence != expected {
         return Err(DamageKind::UnexpectedSequence { found: frame.sequence, expected });
@@ -114,8 +114,8 @@
     record::decode_record(frame.record).ok_or(DamageKind::UnknownRecord)
 }
 
-/// Whether everything from an unreadable frame on may be a torn tail: only in the last segment, and only if no later
-/// frame was written after that place had been synced.
+/// Checks whether everything from an unreadable frame on may be a torn tail: it may in the last segment, if no later
+/// frame was written after that offset had been synced.
 fn check_torn_tail(bytes: &[u8], offset: usize, sequence: u64, is_last: bool) -> Result<(), Damage> {
     if !is_last {
         return Err(Damage { offset, kind: DamageKind::UnreadableRecord });
--- a/src/ledger/metrics.rs
+++ b/src/ledger/metrics.rs
@@ -1,5 +1,5 @@
-//! Counters by tenant, served to metrics collectors. The aggregator counts each entry here whether or not the disk
-//! stores it.
+//! Counters by tenant, served to metrics collectors. The aggregator counts every entry here, whether or not the ledger
+//! could store it.
 
 use super::record::Entry;
 use prometheus_client::encoding::EncodeLabelSet;
@@ -8,10 +8,10 @@
 use prometheus_client::metrics::family::Family;
 use prometheus_client::registry::Registry;
 
-/// The tenant label of all tenants that the settings do not know, so that a hostile client cannot create labels.
+/// The label value of all unconfigured tenants, so that clients cannot create an unbounded number of time series.
 const UNKNOWN_TENANT: &str = "(unknown)";
 
-/// Labels of one counter; the field names are the label names that collectors see.
+/// Labels of one counter; the field names are the exposed label names.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct Labels {
     tenant: String,
@@ -66,10 +66,10 @@
         self.attempts.get_or_create(&labels).inc_by(u64::from(entry.attempts));
     }
 
-    /// The counters in `OpenMetrics` text, without its end marker, to be appended to other counters.
+    /// The counters in the `OpenMetrics` text format without the end marker, to be appended to other counters.
     pub fn text(&self) -> String {
         let mut text = String::new();
-        // Writing into a string cannot fail.
+        // Writing to a string cannot fail.
         let written = encode(&mut text, &self.registry);
         debug_assert!(written.is_ok());
         text.trim_end_matches("# EOF\n").to_owned()
--- a/src/ledger/mod.rs
+++ b/src/ledger/mod.rs
@@ -1,14 +1,14 @@
-//! The tenant ledger: one entry for each query with its final answer, durable through crashes and billed exactly once.
+//! The tenant ledger: one entry for each query with its final answer, durable across crashes and billed exactly once.
 //!
-//! To those who bill it guarantees that a record never changes: a correction is a record of its own, a closed period
-//! stays closed, and an export has one name and one content. To the event loop it guarantees that no answer waits for
-//! the disk, except in strict mode and then for a bounded time. Entries that could not be stored are themselves
-//! recorded, as a [`Gap`] with its bounds.
+//! Billing systems can rely on records that never change: a correction is a separate record, a closed period stays
+//! closed, and the content of an export with a given name is always the same. The event loop can rely on answers that
+//! never wait for the disk, except in strict mode and then for a bounded time. Entries that could not be stored are
+//! recorded as a [`Gap`] with their number and time range.
 //!
-//! [`Book`] is the half that decides: it takes records and answers with totals and periods, without clock or file.
-//! [`journal`] is the binary format of the records. [`store`] keeps them on a [`Disk`], which tests replace by one with
-//! faults. [`Writer`] runs a store on a thread of its own. [`Request`] is how the command line reaches a ledger that a
-//! running aggregator owns.
+//! [`Book`] holds the state: it applies records and computes totals and periods, without a clock or I/O. [`journal`] is
+//! the binary format of the records. [`store`] writes them to a [`Disk`], which tests replace by one that injects
+//! faults. [`Writer`] runs a store on its own thread. A [`Request`] is how the command line accesses a ledger that is
+//! owned by a running aggregator.
 
 pub mod disk;
 pub mod journal;
--- a/src/ledger/options.rs
+++ b/src/ledger/options.rs
@@ -1,19 +1,19 @@
-//! How a ledger is kept, and what was found when it was opened.
+//! Options for opening a ledger, and the result of recovery.
 
 use super::UnixMs;
 use super::export_format::Format;
 
-/// How a ledger is kept. The operator's file sets it.
+/// Options of a ledger, set in the operator file.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// A segment of at least this many bytes is sealed before the next append.
+    /// Segment size in bytes: a segment that has reached it is sealed before the next append.
     pub segment_bytes: usize,
-    /// A period closes this many milliseconds after its end.
+    /// Time between a period's end and its closing, in milliseconds.
     pub grace_ms: UnixMs,
-    /// A run that was killed may have lost the entries of this many milliseconds before its end; 0 where every entry is
-    /// synced before its answer is sent.
+    /// A killed run may have lost the entries of its last `loss_window_ms` milliseconds. 0 if every entry is synced
+    /// before its answer is sent.
     pub loss_window_ms: UnixMs,
-    /// The format in which a period is exported when it closes; `None` exports on command only.
+    /// The format in which a period is exported when it closes; `None` if periods are exported only on request.
     pub export_format: Option<Format>,
 }
 
@@ -23,13 +23,13 @@
     }
 }
 
-/// What [`Store::open`](super::Store::open) found and repaired.
+/// What [`Store::open`](super::Store::open) read and repaired.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Recovery {
-    /// Records read behind the newest snapshot.
+    /// Number of records read after the newest snapshot.
     pub records: u64,
-    /// Bytes of a torn tail that were cut off.
+    /// Length of the torn tail that was truncated, in bytes; 0 if there was none.
     pub torn_bytes: usize,
-    /// Exports that a crash had interrupted and that are complete now.
+    /// Number of exports that a crash had interrupted and that were completed.
     pub completed_exports: usize,
 }
--- a/src/ledger/period.rs
+++ b/src/ledger/period.rs
@@ -8,19 +8,19 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// The latest moment that is assigned to a period of its own, in 2096.
-const LATEST_MOMENT: UnixMs = 4_000_000_000_000;
+/// The latest time that is not clamped, in 2096.
+const LATEST_TIME: UnixMs = 4_000_000_000_000;
 
 /// A calendar month, written as `2026-11`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Period {
-    /// The year, from 1.
+    /// The year, 1 or later.
     pub year: i16,
     /// The month, from 1 to 12.
     pub month: i8,
 }
 
-/// A text that is no period such as `2026-11`.
+/// A text is not a valid period such as `2026-11`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ParsePeriodError {
     text: String,
@@ -72,7 +72,7 @@
     text.len() == count && text.bytes().all(|byte| byte.is_ascii_digit())
 }
 
-/// A name that is not in the IANA time zone database.
+/// A time zone name is not in the IANA database.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnknownTimeZone {
     name: String,
@@ -80,7 +80,7 @@
 
 impl fmt::Display for UnknownTimeZone {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:?} is no time zone", self.name)
+        write!(f, "unknown time zone {:?}", self.name)
     }
 }
 
@@ -92,17 +92,17 @@
     }
 }
 
-/// Assigns moments to the months of one time zone.
+/// Assigns times to the calendar months of a time zone.
 #[derive(Clone, Debug)]
 pub struct Calendar {
     zone: TimeZone,
 }
 
 impl Calendar {
-    /// A calendar for a zone of the IANA database, such as `Asia/Taipei`.
+    /// Creates a calendar for a time zone of the IANA database, such as `Asia/Taipei`.
     ///
     /// # Errors
-    /// There is no zone of that name.
+    /// There is no time zone with that name.
     pub fn new(zone: &str) -> Result<Self, UnknownTimeZone> {
         match TimeZone::get(zone) {
             Ok(zone) => Ok(Calendar { zone }),
@@ -110,15 +110,15 @@
         }
     }
 
-    /// The month that a moment lies in. Moments before 1970 or after 2096 are clamped to these bounds.
+    /// The month that contains a time. Times before 1970 or after 2096 are clamped to these bounds.
     pub fn period(&self, at: UnixMs) -> Period {
-        let clamped = at.clamp(0, LATEST_MOMENT);
-        let moment = Timestamp::from_millisecond(clamped).unwrap_or(Timestamp::UNIX_EPOCH);
-        let date = self.zone.to_datetime(moment).date();
+        let clamped = at.clamp(0, LATEST_TIME);
+        let timestamp = Timestamp::from_millisecond(clamped).unwrap_or(Timestamp::UNIX_EPOCH);
+        let date = self.zone.to_datetime(timestamp).date();
         Period { year: date.year(), month: date.month() }
     }
 
-    /// The first moment after a month.
+    /// The exclusive end of a month: the first millisecond of the next one.
     pub fn end(&self, period: Period) -> UnixMs {
         let next = period.next();
         let first_day = Date::new(next.year, next.month, 1).unwrap_or(Date::MAX);
--- a/src/ledger/reconcile.rs
+++ b/src/ledger/reconcile.rs
@@ -1,4 +1,4 @@
-//! Compares the ledgers of several aggregators, which never exchange records, and adds them up.
+//! Compares the ledgers of several aggregators, which do not exchange records, and sums their totals.
 
 use super::UnixMs;
 use super::accounts::Totals;
@@ -6,59 +6,60 @@
 use super::record::{Entry, Gap, Record};
 use std::collections::HashMap;
 
-/// Clocks that differ by more than this many milliseconds are reported: within one ledger, or between two that
+/// Clock differences above this many milliseconds are reported, both within one ledger and between two ledgers that
 /// recorded the same query.
 const CLOCK_TOLERANCE_MS: UnixMs = 5_000;
-/// Findings of one kind that are listed; more are only counted, if at all.
+/// Maximum number of listed duplicates and of listed clock differences.
 const MAX_LISTED: usize = 100;
 
-/// The sum of several ledgers, and what is missing or contradictory in them.
+/// The totals of several ledgers, and the gaps and contradictions found in them.
 #[derive(Clone, Debug, Default)]
 pub struct Reconciliation {
-    /// All billing lines together.
+    /// Usage by billing line, summed over all ledgers.
     pub totals: Totals,
     /// Number of entries in all ledgers.
     pub entries: u64,
-    /// Queries that two aggregators recorded. A client's retry is a new query with an id of its own, so one client
-    /// request reached both; by rule both count, since both did the work.
+    /// Ids of queries that two aggregators recorded. A client's retry is a new query with its own id, so the same
+    /// request reached both. Both are billed, since both aggregators did the work.
     pub duplicates: Vec<String>,
-    /// Number of such queries, including those that are not listed.
+    /// Number of duplicates, including those that are not listed.
     pub duplicate_count: usize,
     /// Gaps, each with the aggregator that recorded it.
     pub gaps: Vec<(String, Gap)>,
     /// Descriptions of clocks that disagree.
     pub clock_differences: Vec<String>,
-    /// Descriptions of ledgers of the same aggregator, of which it is unknown whether they hold the same queries.
+    /// Descriptions of ledgers of the same aggregator, which may contain the same queries.
     pub overlaps: Vec<String>,
 }
 
 impl Reconciliation {
-    /// Whether the totals are proven to be complete: no gap was recorded and no two ledgers are of one aggregator.
+    /// Whether the totals are known to be complete: no gap was recorded and no aggregator has two of the ledgers.
     pub fn is_complete(&self) -> bool {
         self.gaps.is_empty() && self.overlaps.is_empty()
     }
 }
 
-/// The ledger of one aggregator, as it was read.
+/// The ledger of one aggregator, read from its directory.
 pub struct Ledger {
-    /// The directory, for messages.
+    /// The ledger's directory, used in messages.
     pub directory: String,
     /// The state after all its records.
     pub book: Book,
-    /// Its records with their sequence numbers; only entries are compared.
+    /// Records with their sequence numbers; only entries are compared.
     pub records: Vec<(u64, Record)>,
 }
 
 /// Where and when a query was recorded.
-struct Sighting {
+struct Occurrence {
     /// Index of the ledger.
     ledger: usize,
     at: UnixMs,
 }
 
-/// Compares ledgers and adds them up.
+/// Compares ledgers and sums their totals.
 pub fn reconcile(ledgers: &[Ledger]) -> Reconciliation {
-    let mut reconciler = Reconciler { ledgers, sightings: HashMap::new(), result: Reconciliation::default() };
+    let mut reconciler =
+        Reconciler { ledgers, last_occurrences: HashMap::new(), result: Reconciliation::default() };
     reconciler.find_overlaps();
     for (index, ledger) in ledgers.iter().enumerate() {
         reconciler.add_totals(&ledger.book);
@@ -70,26 +71,28 @@
 
 struct Reconciler<'a> {
     ledgers: &'a [Ledger],
-    /// The last ledger in which each query was found.
-    sightings: HashMap<&'a str, Sighting>,
+    /// The last occurrence of each query, by query id.
+    last_occurrences: HashMap<&'a str, Occurrence>,
     result: Reconciliation,
 }
 
 impl<'a> Reconciler<'a> {
     fn find_overlaps(&mut self) {
-        let mut places: HashMap<&str, &str> = HashMap::new();
+        let mut directories: HashMap<&str, &str> = HashMap::new();
         for ledger in self.ledgers {
             let aggregator = ledger.book.position().aggregator;
-            let place = &ledger.directory;
-            if let Some(other) = places.insert(aggregator, place) {
-                self.result.overlaps.push(format!("{other} and {place} are both {aggregator}'s"));
+            let directory = &ledger.directory;
+            if let Some(other) = directories.insert(aggregator, directory) {
+                self.result
+                    .overlaps
+                    .push(format!("{other} and {directory} are both ledgers of {aggregator}"));
             }
         }
     }
 
     fn add_totals(&mut self, book: &Book) {
-        for (line, sums) in book.totals() {
-            self.result.totals.entry(line.clone()).or_default().add(sums);
+        for (line, usage) in book.totals() {
+            self.result.totals.entry(line.clone()).or_default().add(usage);
         }
     }
 
@@ -108,9 +111,9 @@
             let Record::Entry(entry) = record else { continue };
             self.result.entries += 1;
             if latest > entry.at.saturating_add(CLOCK_TOLERANCE_MS) {
-                let back = latest - entry.at;
+                let step_ms = latest - entry.at;
                 self.report_clock(format!(
-                    "{aggregator}: the clock went back by {back} ms at record {sequence}"
+                    "{aggregator}: the clock went back by {step_ms} ms at record {sequence}"
                 ));
             }
             latest = latest.max(entry.at);
@@ -118,10 +121,10 @@
         }
     }
 
-    /// Reports a query that another ledger recorded as well.
+    /// Reports a query that is also in another ledger.
     fn find_duplicate(&mut self, index: usize, entry: &'a Entry) {
-        let sighting = Sighting { ledger: index, at: entry.at };
-        let Some(other) = self.sightings.insert(&entry.query, sighting) else { return };
+        let occurrence = Occurrence { ledger: index, at: entry.at };
+        let Some(other) = self.last_occurrences.insert(&entry.query, occurrence) else { return };
         if other.ledger == index {
             return;
         }
@@ -129,12 +132,14 @@
         if self.result.duplicates.len() < MAX_LISTED {
             self.result.duplicates.push(entry.query.clone());
         }
-        let apart = (other.at - entry.at).abs();
-        if apart > CLOCK_TOLERANCE_MS {
+        let difference_ms = (other.at - entry.at).abs();
+        if difference_ms > CLOCK_TOLERANCE_MS {
             let query = &entry.query;
-            let other_place = &self.ledgers[other.ledger].directory;
-            let place = &self.ledgers[index].directory;
-            self.report_clock(format!("{query}: {other_place} and {place} saw it {apart} ms apart"));
+            let other_directory = &self.ledgers[other.ledger].directory;
+            let directory = &self.ledgers[index].directory;
+            self.report_clock(format!(
+                "{query}: recorded {difference_ms} ms apart in {other_directory} and {directory}"
+            ));
         }
     }
 
--- a/src/ledger/record.rs
+++ b/src/ledger/record.rs
@@ -1,16 +1,16 @@
-//! The records of the ledger. They are appended and never changed.
+//! The records of the ledger, which is append-only.
 
 use super::UnixMs;
 use std::fmt;
 
-/// How a query ended.
+/// The outcome of a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Outcome {
-    /// A complete answer.
+    /// Answered completely; billed.
     Complete,
-    /// A partial answer.
+    /// Answered partially; billed.
     Partial,
-    /// Rejected; not billed.
+    /// Rejected by admission; not billed.
     Rejected,
     /// Failed; not billed.
     Failed,
@@ -21,7 +21,7 @@
 }
 
 impl Outcome {
-    /// All outcomes; the index is the number in the journal.
+    /// All outcomes; the index is the value stored in the journal.
     pub const ALL: [Outcome; 6] = [
         Outcome::Complete,
         Outcome::Partial,
@@ -31,7 +31,7 @@
         Outcome::ClientDisconnected,
     ];
 
-    /// Whether a query with this outcome is billed: only answered ones are.
+    /// Whether a query with this outcome is billed: only answered queries are.
     pub fn is_billed(self) -> bool {
         matches!(self, Outcome::Complete | Outcome::Partial)
     }
@@ -52,9 +52,9 @@
 /// Whether a query was within its tenant's quota when it was admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum QuotaShare {
-    /// Within the quota.
+    /// Within the tenant's quota.
     WithinQuota,
-    /// Beyond the quota; counted on a line of its own.
+    /// Beyond the tenant's quota; summed in a separate billing line.
     OverQuota,
 }
 
@@ -71,50 +71,50 @@
 /// One query with its final answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// When it was answered, by the wall clock.
+    /// Wall-clock time of the final answer.
     pub at: UnixMs,
-    /// The tenant as the client named it.
+    /// The tenant name sent by the client.
     pub tenant: String,
-    /// Whether the settings know that tenant.
+    /// Whether that tenant is configured.
     pub tenant_is_known: bool,
     /// The query class.
     pub class: String,
-    /// The client's id of the query.
+    /// The query id, chosen by the client.
     pub query: String,
-    /// Parts requested.
+    /// Number of parts requested.
     pub parts: u32,
-    /// Parts served, each counted once however many attempts it took.
+    /// Number of parts served, each counted once regardless of its attempts.
     pub parts_served: u32,
-    /// Attempts sent; a cost that is not billed.
+    /// Number of attempts sent to leaf servers; not billed.
     pub attempts: u32,
     /// Work billed, in thousandths of a unit of the price list.
     pub work: u64,
-    /// How it ended.
+    /// The outcome, which decides whether the query is billed.
     pub outcome: Outcome,
-    /// Within the tenant's quota or beyond it.
+    /// Whether the query was within the tenant's quota when it was admitted.
     pub share: QuotaShare,
 }
 
 /// Entries that could not be stored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Gap {
-    /// When the first lost entry was made.
+    /// Time of the first lost entry.
     pub from: UnixMs,
-    /// When the last lost entry was made.
+    /// Time of the last lost entry.
     pub to: UnixMs,
-    /// Number of lost entries; 0 if it is not known.
+    /// Number of lost entries; 0 if unknown.
     pub entries: u64,
-    /// Why they were lost.
+    /// Why the entries were lost, for operators.
     pub reason: String,
 }
 
 impl Gap {
-    /// A gap of one entry.
-    pub(super) fn of_one_entry(at: UnixMs, reason: &str) -> Self {
+    /// Creates a gap of one entry.
+    pub(super) fn from_entry(at: UnixMs, reason: &str) -> Self {
         Gap { from: at, to: at, entries: 1, reason: reason.to_owned() }
     }
 
-    /// Widens the gap by one more lost entry.
+    /// Extends the gap by one lost entry.
     pub(super) fn add_entry(&mut self, at: UnixMs) {
         self.from = self.from.min(at);
         self.to = self.to.max(at);
@@ -122,83 +122,83 @@
     }
 }
 
-/// A change to what was billed, as a record of its own.
+/// A change to billed usage, recorded separately from the entries.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Correction {
-    /// When it was made.
+    /// Time at which the correction was made.
     pub at: UnixMs,
-    /// Its idempotency key: a correction that is requested twice is made once.
+    /// Idempotency key: a repeated request with the same key is not applied again.
     pub id: String,
-    /// The tenant whose account it changes.
+    /// The tenant whose account is corrected.
     pub tenant: String,
     /// The query class.
     pub class: String,
-    /// The period that was billed wrongly, as `2026-11`; it may be closed, and does not change.
+    /// The period that was billed wrongly, as `2026-11`. It may be closed; its own totals do not change.
     pub corrected_period: String,
-    /// Within the tenant's quota or beyond it.
+    /// Whether the corrected queries were within the tenant's quota.
     pub share: QuotaShare,
-    /// Added to the queries billed.
+    /// Added to the billed queries; negative to reduce them.
     pub queries: i64,
-    /// Added to the parts billed.
+    /// Added to the billed parts; negative to reduce them.
     pub parts: i64,
-    /// Added to the work billed, in thousandths of a unit.
+    /// Added to the billed work, in thousandths of a unit; negative to reduce it.
     pub work: i64,
-    /// Who made it.
+    /// Who made the correction; must not be blank.
     pub author: String,
-    /// Why it was made.
+    /// Why the correction was made; must not be blank.
     pub reason: String,
 }
 
 /// A record of the journal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Record {
-    /// A run of an aggregator begins.
+    /// Start of an aggregator's run.
     Open {
         /// The aggregator's name.
         aggregator: String,
-        /// The number of the run, counted from 1 in this ledger.
+        /// Number of the run in this ledger, counted from 1.
         epoch: u64,
-        /// When.
+        /// Time at which the run started.
         at: UnixMs,
     },
-    /// A run ends by a graceful shutdown, with all its entries stored.
+    /// Graceful shutdown of a run, with all its entries stored.
     End {
-        /// When.
+        /// Time at which the run ended.
         at: UnixMs,
     },
     /// A query with its final answer.
     Entry(Entry),
     /// Entries that could not be stored.
     Gap(Gap),
-    /// A change to what was billed.
+    /// A change to billed usage.
     Correction(Correction),
-    /// A period is closed.
+    /// Closing of a period.
     Close {
         /// The period, as `2026-11`.
         period: String,
-        /// When.
+        /// Time at which the period was closed.
         at: UnixMs,
     },
-    /// An export is about to be written.
+    /// Intent to write an export, recorded before its file.
     ExportIntent {
         /// The export's name.
         name: String,
-        /// The period that it covers.
+        /// The exported period, as `2026-11`.
         period: String,
-        /// The name of its format.
+        /// The name of its file format.
         format: String,
-        /// It covers the records after this sequence number,
+        /// Exclusive start of the exported range of sequence numbers.
         after: u64,
-        /// up to and including this one.
+        /// Inclusive end of the exported range of sequence numbers.
         up_to: u64,
     },
-    /// An export and its manifest are in place.
+    /// Completion of an export: its file and manifest are durable.
     ExportFinished {
         /// The export's name.
         name: String,
-        /// SHA-256 of its bytes, in hex.
+        /// SHA-256 of the exported file, in hex.
         hash: String,
-        /// When.
+        /// Time at which the export was finished.
         at: UnixMs,
     },
 }
--- a/src/ledger/request.rs
+++ b/src/ledger/request.rs
@@ -1,9 +1,9 @@
-//! Requests of operators to the owner of a ledger, and the files in which they travel. A command that finds an
-//! aggregator owning the ledger leaves its request as a file in the directory and waits for a file with the reply;
-//! [`Store::process_requests`](super::Store::process_requests) is the other end.
+//! Requests of operators to the process that owns a ledger, and the files in which they are sent. If an aggregator owns
+//! the ledger, a command writes its request to a file in the ledger's directory and waits for a reply file.
+//! [`Store::process_requests`](super::Store::process_requests) is the receiving side.
 //!
-//! A request may be met again after a crash, so each is idempotent: a correction has an idempotency key, a closed
-//! period stays closed, an export covers what is new.
+//! A request may be processed again after a crash, so each is idempotent: a correction has an idempotency key, a closed
+//! period stays closed, and an export covers only records that were not exported before.
 
 use super::UnixMs;
 use super::export_format::Format;
@@ -13,7 +13,7 @@
 use std::error::Error;
 use std::fmt;
 
-/// Longest text of a request, in bytes.
+/// Maximum length of a text field of a request, in bytes.
 const MAX_TEXT_BYTES: usize = 1024;
 
 const REQUEST_PREFIX: &str = "request-";
@@ -22,37 +22,37 @@
 /// A request to the owner of a ledger.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Request {
-    /// Correct what was billed.
+    /// Record a correction.
     Correct(Correction),
-    /// Close a period.
+    /// Close a period that has ended.
     Close(Period),
-    /// Export what is new in a period.
+    /// Export the records of a period that were not exported before.
     Export(Period, Format),
 }
 
 /// Why the content of a request file was rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestError {
-    /// The file is not UTF-8, or too long.
-    NotText,
-    /// The content is not JSON; with the parser's message.
+    /// The file is not valid UTF-8 or is too long.
+    InvalidFile,
+    /// The content is not valid JSON; holds the parser's message.
     NotJson(String),
-    /// A field is missing, is no text, or is too long.
+    /// A field is missing, is not a string, or is too long; holds the field's name.
     InvalidText(&'static str),
-    /// A field is missing or is no whole number.
+    /// A field is missing or is not an integer; holds the field's name.
     InvalidNumber(&'static str),
-    /// A period is invalid.
+    /// The period is malformed.
     InvalidPeriod(ParsePeriodError),
-    /// There is no such export format.
+    /// The export format is unknown.
     UnknownFormat(String),
-    /// There is no such request.
+    /// The kind of request is unknown.
     UnknownRequest(String),
 }
 
 impl fmt::Display for RequestError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NotText => f.write_str("is no text, or too long"),
+            Self::InvalidFile => f.write_str("is no text, or too long"),
             Self::NotJson(message) => f.write_str(message),
             Self::InvalidText(field) => write!(f, "{field} must be a text of at most 1,024 bytes"),
             Self::InvalidNumber(field) => write!(f, "{field} must be a whole number"),
@@ -71,22 +71,22 @@
     }
 }
 
-/// The name of a request's file; `id` must be unique in the directory.
+/// The file name of a request; `id` must be unique in the directory.
 pub fn request_file_name(id: &str) -> String {
     format!("{REQUEST_PREFIX}{id}{REQUEST_SUFFIX}")
 }
 
-/// The name of the file with the reply to a request.
+/// The file name of the reply to a request.
 pub fn reply_file_name(id: &str) -> String {
     format!("reply-{id}.json")
 }
 
-/// Whether a file is a request, complete or still being written by the command that makes it.
+/// Whether a file holds a request, either complete or still being written by a command.
 pub(super) fn is_request(name: &str) -> bool {
     name.starts_with(REQUEST_PREFIX)
 }
 
-/// The id of the complete request in a file of that name.
+/// The id of a complete request, from its file name; `None` for other files.
 pub(super) fn request_id(name: &str) -> Option<&str> {
     name.strip_prefix(REQUEST_PREFIX)?.strip_suffix(REQUEST_SUFFIX)
 }
@@ -116,10 +116,10 @@
         format!("{object}\n")
     }
 
-    /// Reads the content of a request file; a correction is made at `now`.
+    /// Parses the content of a request file; `now` becomes the time of a correction.
     ///
     /// # Errors
-    /// The text is no JSON, or a field of it is missing or invalid.
+    /// The text is not valid JSON, or a field is missing or invalid.
     pub fn from_json(text: &str, now: UnixMs) -> Result<Self, RequestError> {
         let value = serde_json::from_str(text).map_err(|error| RequestError::NotJson(error.to_string()))?;
         let fields = Fields(value);
@@ -136,7 +136,7 @@
     }
 }
 
-/// The fields of a request as they were read.
+/// The parsed JSON object of a request.
 struct Fields(Value);
 
 impl Fields {
@@ -168,26 +168,26 @@
     }
 }
 
-/// What a request achieved. Its text is what the command line prints.
+/// The result of a successful request. The command line prints its `Display` text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// A correction is in the ledger.
+    /// The correction is in the ledger.
     Corrected {
         /// The sequence number of its record.
         sequence: u64,
         /// The period in which it is billed.
         period: Period,
     },
-    /// A period is closed.
+    /// The period was closed.
     Closed(Period),
-    /// An export is in place.
+    /// The export is complete and durable.
     Exported {
-        /// The name of its file.
+        /// The file name of the export.
         file: String,
-        /// SHA-256 of its bytes, in hex.
+        /// SHA-256 of the file, in hex.
         hash: String,
     },
-    /// Nothing changed in the period since its last export.
+    /// The period has not changed since its last export.
     NothingToExport(Period),
 }
 
@@ -207,9 +207,9 @@
 /// The reply to a request, for the operator who made it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// It was done; with the text of its [`RequestOutcome`].
+    /// The request succeeded; holds the text of its [`RequestOutcome`].
     Done(String),
-    /// It was rejected; with the reason.
+    /// The request was rejected; holds the reason.
     Rejected(String),
 }
 
@@ -223,10 +223,10 @@
         format!("{object}\n")
     }
 
-    /// Reads the content of a reply file.
+    /// Parses the content of a reply file.
     ///
     /// # Errors
-    /// The text is no JSON.
+    /// The text is not valid JSON.
     pub fn from_json(text: &str) -> Result<Self, serde_json::Error> {
         let value: Value = serde_json::from_str(text)?;
         if let Some(text) = value["done"].as_str() {
--- a/src/ledger/store/compaction.rs
+++ b/src/ledger/store/compaction.rs
@@ -1,4 +1,4 @@
-//! Removes segments that nobody needs any more, so that the disk stays bounded.
+//! Removes segments that are no longer needed, which limits the ledger's disk usage.
 
 use super::super::book::PeriodState;
 use super::super::disk::Disk;
@@ -8,8 +8,8 @@
 use super::{Store, file_names, recovery};
 
 impl<D: Disk> Store<D> {
-    /// Removes the oldest sealed segments whose entries are all in periods that are closed and exported, and the
-    /// snapshots that only they needed. Returns the number of segments removed.
+    /// Removes the oldest sealed segments whose entries are all in closed and exported periods, and the snapshots that
+    /// are only needed with them. Returns the number of removed segments.
     ///
     /// # Errors
     /// The disk failed, or a sealed segment is damaged.
@@ -31,7 +31,7 @@
         Ok(removed)
     }
 
-    /// Billed periods that are open or not exported yet.
+    /// Periods with billing lines that are open or not yet exported.
     fn unfinished_periods(&self) -> Vec<Period> {
         let is_exported = |period: &Period| {
             let period = period.to_string();
@@ -43,7 +43,7 @@
         periods.filter(is_unfinished).collect()
     }
 
-    /// Whether a segment holds an entry that belongs to, or is billed in, an unfinished period.
+    /// Whether a segment contains an entry that was made or is billed in an unfinished period.
     fn is_segment_needed(&self, first: u64, unfinished: &[Period]) -> Result<bool, LedgerError> {
         let scanned = recovery::scan_segment(&self.disk, &file_names::segment(first), first, false)?;
         let is_needed = |record: &Record| {
@@ -55,7 +55,7 @@
         Ok(scanned.records.iter().any(|scanned| is_needed(&scanned.record)))
     }
 
-    /// Removes the snapshots that precede the one on which the oldest segment builds.
+    /// Removes the snapshots that are older than the one directly before the oldest segment.
     fn remove_snapshots_before(&mut self, oldest_segment: u64) -> Result<(), LedgerError> {
         let names = self.disk.list()?;
         for sequence in file_names::snapshot_sequences(&names) {
--- a/src/ledger/store/exports.rs
+++ b/src/ledger/store/exports.rs
@@ -1,6 +1,6 @@
-//! Writes exports in steps: the intent in the journal, the file, its manifest, then a record that it is done. A crash
-//! between two steps is repaired at the next start under the same name and with the same bytes, so that whoever bills
-//! can take an export's name as an idempotency key.
+//! Writes exports in steps: the intent in the journal, the file, its manifest, then a completion record. After a crash
+//! between two steps, the export is completed at the next start with the same name and the same bytes, so that billing
+//! systems can use an export's name as an idempotency key.
 
 use super::super::UnixMs;
 use super::super::book::{ExportRecord, SequenceRange};
@@ -16,10 +16,10 @@
 use sha2::{Digest, Sha256};
 
 impl<D: Disk> Store<D> {
-    /// Exports what is new in a period since its last export; `None` if nothing is.
+    /// Exports the records of a period since its last export; `None` if there are none.
     ///
     /// # Errors
-    /// The disk failed. If the intent was stored, the next export or start completes this one.
+    /// The disk failed. If the intent was stored, the next export or start completes this export.
     pub fn export(
         &mut self,
         period: Period,
@@ -30,24 +30,24 @@
         if let Some(interrupted) = interrupted {
             self.complete_export(&interrupted, now)?;
         }
-        let Some(begun) = self.book.next_export(period, format.as_str()) else {
+        let Some(started) = self.book.next_export(period, format.as_str()) else {
             return Ok(None);
         };
-        let SequenceRange { after, up_to } = begun.range;
+        let SequenceRange { after, up_to } = started.range;
         let intent = Record::ExportIntent {
-            name: begun.name.clone(),
-            period: begun.period.clone(),
-            format: begun.format.clone(),
+            name: started.name.clone(),
+            period: started.period.clone(),
+            format: started.format.clone(),
             after,
             up_to,
         };
         self.append(&[intent])?;
         self.commit()?;
-        self.complete_export(&begun, now)?;
-        Ok(self.book.exports().iter().find(|export| export.name == begun.name).cloned())
+        self.complete_export(&started, now)?;
+        Ok(self.book.exports().iter().find(|export| export.name == started.name).cloned())
     }
 
-    /// Completes all exports that a crash interrupted and returns their number.
+    /// Completes all exports that were interrupted by a crash and returns their number.
     pub(super) fn complete_interrupted_exports(&mut self, now: UnixMs) -> Result<usize, LedgerError> {
         let exports = self.book.exports().iter();
         let interrupted: Vec<ExportRecord> =
@@ -58,25 +58,25 @@
         Ok(interrupted.len())
     }
 
-    /// Writes an export whose intent is in the journal: the file, its manifest, and the record that it is done.
-    fn complete_export(&mut self, begun: &ExportRecord, now: UnixMs) -> Result<(), LedgerError> {
-        let content = self.export_content(begun)?;
-        let Some(format) = Format::from_name(&begun.format) else {
-            return Err(LedgerError::UnknownFormat(begun.format.clone()));
+    /// Completes an export whose intent is in the journal: writes the file, its manifest and the completion record.
+    fn complete_export(&mut self, started: &ExportRecord, now: UnixMs) -> Result<(), LedgerError> {
+        let content = self.export_content(started)?;
+        let Some(format) = Format::from_name(&started.format) else {
+            return Err(LedgerError::UnknownFormat(started.format.clone()));
         };
         let bytes = render(&content, format)?;
         let hash = hex::encode(&Sha256::digest(&bytes));
         let manifest = content.manifest(&hash).to_json();
-        self.place_file(&begun.file_name(), &bytes)?;
-        self.place_file(&format!("{}.manifest.json", begun.name), manifest.as_bytes())?;
-        self.append(&[Record::ExportFinished { name: begun.name.clone(), hash, at: now }])?;
+        self.write_file_atomically(&started.file_name(), &bytes)?;
+        self.write_file_atomically(&format!("{}.manifest.json", started.name), manifest.as_bytes())?;
+        self.append(&[Record::ExportFinished { name: started.name.clone(), hash, at: now }])?;
         self.commit()
     }
 
-    /// The content of an export: the same at any time, since its records never change.
-    fn export_content(&self, begun: &ExportRecord) -> Result<Export, LedgerError> {
-        let mut content = Export::new(begun);
-        let SequenceRange { after, up_to } = begun.range;
+    /// Collects the content of an export. The result is always the same, since the records never change.
+    fn export_content(&self, started: &ExportRecord) -> Result<Export, LedgerError> {
+        let mut content = Export::new(started);
+        let SequenceRange { after, up_to } = started.range;
         recovery::load(&self.disk, self.book.calendar(), Start::FirstRecord, |sequence, record, book| {
             if sequence > after && sequence <= up_to {
                 content.add(sequence, record, book);
--- a/src/ledger/store/file_names.rs
+++ b/src/ledger/store/file_names.rs
@@ -1,36 +1,36 @@
-//! Names of the files in a ledger's directory.
+//! File names in a ledger's directory.
 
 use super::super::request::is_request;
 
-/// The end of the names of files that are being written.
+/// File name suffix of files that are being written.
 const TEMPORARY_SUFFIX: &str = ".tmp";
 
-/// The segment that begins with that sequence number.
+/// The file name of the segment that begins with a sequence number.
 pub(super) fn segment(first_sequence: u64) -> String {
     format!("seg-{first_sequence:020}.log")
 }
 
-/// The snapshot of the book after that sequence number.
+/// The file name of the snapshot that includes all records up to a sequence number.
 pub(super) fn snapshot(sequence: u64) -> String {
     format!("snap-{sequence:020}.bin")
 }
 
-/// The name under which a file is written before it is renamed to its own.
+/// The temporary name of a file, which is renamed when it is complete.
 pub(super) fn temporary(name: &str) -> String {
     format!("{name}{TEMPORARY_SUFFIX}")
 }
 
-/// A file that a crash left half written. Requests are written by other processes and are not ours to remove.
+/// Whether a file was left incomplete by a crash. Request files do not count: other processes may be writing them.
 pub(super) fn is_temporary(name: &str) -> bool {
     name.ends_with(TEMPORARY_SUFFIX) && !is_request(name)
 }
 
-/// The sequence numbers in the names of snapshots, ascending.
+/// The sequence numbers of all snapshots, ascending.
 pub(super) fn snapshot_sequences(names: &[String]) -> Vec<u64> {
     sequences(names, "snap-", ".bin")
 }
 
-/// The first sequence numbers in the names of segments, ascending.
+/// The first sequence numbers of all segments, ascending.
 pub(super) fn segment_sequences(names: &[String]) -> Vec<u64> {
     sequences(names, "seg-", ".log")
 }
--- a/src/ledger/store/mod.rs
+++ b/src/ledger/store/mod.rs
@@ -1,9 +1,9 @@
-//! A ledger on a [`Disk`]. A concern each: `recovery` reads what a directory holds, `segments` appends records and
-//! makes them durable, `snapshot` saves the book so that a start reads few records, `compaction` removes what is
-//! no longer needed, `exports` writes exports in steps of which each may be the last before a crash, `requests`
-//! carries out what operators ask for.
+//! A ledger on a [`Disk`]. Each submodule has one job: `recovery` reads the files of a directory, `segments` appends
+//! records and makes them durable, `snapshot` saves the book so that opening a ledger reads few records, `compaction`
+//! removes segments that are no longer needed, `exports` writes exports in steps that tolerate a crash after any of
+//! them, and `requests` processes the requests of operators.
 //!
-//! The writer's thread owns the store of a running aggregator; the command line owns it where no aggregator runs.
+//! While an aggregator runs, its writer thread owns the store; otherwise a command may own it.
 
 mod compaction;
 mod exports;
@@ -30,18 +30,18 @@
     options: Options,
     book: Book,
     segment: ActiveSegment,
-    /// A write or sync failed: it is unknown what the segment holds behind its synced bytes.
+    /// A write or sync failed: the content of the segment after its synced bytes is unknown.
     write_failed: bool,
-    /// Encoded frames of one append; kept for its allocation.
+    /// Buffer for the encoded frames of one append; kept to reuse its allocation.
     frames: Vec<u8>,
 }
 
 impl<D: Disk> Store<D> {
-    /// Opens a ledger: cuts a torn tail, begins a run, and completes exports that a crash interrupted. `aggregator`
-    /// names the one that writes.
+    /// Opens a ledger: truncates a torn tail, begins a run, and completes exports that were interrupted by a crash.
+    /// `aggregator` is the name of the aggregator that writes.
     ///
     /// # Errors
-    /// The disk failed, or a file is damaged before its torn tail; in the latter case nothing was changed.
+    /// The disk failed, or a file is damaged before its torn tail. In the latter case nothing was changed.
     pub fn open(
         disk: D,
         calendar: Calendar,
@@ -62,7 +62,7 @@
         store.remove_temporary_files()?;
         if let Some(last) = loaded.last_segment {
             recovery.torn_bytes = last.torn_bytes;
-            store.adopt_segment(last)?;
+            store.resume_segment(last)?;
         }
         store.begin_run(aggregator, now)?;
         recovery.completed_exports = store.complete_interrupted_exports(now)?;
@@ -78,7 +78,7 @@
         Ok(())
     }
 
-    /// Records that a run begins, and before that what the last run may have lost if it was killed.
+    /// Records the start of a run, preceded by a gap if the last run was killed and may have lost entries.
     fn begin_run(&mut self, aggregator: &str, now: UnixMs) -> Result<(), LedgerError> {
         let mut records = Vec::new();
         let window = self.options.loss_window_ms;
@@ -102,10 +102,10 @@
         &self.book
     }
 
-    /// Closes a period: nothing more is billed in it.
+    /// Closes a period: no further queries or corrections are billed in it.
     ///
     /// # Errors
-    /// The disk failed, or the period is not over or is closed already.
+    /// The disk failed, or the period has not ended or is already closed.
     pub fn close(&mut self, period: Period, now: UnixMs) -> Result<(), LedgerError> {
         if self.book.period_state(period) == PeriodState::Closed {
             return Err(LedgerError::PeriodClosed(period));
@@ -117,7 +117,7 @@
         self.commit()
     }
 
-    /// Corrects what was billed, in the period that is open now.
+    /// Records a correction, which is billed in the period that is open at the time of the correction.
     ///
     /// # Errors
     /// The disk failed, or the correction lacks an author, a reason or a valid period.
@@ -130,7 +130,7 @@
         self.commit()
     }
 
-    /// Records entries that could not be stored; the caller commits.
+    /// Records a gap for entries that could not be stored; the caller commits.
     ///
     /// # Errors
     /// The disk failed.
@@ -138,16 +138,16 @@
         self.append(&[Record::Gap(gap)])
     }
 
-    /// Ends a run by a graceful shutdown.
+    /// Records the end of a run at a graceful shutdown.
     ///
     /// # Errors
-    /// The disk failed: then the next run records that entries may be missing.
+    /// The disk failed; the next run then records that entries may be missing.
     pub fn end_run(&mut self, now: UnixMs) -> Result<(), LedgerError> {
         self.append(&[Record::End { at: now }])?;
         self.commit()
     }
 
-    /// Gives the disk back, for tests.
+    /// Returns the underlying disk; used by tests.
     pub fn into_disk(self) -> D {
         self.disk
     }
--- a/src/ledger/store/recovery.rs
+++ b/src/ledger/store/recovery.rs
@@ -1,4 +1,4 @@
-//! Reads what a directory holds, without changing it: the newest intact snapshot and all records behind it.
+//! Reads a ledger's directory without changing it: the newest intact snapshot and all records after it.
 
 use super::super::book::Book;
 use super::super::disk::Disk;
@@ -8,34 +8,34 @@
 use super::super::record::Record;
 use super::{file_names, snapshot};
 
-/// Where reading starts.
+/// The position at which reading starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Start {
-    /// At the newest snapshot.
+    /// The newest intact snapshot.
     NewestSnapshot,
-    /// At the first record that is still there; a snapshot stands only for records whose segments were compacted.
+    /// The first record that still exists. A snapshot is used only for records whose segments were compacted.
     FirstRecord,
 }
 
-/// All that a directory holds.
+/// The content of a ledger's directory.
 pub(super) struct Loaded {
     pub book: Book,
     pub last_segment: Option<LastSegment>,
-    /// Records read behind the snapshot.
+    /// Number of records read after the snapshot.
     pub records: u64,
 }
 
-/// The segment to which the next record belongs.
+/// The newest segment, to which the next record is appended.
 pub(super) struct LastSegment {
     pub name: String,
-    /// Length of its readable part.
+    /// Length of the readable part, in bytes.
     pub readable_bytes: usize,
-    /// Length of the torn tail behind that.
+    /// Length of the torn tail after the readable part, in bytes.
     pub torn_bytes: usize,
 }
 
-/// Reads a ledger without owning it, from its first record if that is still there. `each` gets every record with its
-/// sequence number and the book after it.
+/// Reads a ledger without locking it, from the first record that still exists. `each` is called for every record with
+/// its sequence number and the book after it.
 ///
 /// # Errors
 /// The disk failed, or a file is damaged or missing.
@@ -47,7 +47,7 @@
     load(disk, calendar, Start::FirstRecord, each).map(|loaded| loaded.book)
 }
 
-/// Reads a ledger; `each` gets every record behind the snapshot with its sequence number and the book after it.
+/// Reads a ledger. `each` is called for every record after the snapshot with its sequence number and the book after it.
 pub(super) fn load(
     disk: &impl Disk,
     calendar: &Calendar,
@@ -87,7 +87,7 @@
     Ok(Loaded { book, last_segment, records })
 }
 
-/// Reads one segment.
+/// Reads and decodes one segment.
 pub(super) fn scan_segment(
     disk: &impl Disk,
     name: &str,
@@ -99,7 +99,7 @@
         .map_err(|damage| LedgerError::Damaged { file: name.to_owned(), damage })
 }
 
-/// The book of the newest snapshot that is intact and may be used; an empty book if there is none.
+/// The book of the newest intact snapshot that `start` allows; an empty book if there is none.
 fn load_snapshot(
     disk: &impl Disk,
     calendar: &Calendar,
@@ -124,10 +124,16 @@
     Ok(Book::new(calendar.clone()))
 }
 
-/// Records that are in no file: between the book and a segment, or between that segment and the next.
-fn missing_records(scanned: &ScannedSegment, taken: u64, first: u64, next: Option<u64>) -> Option<Damage> {
-    if first > taken + 1 {
-        let kind = DamageKind::MissingBefore { first: taken + 1, last: first - 1 };
+/// Finds missing records: between the book, which ends at `last_applied`, and a segment, or between that segment and
+/// the next one.
+fn missing_records(
+    scanned: &ScannedSegment,
+    last_applied: u64,
+    first: u64,
+    next: Option<u64>,
+) -> Option<Damage> {
+    if first > last_applied + 1 {
+        let kind = DamageKind::MissingBefore { first: last_applied + 1, last: first - 1 };
         return Some(Damage { offset: 0, kind });
     }
     let expected = first + scanned.records.len() as u64;
--- a/src/ledger/store/requests.rs
+++ b/src/ledger/store/requests.rs
@@ -1,4 +1,4 @@
-//! Carries out requests of operators: given by a command that owns the ledger, or left as files for the owner.
+//! Processes requests of operators, made either directly by a command that owns the ledger or as files for the owner.
 
 use super::super::UnixMs;
 use super::super::disk::Disk;
@@ -9,16 +9,17 @@
 };
 use super::Store;
 
-/// Requests carried out at a time. It bounds the pause of the writer if somebody fills the directory.
+/// Maximum number of requests processed at a time, so that a directory full of requests does not block the writer for
+/// long.
 const MAX_REQUESTS: usize = 64;
-/// Longest request file, in bytes.
+/// Maximum length of a request file, in bytes.
 const MAX_REQUEST_BYTES: usize = 64 << 10;
 
 impl<D: Disk> Store<D> {
-    /// Carries out a request.
+    /// Performs a request.
     ///
     /// # Errors
-    /// The disk failed, or the request is not possible.
+    /// The disk failed, or the request cannot be performed in the ledger's current state.
     pub fn perform(&mut self, request: Request, now: UnixMs) -> Result<RequestOutcome, LedgerError> {
         match request {
             Request::Correct(correction) => self.correct_once(correction),
@@ -36,35 +37,35 @@
         }
     }
 
-    /// Makes a correction unless one with its idempotency key is in the ledger.
+    /// Records a correction unless the ledger already contains one with its idempotency key.
     fn correct_once(&mut self, correction: Correction) -> Result<RequestOutcome, LedgerError> {
-        let made = self.book.corrections().iter().find(|made| made.correction.id == correction.id);
-        if let Some(made) = made {
-            return Ok(RequestOutcome::Corrected { sequence: made.sequence, period: made.billed_in });
+        let existing = self.book.corrections().iter().find(|billed| billed.correction.id == correction.id);
+        if let Some(existing) = existing {
+            return Ok(RequestOutcome::Corrected { sequence: existing.sequence, period: existing.billed_in });
         }
         let (period, _) = self.book.billed_in(correction.at);
         self.correct(correction)?;
         Ok(RequestOutcome::Corrected { sequence: self.book.sequence, period })
     }
 
-    /// Carries out the requests that lie in the directory and writes the replies. Returns the number of requests.
+    /// Performs the requests in the directory and writes the replies. Returns the number of processed requests.
     ///
     /// # Errors
-    /// The disk failed; requests without a reply stay. A request that is invalid or not possible is no error: its reply
-    /// says so.
+    /// The disk failed; requests without a reply remain in the directory. An invalid or impossible request is not an
+    /// error here: its reply contains the reason.
     pub fn process_requests(&mut self, now: UnixMs) -> Result<usize, LedgerError> {
         let names = self.disk.list()?;
         let ids: Vec<&str> = names.iter().filter_map(|name| request_id(name)).take(MAX_REQUESTS).collect();
         for id in &ids {
             let bytes = self.disk.read(&request_file_name(id))?;
             let reply = self.reply_to(bytes, now)?;
-            self.place_file(&reply_file_name(id), reply.to_json().as_bytes())?;
+            self.write_file_atomically(&reply_file_name(id), reply.to_json().as_bytes())?;
             self.disk.remove(&request_file_name(id))?;
         }
         Ok(ids.len())
     }
 
-    /// Carries out the request in a file. Only a failing disk is an error, since the request may succeed later.
+    /// Performs the request in a file. Only a disk failure is an error, since the request may succeed later.
     fn reply_to(&mut self, file: Vec<u8>, now: UnixMs) -> Result<Reply, LedgerError> {
         let request = match parse_request(file, now) {
             Ok(request) => request,
@@ -79,9 +80,9 @@
 }
 
 fn parse_request(file: Vec<u8>, now: UnixMs) -> Result<Request, RequestError> {
-    let text = String::from_utf8(file).map_err(|_| RequestError::NotText)?;
+    let text = String::from_utf8(file).map_err(|_| RequestError::InvalidFile)?;
     if text.len() > MAX_REQUEST_BYTES {
-        return Err(RequestError::NotText);
+        return Err(RequestError::InvalidFile);
     }
     Request::from_json(&text, now)
 }
--- a/src/ledger/store/segments.rs
+++ b/src/ledger/store/segments.rs
@@ -1,4 +1,4 @@
-//! Appends records to the active segment, makes them durable, and begins a new segment when one is full.
+//! Appends records to the active segment, makes them durable, and starts a new segment when the active one is full.
 
 use super::super::disk::Disk;
 use super::super::error::LedgerError;
@@ -7,27 +7,27 @@
 use super::recovery::{self, LastSegment, Start};
 use super::{Store, file_names, snapshot};
 
-/// The segment that is written.
+/// The segment to which records are appended.
 #[derive(Default)]
 pub(super) struct ActiveSegment {
     name: String,
-    /// Bytes written; 0 before the first segment is begun.
+    /// Number of bytes written; 0 before the first segment is started.
     length: usize,
-    /// Bytes known to be durable.
+    /// Number of bytes known to be durable.
     synced: usize,
 }
 
 impl ActiveSegment {
-    fn is_begun(&self) -> bool {
+    fn is_started(&self) -> bool {
         self.length > 0
     }
 }
 
 impl<D: Disk> Store<D> {
-    /// Goes on in the last segment of an earlier run, without its torn tail.
-    pub(super) fn adopt_segment(&mut self, last: LastSegment) -> Result<(), LedgerError> {
+    /// Continues the last segment of an earlier run after truncating its torn tail.
+    pub(super) fn resume_segment(&mut self, last: LastSegment) -> Result<(), LedgerError> {
         if last.readable_bytes < journal::HEADER_BYTES {
-            // Not even its header was durable: the next append begins it again.
+            // Not even the header was durable: the next append creates the segment again.
             return Ok(self.disk.remove(&last.name)?);
         }
         if last.torn_bytes > 0 {
@@ -42,13 +42,13 @@
     /// Appends records to the segment; [`Store::commit`] makes them durable.
     ///
     /// # Errors
-    /// The disk failed. None of the records is in the book, and the next call first cuts the segment to its synced
+    /// The disk failed. None of the records is in the book, and the next call first truncates the segment to its synced
     /// bytes.
     pub fn append(&mut self, records: &[Record]) -> Result<(), LedgerError> {
         if self.write_failed {
             self.discard_unsynced()?;
         }
-        if !self.segment.is_begun() || self.segment.length >= self.options.segment_bytes {
+        if !self.segment.is_started() || self.segment.length >= self.options.segment_bytes {
             self.roll_segment()?;
         }
         self.frames.clear();
@@ -70,8 +70,8 @@
     /// Makes all records appended so far durable.
     ///
     /// # Errors
-    /// The disk failed. It is unknown what was stored since the last commit: the caller appends it again, and the next
-    /// append sets the book back to that commit.
+    /// The disk failed. It is unknown which records were stored since the last commit: the caller appends them again,
+    /// and the next append resets the book to that commit.
     pub fn commit(&mut self) -> Result<(), LedgerError> {
         if self.segment.synced == self.segment.length {
             return Ok(());
@@ -84,7 +84,7 @@
         Ok(())
     }
 
-    /// After a failed write: cuts the segment to its synced bytes and reads the book anew.
+    /// Recovers from a failed write: truncates the segment to its synced bytes and reloads the book.
     fn discard_unsynced(&mut self) -> Result<(), LedgerError> {
         self.disk.truncate(&self.segment.name, self.segment.synced as u64)?;
         self.disk.sync(&self.segment.name)?;
@@ -95,23 +95,23 @@
         Ok(())
     }
 
-    /// Seals the segment, if one is begun, with a snapshot of the book, and begins the next one.
+    /// Seals the active segment, if any, by writing a snapshot of the book, and starts the next segment.
     fn roll_segment(&mut self) -> Result<(), LedgerError> {
-        if self.segment.is_begun() {
+        if self.segment.is_started() {
             self.commit()?;
             let snapshot = snapshot::encode(&self.book);
-            self.place_file(&file_names::snapshot(self.book.sequence), &snapshot)?;
+            self.write_file_atomically(&file_names::snapshot(self.book.sequence), &snapshot)?;
         }
         let first_sequence = self.book.sequence + 1;
         let name = file_names::segment(first_sequence);
-        // A crash or a failed write may have left a file of that name, with no synced record in it.
+        // A crash or a failed write may have left a file with that name, which contains no synced record.
         self.write_file(&name, &journal::segment_header(first_sequence))?;
         self.disk.sync_directory()?;
         self.segment = ActiveSegment { name, length: journal::HEADER_BYTES, synced: journal::HEADER_BYTES };
         Ok(())
     }
 
-    /// Writes and syncs a file, in place of any file of that name; a crash may leave a part of it.
+    /// Writes and syncs a file, replacing any file with that name. A crash may leave it incomplete.
     fn write_file(&mut self, name: &str, bytes: &[u8]) -> Result<(), LedgerError> {
         if self.disk.list()?.iter().any(|existing| existing == name) {
             self.disk.remove(name)?;
@@ -120,8 +120,8 @@
         Ok(self.disk.sync(name)?)
     }
 
-    /// Puts a file under its name atomically and durably: a crash leaves the whole file or none.
-    pub(super) fn place_file(&mut self, name: &str, bytes: &[u8]) -> Result<(), LedgerError> {
+    /// Writes a file atomically and durably: after a crash it is either complete or absent.
+    pub(super) fn write_file_atomically(&mut self, name: &str, bytes: &[u8]) -> Result<(), LedgerError> {
         let temporary = file_names::temporary(name);
         self.write_file(&temporary, bytes)?;
         self.disk.rename(&temporary, name)?;
--- a/src/ledger/store/snapshot.rs
+++ b/src/ledger/store/snapshot.rs
@@ -1,5 +1,5 @@
-//! The binary format of a snapshot: the book after some record, with a checksum in front. A damaged snapshot is skipped:
-//! an older one, or the records themselves, take its place.
+//! The binary format of a snapshot: the state of the book after some record, preceded by a checksum. A damaged snapshot
+//! is skipped, and an older one or the records themselves are read instead.
 
 use super::super::accounts::{Account, BillingLine, Usage};
 use super::super::book::{BilledCorrection, Book, ExportRecord, RecordedGap, SequenceRange};
@@ -7,19 +7,19 @@
 use super::super::period::Calendar;
 use super::super::record::Record;
 
-/// What a snapshot begins with; the last byte is the version of the format.
+/// Magic number at the start of a snapshot; the last byte is the format version.
 const MAGIC: &[u8; 8] = b"SMXSNAP\x01";
-/// Bytes of the checksum behind [`MAGIC`].
+/// Length of the checksum after [`MAGIC`], in bytes.
 const CHECKSUM_BYTES: usize = 4;
 
-/// The byte that tells the kind of an account. These numbers are stored.
+/// The byte that identifies the kind of an account. These values are stored on disk.
 mod account_kind {
     pub const TENANT: u8 = 0;
     pub const UNKNOWN: u8 = 1;
     pub const OTHERS: u8 = 2;
 }
 
-/// The snapshot of a book.
+/// Encodes a book as a snapshot.
 pub(super) fn encode(book: &Book) -> Vec<u8> {
     let mut fields = Vec::new();
     encode_position(&mut fields, book);
@@ -32,7 +32,7 @@
     [MAGIC.as_slice(), &checksum, &fields].concat()
 }
 
-/// The book of a snapshot; `None` if it is damaged or of another version.
+/// Decodes a snapshot; `None` if it is damaged or has an unknown version.
 pub(super) fn decode(bytes: &[u8], calendar: &Calendar) -> Option<Book> {
     let content = bytes.strip_prefix(MAGIC)?;
     let (checksum, fields) = content.split_at_checked(CHECKSUM_BYTES)?;
@@ -50,12 +50,12 @@
     fields.is_at_end().then_some(book)
 }
 
-fn encode_position(into: &mut Vec<u8>, book: &Book) {
-    put_number(into, book.sequence);
-    put_text(into, &book.aggregator);
-    put_number(into, book.epoch);
-    put_signed(into, book.latest_entry);
-    into.push(u8::from(book.ended_gracefully));
+fn encode_position(output: &mut Vec<u8>, book: &Book) {
+    put_number(output, book.sequence);
+    put_text(output, &book.aggregator);
+    put_number(output, book.epoch);
+    put_signed(output, book.latest_entry);
+    output.push(u8::from(book.ended_gracefully));
 }
 
 fn decode_position(fields: &mut FieldReader<'_>, book: &mut Book) -> Option<()> {
@@ -67,34 +67,34 @@
     Some(())
 }
 
-fn encode_totals(into: &mut Vec<u8>, book: &Book) {
-    put_number(into, book.totals.len() as u64);
-    for (line, sums) in &book.totals {
-        encode_line(into, line);
-        encode_sums(into, sums);
+fn encode_totals(output: &mut Vec<u8>, book: &Book) {
+    put_number(output, book.totals.len() as u64);
+    for (line, usage) in &book.totals {
+        encode_line(output, line);
+        encode_usage(output, usage);
     }
 }
 
 fn decode_totals(fields: &mut FieldReader<'_>, book: &mut Book) -> Option<()> {
     for _ in 0..fields.number()? {
         let line = decode_line(fields)?;
-        let sums = decode_sums(fields)?;
-        book.totals.insert(line, sums);
+        let usage = decode_usage(fields)?;
+        book.totals.insert(line, usage);
     }
     Some(())
 }
 
-fn encode_line(into: &mut Vec<u8>, line: &BillingLine) {
-    put_text(into, &line.period.to_string());
+fn encode_line(output: &mut Vec<u8>, line: &BillingLine) {
+    put_text(output, &line.period.to_string());
     let (kind, name) = match &line.account {
         Account::Tenant(name) => (account_kind::TENANT, name.as_str()),
         Account::Unknown(name) => (account_kind::UNKNOWN, name.as_str()),
         Account::Others => (account_kind::OTHERS, ""),
     };
-    into.push(kind);
-    put_text(into, name);
-    put_text(into, &line.class);
-    into.push(line.share as u8);
+    output.push(kind);
+    put_text(output, name);
+    put_text(output, &line.class);
+    output.push(line.share as u8);
 }
 
 fn decode_line(fields: &mut FieldReader<'_>) -> Option<BillingLine> {
@@ -111,20 +111,20 @@
     Some(BillingLine { period, account, class, share })
 }
 
-fn encode_sums(into: &mut Vec<u8>, sums: &Usage) {
-    put_number(into, sums.queries);
-    put_number(into, sums.billed);
-    put_number(into, sums.rejected);
-    put_number(into, sums.failed);
-    put_number(into, sums.requested_parts);
-    put_number(into, sums.parts);
-    put_number(into, sums.attempts);
-    put_number(into, sums.work);
-    put_number(into, sums.late);
+fn encode_usage(output: &mut Vec<u8>, usage: &Usage) {
+    put_number(output, usage.queries);
+    put_number(output, usage.billed);
+    put_number(output, usage.rejected);
+    put_number(output, usage.failed);
+    put_number(output, usage.requested_parts);
+    put_number(output, usage.parts);
+    put_number(output, usage.attempts);
+    put_number(output, usage.work);
+    put_number(output, usage.late);
 }
 
-/// The fields of the literal are evaluated in the order in which they are written, which is the stored order.
-fn decode_sums(fields: &mut FieldReader<'_>) -> Option<Usage> {
+/// Rust evaluates the fields of the struct literal in the order in which they are written: the stored order.
+fn decode_usage(fields: &mut FieldReader<'_>) -> Option<Usage> {
     Some(Usage {
         queries: fields.number()?,
         billed: fields.number()?,
@@ -138,11 +138,11 @@
     })
 }
 
-fn encode_unknown_tenants(into: &mut Vec<u8>, book: &Book) {
+fn encode_unknown_tenants(output: &mut Vec<u8>, book: &Book) {
     let names = &book.unknown_tenants.names;
-    put_number(into, names.len() as u64);
+    put_number(output, names.len() as u64);
     for name in names {
-        put_text(into, name);
+        put_text(output, name);
     }
 }
 
@@ -153,8 +153,8 @@
     Some(())
 }
 
-/// Corrections and gaps are stored as frames of the journal; the periods in which corrections are billed follow.
-fn encode_corrections_and_gaps(into: &mut Vec<u8>, book: &Book) {
+/// Corrections and gaps are stored as journal frames, followed by the periods in which the corrections are billed.
+fn encode_corrections_and_gaps(output: &mut Vec<u8>, book: &Book) {
     let mut frames = Vec::new();
     for billed in &book.corrections {
         journal::encode(&mut frames, billed.sequence, 0, &Record::Correction(billed.correction.clone()));
@@ -162,10 +162,10 @@
     for recorded in &book.gaps {
         journal::encode(&mut frames, recorded.sequence, 0, &Record::Gap(recorded.gap.clone()));
     }
-    put_bytes(into, &frames);
-    put_number(into, book.corrections.len() as u64);
+    put_bytes(output, &frames);
+    put_number(output, book.corrections.len() as u64);
     for billed in &book.corrections {
-        put_text(into, &billed.billed_in.to_string());
+        put_text(output, &billed.billed_in.to_string());
     }
 }
 
@@ -191,16 +191,16 @@
     Some(())
 }
 
-fn encode_periods(into: &mut Vec<u8>, book: &Book) {
-    put_number(into, book.closed_periods.len() as u64);
+fn encode_periods(output: &mut Vec<u8>, book: &Book) {
+    put_number(output, book.closed_periods.len() as u64);
     for (period, closed_at) in &book.closed_periods {
-        put_text(into, &period.to_string());
-        put_signed(into, *closed_at);
+        put_text(output, &period.to_string());
+        put_signed(output, *closed_at);
     }
-    put_number(into, book.last_changes.len() as u64);
+    put_number(output, book.last_changes.len() as u64);
     for (period, sequence) in &book.last_changes {
-        put_text(into, &period.to_string());
-        put_number(into, *sequence);
+        put_text(output, &period.to_string());
+        put_number(output, *sequence);
     }
 }
 
@@ -218,15 +218,15 @@
     Some(())
 }
 
-fn encode_exports(into: &mut Vec<u8>, book: &Book) {
-    put_number(into, book.exports.len() as u64);
+fn encode_exports(output: &mut Vec<u8>, book: &Book) {
+    put_number(output, book.exports.len() as u64);
     for export in &book.exports {
-        put_text(into, &export.name);
-        put_text(into, &export.period);
-        put_text(into, &export.format);
-        put_text(into, export.hash.as_deref().unwrap_or_default());
-        put_number(into, export.range.after);
-        put_number(into, export.range.up_to);
+        put_text(output, &export.name);
+        put_text(output, &export.period);
+        put_text(output, &export.format);
+        put_text(output, export.hash.as_deref().unwrap_or_default());
+        put_number(output, export.range.after);
+        put_number(output, export.range.up_to);
     }
 }
 
--- a/src/ledger/writer/event.rs
+++ b/src/ledger/writer/event.rs
@@ -1,20 +1,20 @@
-//! What the ledger's thread reports.
+//! Events of the ledger's thread.
 
 use super::super::record::Gap;
 
-/// An event of the ledger's thread, for the event loop and the log.
+/// An event of the ledger's thread, handled by the event loop and logged.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LedgerEvent {
-    /// All entries up to that number are durable, or recorded as lost.
+    /// All entries up to this number are durable or recorded as lost.
     Durable(u64),
-    /// The disk failed, for this reason. Entries are held, and lost beyond a bound.
+    /// Writing failed; holds the error message. Entries are buffered up to a limit, beyond which they are lost.
     WriteFailed(String),
-    /// The disk works again.
+    /// Writing succeeded again after a failure.
     Recovered,
-    /// Entries were lost; the gap is durable.
+    /// Entries were lost; holds the gap, which is durable.
     EntriesLost(Gap),
-    /// The period of that name was closed.
+    /// A period was closed; holds its name, such as `2026-11`.
     PeriodClosed(String),
-    /// The export of that name is in place.
+    /// An export is complete and durable; holds its name.
     ExportFinished(String),
 }
--- a/src/ledger/writer/lost.rs
+++ b/src/ledger/writer/lost.rs
@@ -1,20 +1,20 @@
-//! Lost entries that are not recorded yet, collected into one gap.
+//! Lost entries that are not yet recorded, combined into one gap.
 
 use super::super::UnixMs;
 use super::super::record::Gap;
 
-/// The gap that lost entries make up; none as long as nothing was lost.
+/// The gap of all lost entries that are not yet recorded; `None` if there are none.
 #[derive(Debug, Default)]
 pub(super) struct LostEntries {
     gap: Option<Gap>,
 }
 
 impl LostEntries {
-    /// Adds a lost entry. The reason counts for the first one of a gap.
+    /// Adds a lost entry. The gap keeps the reason of its first entry.
     pub fn add_entry(&mut self, at: UnixMs, reason: &str) {
         match &mut self.gap {
             Some(gap) => gap.add_entry(at),
-            None => self.gap = Some(Gap::of_one_entry(at, reason)),
+            None => self.gap = Some(Gap::from_entry(at, reason)),
         }
     }
 
@@ -37,7 +37,7 @@
         self.gap.as_ref()
     }
 
-    /// The gap, once it is recorded.
+    /// Removes the gap after it was recorded.
     pub fn take(&mut self) -> Option<Gap> {
         self.gap.take()
     }
--- a/src/ledger/writer/mod.rs
+++ b/src/ledger/writer/mod.rs
@@ -1,6 +1,6 @@
-//! The ledger's thread. Entries come through a bounded queue, are written in groups, and are reported as durable once
-//! they are synced. Whatever the disk does, the event loop that enqueues them never waits: entries that cannot be
-//! stored in time become a gap.
+//! The ledger's thread. It receives entries from a bounded queue, writes them in groups, and reports them as durable
+//! once they are synced. The event loop that enqueues them never waits for the disk: entries that cannot be stored in
+//! time are recorded as a gap.
 
 mod event;
 mod lost;
@@ -25,41 +25,41 @@
 use std::time::{Duration, Instant};
 use timers::Timers;
 
-/// Records held while the disk fails; entries beyond that become a gap.
+/// Maximum number of records buffered while the disk fails; further entries are recorded as a gap.
 const MAX_PENDING_RECORDS: usize = 65_536;
-/// Records of one append.
+/// Maximum number of records per append.
 const MAX_GROUP_RECORDS: usize = 4096;
-/// Time between attempts to write to a disk that fails.
+/// Time between write attempts while the disk fails.
 const RETRY_INTERVAL: Duration = Duration::from_millis(500);
-/// The reason of gaps that a failing disk causes.
+/// The stored reason of gaps caused by a failing disk.
 const DISK_FAILED: &str = "the disk failed for too long";
 
 /// The state of the ledger's thread.
 pub struct Writer<D, F> {
     store: Store<D>,
-    /// Takes events, on the ledger's thread.
+    /// Event handler, called on the ledger's thread.
     emit: F,
-    /// Time between two commits, which bounds the loss by a crash; zero commits each group at once (strict mode).
+    /// Time between two commits, which limits what a crash can lose; zero commits each group immediately (strict mode).
     commit_interval: Duration,
     /// Time between a period's end and its closing, in milliseconds.
     grace_ms: UnixMs,
-    /// The format in which periods are exported when they close.
+    /// The format in which periods are exported when they close; `None` exports on request only.
     export_format: Option<Format>,
-    /// Records that are not known to be durable.
+    /// Records that are not yet known to be durable.
     pending: VecDeque<NumberedRecord>,
-    /// How many of them, from the front, were appended since the last commit.
+    /// Number of pending records, from the front, that were appended since the last commit.
     appended: usize,
-    /// Entries that were lost and are not recorded yet.
+    /// Lost entries that are not yet recorded.
     lost: LostEntries,
-    /// When the last write failed, while the disk fails.
+    /// Time of the last failed write; `None` while the disk works.
     failed_at: Option<Instant>,
-    /// The number of the newest record taken.
+    /// The number of the newest accepted record.
     newest: u64,
 }
 
 impl<D: Disk, F: FnMut(LedgerEvent)> Writer<D, F> {
-    /// A writer for an open ledger. `commit_interval` zero commits each group at once, as strict mode requires; `emit`
-    /// is called on the thread that calls [`Writer::run`].
+    /// Creates a writer for an open ledger. With a `commit_interval` of zero, each group is committed immediately, as
+    /// strict mode requires. `emit` is called on the thread that calls [`Writer::run`].
     pub fn new(store: Store<D>, commit_interval: Duration, options: &Options, emit: F) -> Self {
         Writer {
             store,
@@ -75,18 +75,18 @@
         }
     }
 
-    /// Runs until the [`LedgerHandle`] is dropped, commits what was enqueued and ends the run. `now` reads the wall
-    /// clock.
-    pub fn run(mut self, intake: QueueReceiver, now: impl Fn() -> UnixMs) -> Store<D> {
+    /// Runs until the [`LedgerHandle`] is dropped, then commits the enqueued records and ends the run. `now` reads the
+    /// wall clock.
+    pub fn run(mut self, receiver: QueueReceiver, now: impl Fn() -> UnixMs) -> Store<D> {
         let mut timers = Timers::new();
         loop {
             let wake_at = timers.next_wake(self.failed_at.map(|failed_at| failed_at + RETRY_INTERVAL));
-            match intake.receive(wake_at) {
+            match receiver.receive(wake_at) {
                 Received::Record(record) => {
-                    self.accept_all(record, &intake);
+                    self.accept_all(record, &receiver);
                     timers.schedule_commit(self.commit_interval);
                 }
-                Received::Nothing => {}
+                Received::TimedOut => {}
                 Received::Disconnected => return self.finish(now()),
             }
             if self.is_flush_due(&timers) {
@@ -104,17 +104,17 @@
         }
     }
 
-    /// Takes a record and all others that are in the queue, up to the bound.
-    fn accept_all(&mut self, first: NumberedRecord, intake: &QueueReceiver) {
+    /// Accepts a record and all others in the queue, up to the limit of pending records.
+    fn accept_all(&mut self, first: NumberedRecord, receiver: &QueueReceiver) {
         self.accept(first);
         while self.pending.len() < MAX_PENDING_RECORDS
-            && let Some(next) = intake.try_receive()
+            && let Some(next) = receiver.try_receive()
         {
             self.accept(next);
         }
     }
 
-    /// While the disk fails, only the next attempt is due.
+    /// Whether to write now: when a commit is due or, while the disk fails, when the retry interval has passed.
     fn is_flush_due(&self, timers: &Timers) -> bool {
         match self.failed_at {
             Some(failed_at) => failed_at.elapsed() >= RETRY_INTERVAL,
@@ -130,7 +130,7 @@
         self.store
     }
 
-    /// Holds a record until it is durable; beyond the bound it is lost.
+    /// Buffers a record until it is durable; if the buffer is full, the record is lost.
     pub fn accept(&mut self, numbered: NumberedRecord) {
         self.newest = numbered.number;
         if self.pending.len() < MAX_PENDING_RECORDS {
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Writes and commits all records held.
+    /// Writes and commits all buffered records.
     pub fn flush(&mut self) {
         match self.try_flush() {
             Ok(()) => {
@@ -154,7 +154,7 @@
                 (self.emit)(LedgerEvent::Durable(self.newest));
             }
             Err(error) => {
-                // It is unknown what was stored since the last commit: all of it is appended again.
+                // It is unknown which records since the last commit were stored, so all of them are appended again.
                 self.appended = 0;
                 if self.failed_at.is_none() {
                     self.report_failure(&error);
@@ -187,7 +187,7 @@
         Ok(())
     }
 
-    /// Carries out the requests of operators, unless the disk fails.
+    /// Processes the requests of operators unless the disk fails.
     fn check_requests(&mut self, now: UnixMs) {
         if self.failed_at.is_some() {
             return;
@@ -197,7 +197,7 @@
         }
     }
 
-    /// Closes the periods that are due, exports them if that is configured, and compacts the ledger.
+    /// Closes the periods that are due, exports them if so configured, and compacts the ledger.
     pub fn close_due_periods(&mut self, now: UnixMs) {
         for period in self.store.book().due_periods(now, self.grace_ms) {
             match self.close_and_export(period, now) {
--- a/src/ledger/writer/queue.rs
+++ b/src/ledger/writer/queue.rs
@@ -6,20 +6,20 @@
 use std::time::Instant;
 
 /// Capacity of the queue, in records.
-const QUEUE_RECORDS: usize = 65_536;
-/// The reason of gaps that a full queue causes.
+const QUEUE_CAPACITY: usize = 65_536;
+/// The stored reason of gaps caused by a full queue.
 const QUEUE_FULL: &str = "entries came faster than they could be kept";
 
-/// A record and the number of the entry with which it was enqueued.
+/// A record and the number under which it was enqueued.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NumberedRecord {
-    /// Counted from 1 by [`LedgerHandle::enqueue`].
+    /// Entry number, counted from 1 by [`LedgerHandle::enqueue`]; a gap has the number of the entry that follows it.
     pub number: u64,
-    /// An entry, or a gap for entries that did not fit.
+    /// An entry, or a gap for entries that did not fit into the queue.
     pub record: Record,
 }
 
-/// The end of the queue where the event loop puts entries. Dropping it ends the ledger's thread.
+/// The sending end of the queue, used by the event loop. Dropping it ends the ledger's thread.
 pub struct LedgerHandle {
     sender: SyncSender<NumberedRecord>,
     /// The number of the newest entry.
@@ -27,30 +27,30 @@
     lost: LostEntries,
 }
 
-/// The end of the queue where the ledger's thread takes entries.
+/// The receiving end of the queue, used by the ledger's thread.
 pub struct QueueReceiver {
     receiver: Receiver<NumberedRecord>,
 }
 
-/// What came before a deadline.
+/// The result of waiting for a record until a deadline.
 pub(super) enum Received {
     Record(NumberedRecord),
     /// The deadline passed.
-    Nothing,
+    TimedOut,
     /// The queue is empty and its [`LedgerHandle`] was dropped.
     Disconnected,
 }
 
-/// A queue from the event loop to the ledger's thread.
+/// Creates the queue from the event loop to the ledger's thread.
 pub fn queue() -> (LedgerHandle, QueueReceiver) {
-    let (sender, receiver) = sync_channel(QUEUE_RECORDS);
+    let (sender, receiver) = sync_channel(QUEUE_CAPACITY);
     let handle = LedgerHandle { sender, newest: 0, lost: LostEntries::default() };
     (handle, QueueReceiver { receiver })
 }
 
 impl LedgerHandle {
-    /// Enqueues an entry and returns its number, without waiting. If the queue is full the entry is lost; a gap that
-    /// says so goes ahead of the next entry that fits.
+    /// Enqueues an entry without waiting and returns its number. If the queue is full, the entry is lost, and a gap is
+    /// enqueued ahead of the next entry that fits.
     pub fn enqueue(&mut self, entry: Entry) -> u64 {
         self.newest += 1;
         let at = entry.at;
@@ -72,17 +72,17 @@
 }
 
 impl QueueReceiver {
-    /// The next record, waiting for it until a deadline.
+    /// Waits for the next record until a deadline.
     pub(super) fn receive(&self, deadline: Instant) -> Received {
         let wait = deadline.saturating_duration_since(Instant::now());
         match self.receiver.recv_timeout(wait) {
             Ok(record) => Received::Record(record),
-            Err(RecvTimeoutError::Timeout) => Received::Nothing,
+            Err(RecvTimeoutError::Timeout) => Received::TimedOut,
             Err(RecvTimeoutError::Disconnected) => Received::Disconnected,
         }
     }
 
-    /// The next record, if there is one.
+    /// Returns the next record if there is one.
     pub(super) fn try_receive(&self) -> Option<NumberedRecord> {
         self.receiver.try_recv().ok()
     }
