--- a/tests/ledger.rs
+++ b/tests/ledger.rs
@@ -1,5 +1,5 @@
-//! The ledger without a process: crashes at every disk operation, power cuts, failing disks, periods, corrections and
-//! exports.
+//! In-process tests of the ledger: crashes at every disk operation, power failures, failing disks, periods, corrections
+//! and exports.
 
 mod common;
 
@@ -10,12 +10,12 @@
 use std::io::ErrorKind;
 use std::time::Duration;
 
-/// 2026-11-15 12:00 in Taipei.
-const NOVEMBER: UnixMs = 1_794_715_200_000;
-const DAY: UnixMs = 86_400_000;
+/// 2026-11-15T12:00:00 in Taipei.
+const NOVEMBER_MS: UnixMs = 1_794_715_200_000;
+const DAY_MS: UnixMs = 86_400_000;
 
 fn calendar() -> Calendar {
-    Calendar::new("Asia/Taipei").expect("a zone")
+    Calendar::new("Asia/Taipei").expect("valid time zone")
 }
 
 fn entry(n: u64, at: UnixMs) -> Entry {
@@ -46,7 +46,7 @@
         parts: -3,
         work: -3000,
         author: by.to_owned(),
-        reason: "counted for a test of ours".to_owned(),
+        reason: "billed for a test query".to_owned(),
     }
 }
 
@@ -58,19 +58,19 @@
     Store::open(disk.clone(), calendar(), small_segments(), "n1", now)
 }
 
-/// The queries in a ledger, in order.
-fn queries(disk: &FaultyDisk) -> Vec<String> {
+/// The ids of all queries in a ledger, in the order of their records.
+fn query_ids(disk: &FaultyDisk) -> Vec<String> {
     let mut all = Vec::new();
     read_all(disk, &calendar(), |_, record, _| {
-        if let Record::Entry(e) = record {
-            all.push(e.query.clone());
+        if let Record::Entry(entry) = record {
+            all.push(entry.query.clone());
         }
     })
     .expect("readable");
     all
 }
 
-/// A billing system: imports each export once by its name, whenever it finds it.
+/// A billing system, which imports each export once, identified by its name.
 #[derive(Default)]
 struct Importer {
     imported: BTreeMap<String, Vec<u8>>,
@@ -78,33 +78,33 @@
 
 impl Importer {
     fn import(&mut self, disk: &FaultyDisk) {
-        for name in disk.list().expect("names").iter().filter(|n| n.ends_with(".csv")) {
+        for name in disk.list().expect("directory is listed").iter().filter(|name| name.ends_with(".csv")) {
             let bytes = disk.read(name).expect("read");
-            let before = self.imported.entry(name.clone()).or_insert_with(|| bytes.clone());
-            assert_eq!(*before, bytes, "{name} has another content than before");
+            let imported = self.imported.entry(name.clone()).or_insert_with(|| bytes.clone());
+            assert_eq!(*imported, bytes, "the content of {name} changed");
         }
     }
 
-    fn queries(&self) -> Vec<String> {
-        let rows = self.imported.values().flat_map(|b| {
-            String::from_utf8_lossy(b).into_owned().lines().map(str::to_owned).collect::<Vec<_>>()
+    fn query_ids(&self) -> Vec<String> {
+        let rows = self.imported.values().flat_map(|bytes| {
+            String::from_utf8_lossy(bytes).into_owned().lines().map(str::to_owned).collect::<Vec<_>>()
         });
-        let rows = rows.filter(|l| !l.starts_with("seq,"));
-        rows.map(|l| l.split(',').nth(6).expect("a query").to_owned()).collect()
+        let rows = rows.filter(|row| !row.starts_with("seq,"));
+        rows.map(|row| row.split(',').nth(6).expect("query column").to_owned()).collect()
     }
 }
 
-/// A run of a ledger: entries in groups, a period that closes, exports, compaction. Queries are acknowledged once they
-/// are committed; the others are entered again at the next run, so that the final content is known.
-fn play_run(
+/// One run of a ledger: appends entries in groups, closes a period, exports and compacts. Queries are acknowledged once
+/// they are committed; the others are recorded by the next run, so that the final content is known.
+fn run_ledger(
     disk: &FaultyDisk,
     acknowledged: &mut BTreeSet<String>,
     importer: &mut Importer,
 ) -> Result<(), LedgerError> {
-    let (mut store, _) = open(disk, NOVEMBER)?;
-    let stored: BTreeSet<String> = queries(disk).into_iter().collect();
+    let (mut store, _) = open(disk, NOVEMBER_MS)?;
+    let stored: BTreeSet<String> = query_ids(disk).into_iter().collect();
     for group in 0..6u64 {
-        let at = NOVEMBER + group as UnixMs * 4 * DAY;
+        let at = NOVEMBER_MS + group as UnixMs * 4 * DAY_MS;
         let new = (group * 4..group * 4 + 4).filter(|n| !stored.contains(&format!("q{n}")));
         let records: Vec<Record> = new.map(|n| Record::Entry(entry(n, at))).collect();
         if !records.is_empty() {
@@ -113,156 +113,162 @@
             acknowledged.extend((group * 4..group * 4 + 4).map(|n| format!("q{n}")));
         }
         if group == 2 {
-            store.export("2026-11".parse().expect("a period"), Format::Csv, at)?;
+            store.export("2026-11".parse().expect("valid period"), Format::Csv, at)?;
             importer.import(disk);
         }
     }
-    let december = NOVEMBER + 20 * DAY;
+    let december = NOVEMBER_MS + 20 * DAY_MS;
     for period in store.book().due_periods(december, 0) {
         store.close(period, december)?;
     }
     for period in ["2026-11", "2026-12"] {
-        store.export(period.parse().expect("a period"), Format::Csv, december)?;
+        store.export(period.parse().expect("valid period"), Format::Csv, december)?;
     }
     importer.import(disk);
     store.compact()?;
     Ok(())
 }
 
-/// The machine crashes at each disk operation in turn, in each way, and then once more during the next run.
+/// Injects each kind of crash at every disk operation of a run, then optionally another crash in the next run.
 #[test]
 fn crash_at_any_disk_operation_loses_no_committed_entry_and_exports_each_once() {
-    let steps = {
+    let operations = {
         let disk = FaultyDisk::default();
         disk.stop_at(usize::MAX);
-        play_run(&disk, &mut BTreeSet::new(), &mut Importer::default()).expect("no fault");
+        run_ledger(&disk, &mut BTreeSet::new(), &mut Importer::default()).expect("no fault");
         disk.steps()
     };
-    assert!(steps > 60, "{steps} steps");
+    assert!(operations > 60, "{operations} disk operations");
     let mut crashes = 0;
-    for stop in 1..=steps {
+    for crash_at in 1..=operations {
         for down in [Down::Kill, Down::Power(0), Down::Power(37), Down::Power(usize::MAX)] {
-            for second in [None, Some(stop % 7 + 1)] {
+            for second_crash_at in [None, Some(crash_at % 7 + 1)] {
                 let (mut acknowledged, mut importer) = (BTreeSet::new(), Importer::default());
                 let mut disk = FaultyDisk::default();
-                for at in [Some(stop), second].into_iter().flatten() {
-                    disk.stop_at(at);
-                    let ended = play_run(&disk, &mut acknowledged, &mut importer);
+                for operation in [Some(crash_at), second_crash_at].into_iter().flatten() {
+                    disk.stop_at(operation);
+                    let result = run_ledger(&disk, &mut acknowledged, &mut importer);
                     if disk.stopped() {
-                        assert!(ended.is_err());
+                        assert!(result.is_err());
                         crashes += 1;
                         disk = disk.after(down);
                     }
                     disk.stop_at(usize::MAX);
-                    let (store, _) = open(&disk, NOVEMBER).unwrap_or_else(|e| panic!("{stop} {down:?}: {e}"));
+                    let (store, _) = open(&disk, NOVEMBER_MS)
+                        .unwrap_or_else(|error| panic!("{crash_at} {down:?}: {error}"));
                     drop(store);
-                    let all = queries(&disk);
-                    let set: BTreeSet<String> = all.iter().cloned().collect();
-                    assert_eq!(all.len(), set.len(), "{stop} {down:?}: an entry stands twice");
-                    let exported: BTreeSet<String> = importer.queries().into_iter().collect();
-                    let lost: Vec<_> =
-                        acknowledged.iter().filter(|q| !set.contains(*q) && !exported.contains(*q)).collect();
-                    assert!(lost.is_empty(), "{stop} {down:?}: lost {lost:?}");
+                    let recorded = query_ids(&disk);
+                    let distinct: BTreeSet<String> = recorded.iter().cloned().collect();
+                    assert_eq!(recorded.len(), distinct.len(), "{crash_at} {down:?}: duplicate entry");
+                    let exported: BTreeSet<String> = importer.query_ids().into_iter().collect();
+                    let lost: Vec<_> = acknowledged
+                        .iter()
+                        .filter(|id| !distinct.contains(*id) && !exported.contains(*id))
+                        .collect();
+                    assert!(lost.is_empty(), "{crash_at} {down:?}: lost {lost:?}");
                 }
-                play_run(&disk, &mut acknowledged, &mut importer)
-                    .unwrap_or_else(|e| panic!("{stop} {down:?}: {e}"));
-                let mut imported = importer.queries();
+                run_ledger(&disk, &mut acknowledged, &mut importer)
+                    .unwrap_or_else(|error| panic!("{crash_at} {down:?}: {error}"));
+                let mut imported = importer.query_ids();
                 imported.sort();
-                let mut wanted: Vec<String> = (0..24).map(|n| format!("q{n}")).collect();
-                wanted.sort();
-                assert_eq!(imported, wanted, "{stop} {down:?} {second:?}: imported");
+                let mut expected: Vec<String> = (0..24).map(|n| format!("q{n}")).collect();
+                expected.sort();
+                assert_eq!(imported, expected, "{crash_at} {down:?} {second_crash_at:?}: imported queries");
             }
         }
     }
-    println!("{steps} steps, {crashes} crashes");
+    println!("{operations} disk operations, {crashes} crashes");
 }
 
 #[test]
-fn torn_tail_is_cut_and_damaged_middle_is_rejected_with_file_and_offset() {
+fn torn_tail_is_truncated_and_damage_to_synced_data_is_rejected_with_file_and_offset() {
     let disk = FaultyDisk::default();
     let options = Options { loss_window_ms: 0, ..Options::default() };
-    let mut store = Store::open(disk.clone(), calendar(), options.clone(), "n1", NOVEMBER).expect("new").0;
+    let mut store = Store::open(disk.clone(), calendar(), options.clone(), "n1", NOVEMBER_MS).expect("new").0;
     for n in 0..20 {
-        store.append(&[Record::Entry(entry(n, NOVEMBER))]).expect("written");
+        store.append(&[Record::Entry(entry(n, NOVEMBER_MS))]).expect("written");
         store.commit().expect("synced");
     }
-    let name = disk.list().expect("names")[0].clone();
+    let name = disk.list().expect("directory is listed")[0].clone();
     let length = disk.read(&name).expect("read").len();
-    // Every tail: records are whole or not there.
-    for cut in 0..length {
+    // A file truncated at any offset: each record is either complete or absent.
+    for torn_length in 0..length {
         let torn = disk.after(Down::Kill);
         let mut handle = torn.clone();
-        handle.truncate(&name, cut as u64).expect("cut");
-        let (store, found) =
-            Store::open(torn.clone(), calendar(), options.clone(), "n1", NOVEMBER).expect("opened");
-        assert!(found.records <= 21 && store.book().position().sequence == found.records + 1);
+        handle.truncate(&name, torn_length as u64).expect("truncated");
+        let (store, recovery) =
+            Store::open(torn.clone(), calendar(), options.clone(), "n1", NOVEMBER_MS).expect("opened");
+        assert!(recovery.records <= 21 && store.book().position().sequence == recovery.records + 1);
     }
-    // A byte anywhere before the last commit: refused, with the file and a place at or before it.
-    for at in (16..length - 120).step_by(13) {
+    // A changed byte before the last commit is rejected with the file name and an offset at or before the byte.
+    for changed_at in (16..length - 120).step_by(13) {
         let damaged_disk = disk.after(Down::Kill);
-        damaged_disk.rot(&name, at);
-        match Store::open(damaged_disk, calendar(), options.clone(), "n1", NOVEMBER) {
+        damaged_disk.rot(&name, changed_at);
+        match Store::open(damaged_disk, calendar(), options.clone(), "n1", NOVEMBER_MS) {
             Err(LedgerError::Damaged { file, damage }) => {
-                assert!(file == name && damage.offset <= at, "{damage}");
+                assert!(file == name && damage.offset <= changed_at, "{damage}");
             }
-            other => panic!("byte {at}: {:?}", other.map(|(_, r)| r)),
+            other => panic!("byte {changed_at}: {:?}", other.map(|(_, recovery)| recovery)),
         }
     }
     let damaged_disk = disk.after(Down::Kill);
     damaged_disk.rot(&name, 7);
-    assert!(Store::open(damaged_disk, calendar(), options, "n1", NOVEMBER).is_err(), "another version");
+    assert!(
+        Store::open(damaged_disk, calendar(), options, "n1", NOVEMBER_MS).is_err(),
+        "unknown format version is rejected"
+    );
 }
 
-/// Processor time of this thread, in the kernel's ticks of 10 ms.
-fn thread_ticks() -> u64 {
+/// CPU time of this thread, in kernel ticks of 10 ms.
+fn thread_cpu_ticks() -> u64 {
     let stat = std::fs::read_to_string("/proc/thread-self/stat").expect("readable");
-    let after_name = stat.rsplit_once(')').expect("a name").1;
+    let after_name = stat.rsplit_once(')').expect("process name in parentheses").1;
     let fields: Vec<&str> = after_name.split_whitespace().collect();
-    // utime and stime.
-    fields[11..13].iter().map(|ticks| ticks.parse::<u64>().expect("a number")).sum()
+    // The fields utime and stime.
+    fields[11..13].iter().map(|ticks| ticks.parse::<u64>().expect("number of ticks")).sum()
 }
 
 #[test]
-fn the_writer_sleeps_between_attempts_at_a_failing_disk() {
-    // Guards against a thread that takes a whole core while the disk fails and a commit is overdue.
+fn writer_sleeps_between_write_attempts_while_the_disk_fails() {
+    // Guards against a busy loop while the disk fails and a commit is overdue.
     let disk = FaultyDisk::default();
-    let (store, _) = open(&disk, NOVEMBER).expect("new");
+    let (store, _) = open(&disk, NOVEMBER_MS).expect("new");
     disk.fail(Some(ErrorKind::StorageFull));
     let writer = Writer::new(store, Duration::from_millis(10), &small_segments(), |_| {});
-    let (mut handle, intake) = queue();
-    let client = std::thread::spawn(move || {
+    let (mut handle, receiver) = queue();
+    let sender = std::thread::spawn(move || {
         for n in 0..2 {
-            handle.enqueue(entry(n, NOVEMBER));
+            handle.enqueue(entry(n, NOVEMBER_MS));
             std::thread::sleep(Duration::from_millis(50));
         }
-        // Less than the time to the next attempt.
+        // Shorter than the interval until the next write attempt.
         std::thread::sleep(Duration::from_millis(350));
     });
-    let before = thread_ticks();
-    writer.run(intake, || NOVEMBER);
-    let used = thread_ticks() - before;
-    client.join().expect("done");
-    assert!(used <= 10, "{used} ticks of 45");
+    let before = thread_cpu_ticks();
+    writer.run(receiver, || NOVEMBER_MS);
+    let used_ticks = thread_cpu_ticks() - before;
+    sender.join().expect("sender thread ends");
+    assert!(used_ticks <= 10, "{used_ticks} of 45 ticks");
 }
 
 #[test]
 fn failing_disk_does_not_block_and_lost_entries_become_a_gap_with_bounds() {
     for kind in [ErrorKind::StorageFull, ErrorKind::ReadOnlyFilesystem] {
         let disk = FaultyDisk::default();
-        let (store, _) = open(&disk, NOVEMBER).expect("new");
+        let (store, _) = open(&disk, NOVEMBER_MS).expect("new");
         let mut events = Vec::new();
         let mut writer = Writer::new(store, Duration::ZERO, &small_segments(), |event| events.push(event));
         let mut number = 0;
-        let mut take = |writer: &mut Writer<_, _>, n: u64| {
+        let mut accept = |writer: &mut Writer<_, _>, n: u64| {
             number += 1;
-            let record = Record::Entry(entry(n, NOVEMBER + n as UnixMs));
+            let record = Record::Entry(entry(n, NOVEMBER_MS + n as UnixMs));
             writer.accept(NumberedRecord { number, record });
         };
-        take(&mut writer, 0);
+        accept(&mut writer, 0);
         writer.flush();
         disk.fail(Some(kind));
         for n in 1..=66_000 {
-            take(&mut writer, n);
+            accept(&mut writer, n);
             if n.is_multiple_of(20_000) {
                 writer.flush();
             }
@@ -273,8 +279,8 @@
         assert_eq!(events[0], LedgerEvent::Durable(1));
         assert!(matches!(events[1], LedgerEvent::WriteFailed(_)));
         let gap = Gap {
-            from: NOVEMBER + 65_537,
-            to: NOVEMBER + 66_000,
+            from: NOVEMBER_MS + 65_537,
+            to: NOVEMBER_MS + 66_000,
             entries: 464,
             reason: "the disk failed for too long".to_owned(),
         };
@@ -282,100 +288,107 @@
             events[2..],
             [LedgerEvent::EntriesLost(gap.clone()), LedgerEvent::Recovered, LedgerEvent::Durable(66_001)]
         );
-        let book = read_all(&disk, &calendar(), |_, _, _| {}).expect("whole");
+        let book = read_all(&disk, &calendar(), |_, _, _| {}).expect("readable");
         assert_eq!(book.gaps().iter().map(|recorded| recorded.gap.clone()).collect::<Vec<_>>(), [gap]);
-        let all = queries(&disk);
+        let all = query_ids(&disk);
         assert_eq!(all.len(), 65_537);
-        assert_eq!(all.iter().collect::<BTreeSet<_>>().len(), 65_537, "none stands twice");
+        assert_eq!(all.iter().collect::<BTreeSet<_>>().len(), 65_537, "no duplicates");
     }
 }
 
 #[test]
 fn closed_period_does_not_change_and_corrections_are_billed_in_the_open_one() {
     let disk = FaultyDisk::default();
-    let (mut store, _) = open(&disk, NOVEMBER).expect("new");
-    let november: Period = "2026-11".parse().expect("a period");
+    let (mut store, _) = open(&disk, NOVEMBER_MS).expect("new");
+    let november: Period = "2026-11".parse().expect("valid period");
     let end = calendar().end(november);
     assert_eq!(calendar().period(end - 1).to_string(), "2026-11");
     assert_eq!(calendar().period(end).to_string(), "2026-12");
     assert_eq!(end, 1_796_054_400_000, "midnight in Taipei, 16:00 in UTC");
     store.append(&[Record::Entry(entry(0, end - 1)), Record::Entry(entry(1, end))]).expect("written");
-    assert!(store.close(november, end - 1).is_err(), "it is not over");
+    assert!(store.close(november, end - 1).is_err(), "the period has not ended");
     assert_eq!(store.book().due_periods(end + 999, 1000), []);
     assert_eq!(store.book().due_periods(end + 1000, 1000), [november]);
     store.close(november, end + 1000).expect("closed");
-    assert!(store.close(november, end + 1000).is_err(), "closed already");
-    let sum = |store: &Store<FaultyDisk>, period: &str| -> (u64, u64) {
-        let of = |l: &BillingLine| l.period.to_string() == period;
+    assert!(store.close(november, end + 1000).is_err(), "already closed");
+    let queries_and_late = |store: &Store<FaultyDisk>, period: &str| -> (u64, u64) {
+        let is_in_period = |line: &BillingLine| line.period.to_string() == period;
         store
             .book()
             .totals()
             .iter()
-            .filter(|(l, _)| of(l))
-            .fold((0, 0), |(q, l), (_, s)| (q + s.queries, l + s.late))
+            .filter(|(line, _)| is_in_period(line))
+            .fold((0, 0), |(queries, late), (_, usage)| (queries + usage.queries, late + usage.late))
     };
-    assert_eq!((sum(&store, "2026-11"), sum(&store, "2026-12")), ((1, 0), (1, 0)));
-    // The clock steps back an hour across the month's end: billed in the open period, marked as late.
+    assert_eq!((queries_and_late(&store, "2026-11"), queries_and_late(&store, "2026-12")), ((1, 0), (1, 0)));
+    // The clock steps back by an hour into the closed month: the entry is billed in the open period and marked as late.
     store.append(&[Record::Entry(entry(2, end - 3_600_000))]).expect("written");
-    assert_eq!((sum(&store, "2026-11"), sum(&store, "2026-12")), ((1, 0), (2, 1)));
+    assert_eq!((queries_and_late(&store, "2026-11"), queries_and_late(&store, "2026-12")), ((1, 0), (2, 1)));
     let correction_by = |by: &str| correction(by, by, end + 5000);
-    assert!(store.correct(correction_by(" ")).is_err(), "by whom?");
+    assert!(store.correct(correction_by(" ")).is_err(), "a correction needs an author");
     store.correct(correction_by("billing")).expect("corrected");
-    assert_eq!(sum(&store, "2026-11"), (1, 0), "a closed period stays as it is");
+    assert_eq!(queries_and_late(&store, "2026-11"), (1, 0), "a closed period does not change");
     assert_eq!(store.book().corrections()[0].billed_in.to_string(), "2026-12");
-    // What was exported once is not exported again; what came since is.
-    let first = store.export(november, Format::Csv, end + 6000).expect("exported").expect("something");
-    assert_eq!(store.export(november, Format::Csv, end + 6000).expect("asked"), None);
-    let second = store.export("2026-12".parse().expect("a period"), Format::JsonLines, end + 6000);
-    let second = second.expect("exported").expect("something");
-    let text = String::from_utf8(disk.read(&format!("{}.jsonl", second.name)).expect("there")).expect("text");
+    // Records are exported only once: an unchanged period has no further export.
+    let first = store.export(november, Format::Csv, end + 6000).expect("exported").expect("an export");
+    assert_eq!(store.export(november, Format::Csv, end + 6000).expect("no failure"), None);
+    let second = store.export("2026-12".parse().expect("valid period"), Format::JsonLines, end + 6000);
+    let second = second.expect("exported").expect("an export");
+    let text =
+        String::from_utf8(disk.read(&format!("{}.jsonl", second.name)).expect("file exists")).expect("UTF-8");
     assert_eq!(text.lines().count(), 3, "two entries and the correction");
-    assert!(text.lines().all(|l| serde_json::from_str::<serde_json::Value>(l).is_ok()));
-    let manifest = disk.read(&format!("{}.manifest.json", first.name)).expect("there");
+    assert!(text.lines().all(|line| serde_json::from_str::<serde_json::Value>(line).is_ok()));
+    let manifest = disk.read(&format!("{}.manifest.json", first.name)).expect("file exists");
     let manifest: serde_json::Value = serde_json::from_slice(&manifest).expect("JSON");
-    assert_eq!((&manifest["entries"], &manifest["sha256"]), (&1.into(), &first.hash.expect("done").into()));
+    assert_eq!(
+        (&manifest["entries"], &manifest["sha256"]),
+        (&1.into(), &first.hash.expect("finished").into())
+    );
 }
 
 #[test]
 fn arrow_export_is_read_by_the_arrow_reader() {
     let disk = FaultyDisk::default();
-    let (mut store, _) = open(&disk, NOVEMBER).expect("new");
-    store.append(&(0..9).map(|n| Record::Entry(entry(n, NOVEMBER))).collect::<Vec<_>>()).expect("written");
-    let done = store.export("2026-11".parse().expect("a period"), Format::Arrow, NOVEMBER).expect("exported");
-    let bytes = disk.read(&format!("{}.arrow", done.expect("something").name)).expect("there");
-    let reader = arrow_ipc::reader::FileReader::try_new(std::io::Cursor::new(bytes), None).expect("Arrow");
-    let rows: usize = reader.map(|batch| batch.expect("a batch").num_rows()).sum();
+    let (mut store, _) = open(&disk, NOVEMBER_MS).expect("new");
+    store.append(&(0..9).map(|n| Record::Entry(entry(n, NOVEMBER_MS))).collect::<Vec<_>>()).expect("written");
+    let export =
+        store.export("2026-11".parse().expect("valid period"), Format::Arrow, NOVEMBER_MS).expect("exported");
+    let bytes = disk.read(&format!("{}.arrow", export.expect("an export").name)).expect("file exists");
+    let reader =
+        arrow_ipc::reader::FileReader::try_new(std::io::Cursor::new(bytes), None).expect("valid Arrow file");
+    let rows: usize = reader.map(|batch| batch.expect("valid batch").num_rows()).sum();
     assert_eq!(rows, 9);
 }
 
 #[test]
 fn killed_run_leaves_a_gap_unless_no_entry_can_be_missing() {
-    for (window, ends, gaps) in [(50, false, 1), (50, true, 0), (0, false, 0)] {
+    for (window_ms, ends_gracefully, gaps) in [(50, false, 1), (50, true, 0), (0, false, 0)] {
         let disk = FaultyDisk::default();
-        let options = Options { loss_window_ms: window, ..small_segments() };
-        let start =
-            || Store::open(disk.clone(), calendar(), options.clone(), "n1", NOVEMBER + 9).expect("opened").0;
-        let mut store = start();
-        store.append(&[Record::Entry(entry(1, NOVEMBER + 5))]).expect("written");
-        if ends {
-            store.end_run(NOVEMBER + 6).expect("ended");
+        let options = Options { loss_window_ms: window_ms, ..small_segments() };
+        let open_store = || {
+            Store::open(disk.clone(), calendar(), options.clone(), "n1", NOVEMBER_MS + 9).expect("opened").0
+        };
+        let mut store = open_store();
+        store.append(&[Record::Entry(entry(1, NOVEMBER_MS + 5))]).expect("written");
+        if ends_gracefully {
+            store.end_run(NOVEMBER_MS + 6).expect("ended");
         }
         drop(store);
-        let store = start();
+        let store = open_store();
         assert_eq!(store.book().gaps().len(), gaps);
-        assert!(
-            store
-                .book()
-                .gaps()
-                .iter()
-                .map(|recorded| &recorded.gap)
-                .all(|g| (g.from, g.to, g.entries) == (NOVEMBER + 5, NOVEMBER + 9, 0))
-        );
+        assert!(store.book().gaps().iter().map(|recorded| &recorded.gap).all(|gap| (
+            gap.from,
+            gap.to,
+            gap.entries
+        ) == (
+            NOVEMBER_MS + 5,
+            NOVEMBER_MS + 9,
+            0
+        )));
     }
 }
 
-/// The machine crashes at each disk operation while requests are carried out; the next run finds each request or its
-/// reply.
+/// Injects a crash at every disk operation while requests are processed; the next run finds each request or its reply.
 #[test]
 fn requests_interrupted_by_a_crash_are_carried_out_once() {
     let correction_request = |id: &str| {
@@ -384,50 +397,50 @@
     };
     let disk_with_requests = || {
         let disk = FaultyDisk::default();
-        let (mut store, _) = open(&disk, NOVEMBER).expect("new");
-        store.append(&[Record::Entry(entry(1, NOVEMBER))]).expect("written");
+        let (mut store, _) = open(&disk, NOVEMBER_MS).expect("new");
+        store.append(&[Record::Entry(entry(1, NOVEMBER_MS))]).expect("written");
         store.commit().expect("synced");
         let mut handle = disk.clone();
-        let november: Period = "2026-11".parse().expect("a period");
-        let texts =
+        let november: Period = "2026-11".parse().expect("valid period");
+        let contents =
             [correction_request("c1"), Request::Export(november, Format::Csv).to_json(), "{}".to_owned()];
-        for (i, text) in texts.iter().enumerate() {
+        for (i, content) in contents.iter().enumerate() {
             let name = request_file_name(&format!("r{i}"));
-            handle.append(&name, text.as_bytes()).expect("left");
+            handle.append(&name, content.as_bytes()).expect("written");
             handle.sync(&name).expect("synced");
         }
         handle.sync_directory().expect("synced");
         disk
     };
     let process = |disk: &FaultyDisk| {
-        open(disk, NOVEMBER).and_then(|(mut store, _)| store.process_requests(NOVEMBER + 9))
+        open(disk, NOVEMBER_MS).and_then(|(mut store, _)| store.process_requests(NOVEMBER_MS + 9))
     };
-    let steps = {
+    let operations = {
         let disk = disk_with_requests();
         disk.stop_at(usize::MAX);
         assert_eq!(process(&disk).expect("no fault"), 3);
         disk.steps()
     };
-    assert!(steps > 15, "{steps} steps");
-    for stop in 1..=steps {
+    assert!(operations > 15, "{operations} disk operations");
+    for crash_at in 1..=operations {
         for down in [Down::Kill, Down::Power(0), Down::Power(50)] {
             let disk = disk_with_requests();
-            disk.stop_at(stop);
+            disk.stop_at(crash_at);
             assert!(process(&disk).is_err());
             let disk = disk.after(down);
-            process(&disk).unwrap_or_else(|e| panic!("{stop} {down:?}: {e}"));
-            let book = read_all(&disk, &calendar(), |_, _, _| {}).expect("whole");
-            assert_eq!(book.corrections().len(), 1, "{stop} {down:?}");
-            assert_eq!(book.exports().len(), 1, "{stop} {down:?}");
-            let names = disk.list().expect("names");
-            assert!(!names.iter().any(|n| n.starts_with("request-")), "{stop} {down:?}: {names:?}");
+            process(&disk).unwrap_or_else(|error| panic!("{crash_at} {down:?}: {error}"));
+            let book = read_all(&disk, &calendar(), |_, _, _| {}).expect("readable");
+            assert_eq!(book.corrections().len(), 1, "{crash_at} {down:?}");
+            assert_eq!(book.exports().len(), 1, "{crash_at} {down:?}");
+            let names = disk.list().expect("directory is listed");
+            assert!(!names.iter().any(|name| name.starts_with("request-")), "{crash_at} {down:?}: {names:?}");
             let reply = |i: usize| {
-                String::from_utf8(disk.read(&reply_file_name(&format!("r{i}"))).expect("there"))
+                String::from_utf8(disk.read(&reply_file_name(&format!("r{i}"))).expect("file exists"))
                     .expect("text")
             };
             assert!(
                 reply(0).contains("billed in 2026-11") && reply(2).contains("refused"),
-                "{stop} {down:?}"
+                "{crash_at} {down:?}"
             );
         }
     }
@@ -437,80 +450,95 @@
 fn accounts_of_unknown_tenants_are_bounded() {
     let mut book = Book::new(calendar());
     for n in 0..10_000 {
-        let stranger = Entry { tenant: format!("x{n}"), tenant_is_known: false, ..entry(n, NOVEMBER) };
-        book.apply(n + 1, &Record::Entry(stranger));
+        let entry = Entry { tenant: format!("x{n}"), tenant_is_known: false, ..entry(n, NOVEMBER_MS) };
+        book.apply(n + 1, &Record::Entry(entry));
     }
     assert!(book.totals().len() <= 1002, "{} lines", book.totals().len());
-    assert_eq!(book.totals().values().map(|s| s.queries).sum::<u64>(), 10_000, "none is lost");
+    assert_eq!(book.totals().values().map(|usage| usage.queries).sum::<u64>(), 10_000, "no query is lost");
 }
 
 #[test]
 fn reconciliation_finds_overlaps_duplicates_and_clock_differences() {
-    let make = |aggregator: &str, from: u64, to: u64, shift: UnixMs| {
+    let ledger_with = |aggregator: &str, from: u64, to: u64, clock_offset_ms: UnixMs| {
         let disk = FaultyDisk::default();
         let mut store =
-            Store::open(disk.clone(), calendar(), small_segments(), aggregator, NOVEMBER).expect("new").0;
+            Store::open(disk.clone(), calendar(), small_segments(), aggregator, NOVEMBER_MS).expect("new").0;
         for n in from..to {
-            store.append(&[Record::Entry(entry(n, NOVEMBER + n as UnixMs + shift))]).expect("written");
+            store
+                .append(&[Record::Entry(entry(n, NOVEMBER_MS + n as UnixMs + clock_offset_ms))])
+                .expect("written");
         }
         let mut records = Vec::new();
-        let book = read_all(&disk, &calendar(), |seq, r, _| records.push((seq, r.clone()))).expect("whole");
+        let book =
+            read_all(&disk, &calendar(), |sequence, record, _| records.push((sequence, record.clone())))
+                .expect("readable");
         Ledger { directory: aggregator.to_owned(), book, records }
     };
-    let found = reconcile(&[make("n1", 0, 50, 0), make("n2", 50, 80, 0)]);
-    assert!(found.is_complete() && found.entries == 80 && found.duplicate_count == 0);
-    assert_eq!(found.totals.values().map(|s| s.queries).sum::<u64>(), 80);
-    let found = reconcile(&[make("n1", 0, 50, 0), make("n2", 40, 80, 60_000), make("n1", 0, 10, 0)]);
-    assert!(!found.is_complete());
-    assert_eq!(found.overlaps.len(), 1);
-    assert_eq!(found.duplicate_count, 20, "ten at n2, ten at the other n1");
+    let reconciliation = reconcile(&[ledger_with("n1", 0, 50, 0), ledger_with("n2", 50, 80, 0)]);
+    assert!(
+        reconciliation.is_complete() && reconciliation.entries == 80 && reconciliation.duplicate_count == 0
+    );
+    assert_eq!(reconciliation.totals.values().map(|usage| usage.queries).sum::<u64>(), 80);
+    let reconciliation = reconcile(&[
+        ledger_with("n1", 0, 50, 0),
+        ledger_with("n2", 40, 80, 60_000),
+        ledger_with("n1", 0, 10, 0),
+    ]);
+    assert!(!reconciliation.is_complete());
+    assert_eq!(reconciliation.overlaps.len(), 1);
+    assert_eq!(reconciliation.duplicate_count, 20, "ten in the ledger of n2, ten in the other ledger of n1");
     assert!(
-        found.clock_differences.iter().any(|c| c.contains("60000 ms apart")),
+        reconciliation.clock_differences.iter().any(|difference| difference.contains("60000 ms apart")),
         "{:?}",
-        found.clock_differences
+        reconciliation.clock_differences
     );
 }
 
 #[test]
 fn missing_segment_is_reported_with_its_sequence_numbers() {
     let disk = FaultyDisk::default();
-    let (mut store, _) = open(&disk, NOVEMBER).expect("new");
+    let (mut store, _) = open(&disk, NOVEMBER_MS).expect("new");
     for n in 0..60 {
-        store.append(&[Record::Entry(entry(n, NOVEMBER))]).expect("written");
+        store.append(&[Record::Entry(entry(n, NOVEMBER_MS))]).expect("written");
     }
     store.commit().expect("synced");
     let mut handle = disk.after(Down::Kill);
-    let segments: Vec<String> =
-        disk.list().expect("names").into_iter().filter(|n| n.starts_with("seg-")).collect();
+    let segments: Vec<String> = disk
+        .list()
+        .expect("directory is listed")
+        .into_iter()
+        .filter(|name| name.starts_with("seg-"))
+        .collect();
     assert!(segments.len() > 4, "{segments:?}");
     handle.remove(&segments[2]).expect("removed");
-    let problem = read_all(&handle, &calendar(), |_, _, _| {}).err().map(|e| e.to_string()).expect("refused");
-    assert!(problem.contains(&segments[1]) && problem.contains("are missing"), "{problem}");
+    let error =
+        read_all(&handle, &calendar(), |_, _, _| {}).err().map(|error| error.to_string()).expect("an error");
+    assert!(error.contains(&segments[1]) && error.contains("are missing"), "{error}");
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, ..ProptestConfig::default() })]
 
-    /// The book from a snapshot and the records behind it equals the book from all records.
+    /// The book read from a snapshot and the records after it equals the book read from all records.
     #[test]
     fn start_from_snapshot_equals_start_from_all_records(
         entries in prop::collection::vec((0..40u64, 0..60i64, 0..6usize, any::<bool>()), 1..80),
         close in any::<bool>(),
     ) {
         let disk = FaultyDisk::default();
-        let (mut store, _) = open(&disk, NOVEMBER).expect("new");
+        let (mut store, _) = open(&disk, NOVEMBER_MS).expect("new");
         for (i, (n, day, outcome, known)) in entries.iter().enumerate() {
-            let e = Entry { tenant_is_known: *known, outcome: Outcome::ALL[*outcome], ..entry(*n, NOVEMBER + day * DAY) };
-            store.append(&[Record::Entry(e)]).expect("written");
+            let entry = Entry { tenant_is_known: *known, outcome: Outcome::ALL[*outcome], ..entry(*n, NOVEMBER_MS + day * DAY_MS) };
+            store.append(&[Record::Entry(entry)]).expect("written");
             if close && i == entries.len() / 2 {
-                store.close("2026-11".parse().expect("a period"), NOVEMBER + 20 * DAY).expect("closed");
+                store.close("2026-11".parse().expect("valid period"), NOVEMBER_MS + 20 * DAY_MS).expect("closed");
             }
         }
         store.commit().expect("synced");
-        let all = read_all(&disk, &calendar(), |_, _, _| {}).expect("whole");
-        let (again, found) = open(&disk.after(Down::Power(0)), NOVEMBER).expect("opened");
-        prop_assert!(found.records <= 20, "the snapshot was not used: {} records", found.records);
-        prop_assert_eq!(again.book().totals(), all.totals());
-        prop_assert_eq!(again.book().due_periods(NOVEMBER + 100 * DAY, 0), all.due_periods(NOVEMBER + 100 * DAY, 0));
+        let all = read_all(&disk, &calendar(), |_, _, _| {}).expect("readable");
+        let (reopened, recovery) = open(&disk.after(Down::Power(0)), NOVEMBER_MS).expect("opened");
+        prop_assert!(recovery.records <= 20, "the snapshot was not used: {} records", recovery.records);
+        prop_assert_eq!(reopened.book().totals(), all.totals());
+        prop_assert_eq!(reopened.book().due_periods(NOVEMBER_MS + 100 * DAY_MS, 0), all.due_periods(NOVEMBER_MS + 100 * DAY_MS, 0));
     }
 }
--- a/tests/ledger_model.rs
+++ b/tests/ledger_model.rs
@@ -1,23 +1,23 @@
-//! A model of the export protocol, checked over every interleaving of a writer that may crash at any step, records that
-//! are appended meanwhile, and an importer that takes names as idempotency keys. The steps are those of `Store::export`:
-//! intent, file, done.
+//! A model of the export protocol, checked for every interleaving of a writer that may crash at any step, records that
+//! are appended concurrently, and an importer that uses export names as idempotency keys. The steps are those of
+//! `Store::export`: intent, file, completion record.
 
 use stateright::{Checker, Model, Property};
 
-/// Records (after, upto].
+/// A range of sequence numbers: exclusive start and inclusive end.
 type Range = (u8, u8);
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct State {
-    /// Durable: entries in the journal, intents, and which of them are done.
+    /// Durable: number of entries in the journal, intents, and finished exports.
     entries: u8,
     intents: Vec<Range>,
-    done: Vec<Range>,
-    /// Durable: the files by the number in their name.
+    finished: Vec<Range>,
+    /// Durable: exported files, by the number in their name.
     files: Vec<Option<Range>>,
-    /// Lost by a crash: the name and the range that the writer is about to write.
+    /// Lost in a crash: number and range of the export that the writer is writing.
     in_progress: Option<(usize, Range)>,
-    /// What was imported under each name, by the importer, which never crashes.
+    /// The range that was imported under each name. The importer never crashes.
     imported: Vec<Option<Range>>,
     crashes: u8,
 }
@@ -27,25 +27,25 @@
     Append,
     Begin,
     WriteFile,
-    Done,
+    Finish,
     Crash,
     Import(usize),
 }
 
 struct Protocol {
-    /// The range and the name are in the journal before the file is written.
-    intent: bool,
+    /// Whether the name and the range are recorded in the journal before the file is written.
+    records_intent: bool,
 }
 
-const ENTRIES: u8 = 4;
-const CRASHES: u8 = 3;
+const MAX_ENTRIES: u8 = 4;
+const MAX_CRASHES: u8 = 3;
 
 impl State {
-    fn entry_at<T: Clone + Default>(list: &mut Vec<T>, at: usize) -> &mut T {
-        if list.len() <= at {
-            list.resize(at + 1, T::default());
+    fn slot_at<T: Clone + Default>(list: &mut Vec<T>, index: usize) -> &mut T {
+        if list.len() <= index {
+            list.resize(index + 1, T::default());
         }
-        &mut list[at]
+        &mut list[index]
     }
 }
 
@@ -58,7 +58,7 @@
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Step>) {
-        if state.entries < ENTRIES {
+        if state.entries < MAX_ENTRIES {
             actions.push(Step::Append);
         }
         match state.in_progress {
@@ -66,12 +66,12 @@
             Some((name, range)) if state.files.get(name).copied().flatten() != Some(range) => {
                 actions.push(Step::WriteFile);
             }
-            Some(_) => actions.push(Step::Done),
+            Some(_) => actions.push(Step::Finish),
         }
-        if state.crashes < CRASHES {
+        if state.crashes < MAX_CRASHES {
             actions.push(Step::Crash);
         }
-        actions.extend((0..state.files.len()).filter(|n| state.files[*n].is_some()).map(Step::Import));
+        actions.extend((0..state.files.len()).filter(|name| state.files[*name].is_some()).map(Step::Import));
     }
 
     fn next_state(&self, before: &State, step: Step) -> Option<State> {
@@ -79,25 +79,26 @@
         match step {
             Step::Append => state.entries += 1,
             Step::Begin => {
-                // What was begun and is not done goes first, as it was.
-                let interrupted = state.intents.get(state.done.len()).copied().filter(|_| self.intent);
-                let after = state.done.last().map_or(0, |r| r.1);
+                // An interrupted export is completed first, with the same range.
+                let interrupted =
+                    state.intents.get(state.finished.len()).copied().filter(|_| self.records_intent);
+                let after = state.finished.last().map_or(0, |range| range.1);
                 let range = interrupted.unwrap_or((after, state.entries));
                 if range.0 == range.1 {
                     return None;
                 }
-                if self.intent && interrupted.is_none() {
+                if self.records_intent && interrupted.is_none() {
                     state.intents.push(range);
                 }
-                state.in_progress = Some((state.done.len(), range));
+                state.in_progress = Some((state.finished.len(), range));
             }
             Step::WriteFile => {
                 let (name, range) = state.in_progress?;
-                *State::entry_at(&mut state.files, name) = Some(range);
+                *State::slot_at(&mut state.files, name) = Some(range);
             }
-            Step::Done => {
+            Step::Finish => {
                 let (_, range) = state.in_progress.take()?;
-                state.done.push(range);
+                state.finished.push(range);
             }
             Step::Crash => {
                 state.in_progress = None;
@@ -105,11 +106,11 @@
             }
             Step::Import(name) => {
                 let file = state.files[name];
-                let taken = State::entry_at(&mut state.imported, name);
-                if taken.is_some() {
+                let imported = State::slot_at(&mut state.imported, name);
+                if imported.is_some() {
                     return None;
                 }
-                *taken = file;
+                *imported = file;
             }
         }
         (state != *before).then_some(state)
@@ -118,7 +119,7 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("no entry is imported twice", |_, state: &State| {
-                let times = |entry: u8| {
+                let import_count = |entry: u8| {
                     state
                         .imported
                         .iter()
@@ -126,21 +127,23 @@
                         .filter(|range| range.0 < entry && entry <= range.1)
                         .count()
                 };
-                (1..=state.entries).all(|entry| times(entry) <= 1)
+                (1..=state.entries).all(|entry| import_count(entry) <= 1)
             }),
-            Property::always("what is done and imported is what was done", |_, state: &State| {
+            Property::always("a finished export is imported with its recorded range", |_, state: &State| {
+                state.finished.iter().enumerate().all(|(name, range)| {
+                    state.imported.get(name).copied().flatten().is_none_or(|imported| imported == *range)
+                })
+            }),
+            Property::always("exports are contiguous", |_, state: &State| {
                 state
-                    .done
+                    .finished
                     .iter()
-                    .enumerate()
-                    .all(|(name, r)| state.imported.get(name).copied().flatten().is_none_or(|i| i == *r))
-            }),
-            Property::always("exports follow one another without a hole", |_, state: &State| {
-                state.done.iter().zip(state.done.iter().skip(1)).all(|(a, b)| a.1 == b.0)
-                    && state.done.first().is_none_or(|r| r.0 == 0)
+                    .zip(state.finished.iter().skip(1))
+                    .all(|(earlier, later)| earlier.1 == later.0)
+                    && state.finished.first().is_none_or(|range| range.0 == 0)
             }),
             Property::sometimes("every entry is imported", |_, state: &State| {
-                let times = |entry: u8| {
+                let import_count = |entry: u8| {
                     state
                         .imported
                         .iter()
@@ -148,9 +151,9 @@
                         .filter(|range| range.0 < entry && entry <= range.1)
                         .count()
                 };
-                state.entries == ENTRIES
-                    && state.crashes == CRASHES
-                    && (1..=ENTRIES).all(|entry| times(entry) == 1)
+                state.entries == MAX_ENTRIES
+                    && state.crashes == MAX_CRASHES
+                    && (1..=MAX_ENTRIES).all(|entry| import_count(entry) == 1)
             }),
         ]
     }
@@ -158,16 +161,16 @@
 
 #[test]
 fn with_an_intent_each_entry_is_imported_once_in_any_interleaving() {
-    let checker = Protocol { intent: true }.checker().spawn_bfs().join();
-    println!("{} states, {} of them distinct", checker.state_count(), checker.unique_state_count());
+    let checker = Protocol { records_intent: true }.checker().spawn_bfs().join();
+    println!("{} states, {} distinct", checker.state_count(), checker.unique_state_count());
     checker.assert_properties();
 }
 
 #[test]
-fn without_an_intent_the_model_finds_a_name_with_two_contents() {
-    let checker = Protocol { intent: false }.checker().spawn_bfs().join();
-    let found = checker.discovery("what is done and imported is what was done");
-    let path = found.expect("a violation is to be found").into_actions();
-    println!("found by {path:?}");
+fn without_an_intent_the_model_finds_an_export_name_with_two_contents() {
+    let checker = Protocol { records_intent: false }.checker().spawn_bfs().join();
+    let violation = checker.discovery("a finished export is imported with its recorded range");
+    let path = violation.expect("a violation is found").into_actions();
+    println!("counterexample: {path:?}");
     assert!(path.contains(&Step::Crash));
 }
--- a/tests/stored_formats.rs
+++ b/tests/stored_formats.rs
@@ -1,5 +1,5 @@
-//! Stored formats: files written by version 0.1.0 are checked in under `tests/fixtures/stored`. Each test reads such a
-//! file with the current code, compares the decoded content with literal values, and compares a new encoding of that
+//! Compatibility of stored formats. The files under `tests/fixtures/stored` were written by version 0.1.0. The tests
+//! read them with the current code, compare the decoded content with literal values, and compare a new encoding of that
 //! content with the stored bytes.
 
 mod common;
@@ -23,48 +23,49 @@
 
 // ---- Files ----------------------------------------------------------------------------------------------------
 
-fn stored(name: &str) -> PathBuf {
+fn stored_path(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/stored").join(name)
 }
 
-fn bytes(name: &str) -> Vec<u8> {
-    fs::read(stored(name)).unwrap_or_else(|e| panic!("{name}: {e}"))
+fn stored_bytes(name: &str) -> Vec<u8> {
+    fs::read(stored_path(name)).unwrap_or_else(|error| panic!("{name}: {error}"))
 }
 
-fn text(name: &str) -> String {
-    String::from_utf8(bytes(name)).expect("UTF-8")
+fn stored_text(name: &str) -> String {
+    String::from_utf8(stored_bytes(name)).expect("UTF-8")
 }
 
-/// A temporary folder with copies of stored files.
-fn copied(from: &str, names: &[&str]) -> PathBuf {
+/// Copies stored files to a temporary directory.
+fn copy_to_scratch_dir(from: &str, names: &[&str]) -> PathBuf {
     let dir = scratch_dir("stored");
     for name in names {
-        fs::write(dir.join(name), bytes(&format!("{from}/{name}"))).expect("written");
+        fs::write(dir.join(name), stored_bytes(&format!("{from}/{name}"))).expect("written");
     }
     dir
 }
 
-fn run(arguments: &[&str], path: &Path, more: &[&str]) -> Output {
-    Command::new(binary()).args(arguments).arg(path).args(more).output().expect("it runs")
+fn run(arguments: &[&str], path: &Path, options: &[&str]) -> Output {
+    Command::new(binary()).args(arguments).arg(path).args(options).output().expect("command runs")
 }
 
-fn out(output: &Output) -> String {
+fn stdout(output: &Output) -> String {
     String::from_utf8(output.stdout.clone()).expect("UTF-8")
 }
 
 // ---- Ledger: expected content -----------------------------------------------------------------------------------
 
-/// 2026-11-15T00:00:00Z and 2026-12-03T00:00:00Z.
+/// 2026-11-15T00:00:00Z.
 const NOVEMBER: i64 = 1_794_700_800_000;
+/// 2026-12-03T00:00:00Z.
 const DECEMBER: i64 = 1_796_256_000_000;
 
-const FIRST: &str = "seg-00000000000000000001.log";
-const SECOND: &str = "seg-00000000000000000034.log";
+const FIRST_SEGMENT: &str = "seg-00000000000000000001.log";
+const SECOND_SEGMENT: &str = "seg-00000000000000000034.log";
 const SNAPSHOT: &str = "snap-00000000000000000033.bin";
-type Exported = (&'static str, &'static str, &'static str, (u64, u64), i64);
+type ExportFields = (&'static str, &'static str, &'static str, (u64, u64), i64);
 
-/// Name, extension, SHA-256, records after and up to, moment of each export.
-const EXPORTS: [Exported; 3] = [
+/// Name, format, SHA-256, range of sequence numbers, and time in milliseconds after `NOVEMBER` of each export.
+const EXPORTS: [ExportFields; 3] = [
     (
         "n0-e1-2026-11-0001",
         "csv",
@@ -89,23 +90,23 @@
 ];
 
 fn calendar() -> Calendar {
-    Calendar::new("Asia/Taipei").expect("a zone")
+    Calendar::new("Asia/Taipei").expect("valid time zone")
 }
 
 fn period(text: &str) -> Period {
-    text.parse().expect("a period")
+    text.parse().expect("valid period")
 }
 
-/// An entry of each outcome, with both shares, known and unknown tenants.
+/// One entry of each outcome, with both quota shares and with known and unknown tenants.
 #[allow(clippy::too_many_lines, reason = "one literal record after another")]
-fn batch(from: i64) -> Vec<Record> {
-    let at = NOVEMBER + from;
+fn entries(offset_ms: i64) -> Vec<Record> {
+    let at = NOVEMBER + offset_ms;
     let acme = Entry {
         at: at + 1,
         tenant: "acme".to_owned(),
         tenant_is_known: true,
         class: "c".to_owned(),
-        query: format!("q{from}-1"),
+        query: format!("q{offset_ms}-1"),
         parts: 3,
         parts_served: 3,
         attempts: 4,
@@ -117,7 +118,7 @@
         acme.clone(),
         Entry {
             at: at + 2,
-            query: format!("q{from}-2"),
+            query: format!("q{offset_ms}-2"),
             parts_served: 2,
             attempts: 5,
             work: 900,
@@ -129,7 +130,7 @@
             at: at + 3,
             tenant: "zo\u{eb}, \"b\"".to_owned(),
             class: "slow".to_owned(),
-            query: format!("q{from}-3"),
+            query: format!("q{offset_ms}-3"),
             parts: 0,
             parts_served: 0,
             attempts: 0,
@@ -141,7 +142,7 @@
             at: at + 4,
             tenant: "stranger".to_owned(),
             tenant_is_known: false,
-            query: format!("q{from}-4"),
+            query: format!("q{offset_ms}-4"),
             parts_served: 1,
             attempts: 9,
             work: 700,
@@ -153,7 +154,7 @@
             at: at + 5,
             tenant: String::new(),
             tenant_is_known: false,
-            query: format!("q{from}-5"),
+            query: format!("q{offset_ms}-5"),
             parts: 200,
             parts_served: 0,
             attempts: 300,
@@ -163,7 +164,7 @@
         },
         Entry {
             at: at + 6,
-            query: format!("q{from}-6"),
+            query: format!("q{offset_ms}-6"),
             parts: 2,
             parts_served: 2,
             attempts: 2,
@@ -180,8 +181,8 @@
     Gap { from: NOVEMBER + 10, to: NOVEMBER + 20, entries: 3, reason: "the queue was full".to_owned() }
 }
 
-/// The gap that the store records when the run before it has no end record.
-fn gap_of_run() -> Gap {
+/// The gap that the store records if the previous run has no end record.
+fn gap_of_killed_run() -> Gap {
     Gap {
         from: NOVEMBER + 400,
         to: DECEMBER + 3000,
@@ -206,7 +207,7 @@
     }
 }
 
-fn late() -> Entry {
+fn late_entry() -> Entry {
     Entry {
         at: NOVEMBER + 400,
         tenant: "acme".to_owned(),
@@ -222,14 +223,14 @@
     }
 }
 
-fn exported(number: usize) -> [Record; 2] {
-    let (name, format, hash, (after, upto), at) = EXPORTS[number];
+fn export_records(number: usize) -> [Record; 2] {
+    let (name, format, hash, (after, last), at) = EXPORTS[number];
     let intent = Record::ExportIntent {
         name: name.to_owned(),
         period: "2026-11".to_owned(),
         format: format.to_owned(),
         after,
-        up_to: upto,
+        up_to: last,
     };
     [intent, Record::ExportFinished { name: name.to_owned(), hash: hash.to_owned(), at: NOVEMBER + at }]
 }
@@ -237,18 +238,18 @@
 /// Records 1 to 33: the first segment.
 fn first_segment() -> Vec<Record> {
     let mut all = vec![Record::Open { aggregator: "n0".to_owned(), epoch: 1, at: NOVEMBER }];
-    all.extend(batch(0));
+    all.extend(entries(0));
     all.push(Record::Gap(gap()));
     all.extend([1, 2].map(|n| Record::Correction(correction(n))));
-    all.extend(exported(0));
-    all.extend(batch(110));
+    all.extend(export_records(0));
+    all.extend(entries(110));
     all.push(Record::Correction(correction(3)));
-    all.extend(exported(1));
-    all.extend(batch(210));
+    all.extend(export_records(1));
+    all.extend(entries(210));
     all.push(Record::Correction(correction(4)));
-    all.extend(exported(2));
+    all.extend(export_records(2));
     all.push(Record::Close { period: "2026-11".to_owned(), at: DECEMBER });
-    all.push(Record::Entry(late()));
+    all.push(Record::Entry(late_entry()));
     all.push(Record::End { at: DECEMBER + 1000 });
     all
 }
@@ -257,25 +258,25 @@
 fn second_segment() -> Vec<Record> {
     vec![
         Record::Open { aggregator: "n0".to_owned(), epoch: 2, at: DECEMBER + 2000 },
-        Record::Gap(gap_of_run()),
+        Record::Gap(gap_of_killed_run()),
         Record::Open { aggregator: "n0".to_owned(), epoch: 3, at: DECEMBER + 3000 },
     ]
 }
 // ---- Ledger: journal segments -----------------------------------------------------------------------------------
 
 fn check_segment(name: &str, first: u64, expected: &[Record]) {
-    let stored = bytes(&format!("ledger/{name}"));
+    let stored = stored_bytes(&format!("ledger/{name}"));
     assert_eq!(stored[..8], *b"SMXLEDG\x01");
     let scanned = journal::scan(&stored, first, true).expect("undamaged");
     assert_eq!((scanned.readable_bytes, scanned.torn_bytes), (stored.len(), 0));
     let records: Vec<Record> = scanned.records.iter().map(|scanned| scanned.record.clone()).collect();
     assert_eq!(records, expected);
     assert!(scanned.records.iter().map(|scanned| scanned.sequence).eq((first..).take(expected.len())));
-    // The length of the synced part stands in bytes 16 to 20 of each frame; `scan` does not return it.
+    // Bytes 16 to 19 of each frame hold the synced length, which `scan` does not return.
     let mut encoded = journal::segment_header(first).to_vec();
     for (i, record) in expected.iter().enumerate() {
-        let at = encoded.len() + 16;
-        let synced = u32::from_le_bytes(stored[at..at + 4].try_into().expect("four bytes"));
+        let offset = encoded.len() + 16;
+        let synced = u32::from_le_bytes(stored[offset..offset + 4].try_into().expect("four bytes"));
         journal::encode(&mut encoded, first + i as u64, synced, record);
     }
     assert!(encoded == stored, "{name}: the encoding differs from the stored bytes");
@@ -283,18 +284,18 @@
 
 #[test]
 fn journal_segment_with_each_record_kind_outcome_and_share_decodes_and_reencodes() {
-    check_segment(FIRST, 1, &first_segment());
+    check_segment(FIRST_SEGMENT, 1, &first_segment());
 }
 
 #[test]
 fn journal_segment_of_later_runs_with_a_gap_by_the_store_decodes_and_reencodes() {
-    check_segment(SECOND, 34, &second_segment());
+    check_segment(SECOND_SEGMENT, 34, &second_segment());
 }
 
 // ---- Ledger: snapshot -------------------------------------------------------------------------------------------
 
-fn line(of: &str, account: Account, class: &str, share: QuotaShare) -> BillingLine {
-    BillingLine { period: period(of), account, class: class.to_owned(), share }
+fn line(month: &str, account: Account, class: &str, share: QuotaShare) -> BillingLine {
+    BillingLine { period: period(month), account, class: class.to_owned(), share }
 }
 
 /// Totals of records 1 to 33.
@@ -303,33 +304,25 @@
     let zoe = Account::Tenant("zo\u{eb}, \"b\"".to_owned());
     let unknown = |name: &str| Account::Unknown(name.to_owned());
     // Queries, billed, rejected, failed, requested parts, parts, attempts, work, late.
-    let sums = |[queries, billed, rejected, failed, asked, parts, attempts, work, late]: [u64; 9]| Usage {
-        queries,
-        billed,
-        rejected,
-        failed,
-        requested_parts: asked,
-        parts,
-        attempts,
-        work,
-        late,
+    let usage = |[queries, billed, rejected, failed, requested, parts, attempts, work, late]: [u64; 9]| {
+        Usage { queries, billed, rejected, failed, requested_parts: requested, parts, attempts, work, late }
     };
     [
-        (line("2026-11", acme(), "c", QuotaShare::WithinQuota), sums([3, 3, 0, 0, 9, 9, 12, 3750, 0])),
-        (line("2026-11", acme(), "c", QuotaShare::OverQuota), sums([6, 3, 0, 3, 15, 6, 21, 2700, 0])),
-        (line("2026-11", zoe, "slow", QuotaShare::WithinQuota), sums([3, 0, 3, 0, 0, 0, 0, 0, 0])),
-        (line("2026-11", unknown(""), "c", QuotaShare::WithinQuota), sums([3, 0, 0, 3, 600, 0, 900, 0, 0])),
+        (line("2026-11", acme(), "c", QuotaShare::WithinQuota), usage([3, 3, 0, 0, 9, 9, 12, 3750, 0])),
+        (line("2026-11", acme(), "c", QuotaShare::OverQuota), usage([6, 3, 0, 3, 15, 6, 21, 2700, 0])),
+        (line("2026-11", zoe, "slow", QuotaShare::WithinQuota), usage([3, 0, 3, 0, 0, 0, 0, 0, 0])),
+        (line("2026-11", unknown(""), "c", QuotaShare::WithinQuota), usage([3, 0, 0, 3, 600, 0, 900, 0, 0])),
         (
             line("2026-11", unknown("stranger"), "c", QuotaShare::OverQuota),
-            sums([3, 0, 0, 3, 9, 0, 27, 0, 0]),
+            usage([3, 0, 0, 3, 9, 0, 27, 0, 0]),
         ),
-        (line("2026-12", acme(), "c", QuotaShare::WithinQuota), sums([1, 1, 0, 0, 3, 3, 3, 1250, 1])),
+        (line("2026-12", acme(), "c", QuotaShare::WithinQuota), usage([1, 1, 0, 0, 3, 3, 3, 1250, 1])),
     ]
     .into_iter()
     .collect()
 }
 
-fn begun(number: usize) -> ExportRecord {
+fn export_record(number: usize) -> ExportRecord {
     let (name, format, hash, range, _) = EXPORTS[number];
     ExportRecord {
         name: name.to_owned(),
@@ -342,13 +335,13 @@
 
 #[test]
 fn ledger_without_its_first_segment_is_read_from_the_stored_snapshot() {
-    let dir = copied("ledger", &[SNAPSHOT, SECOND]);
+    let dir = copy_to_scratch_dir("ledger", &[SNAPSHOT, SECOND_SEGMENT]);
     let mut read = Vec::new();
-    let book = read_all(&RealDisk::open_read_only(&dir), &calendar(), |seq, record, _| {
-        read.push((seq, record.clone()));
+    let book = read_all(&RealDisk::open_read_only(&dir), &calendar(), |sequence, record, _| {
+        read.push((sequence, record.clone()));
     })
     .expect("undamaged");
-    // Only the records behind the snapshot are read one by one.
+    // Only the records after the snapshot are read from a segment.
     assert_eq!(read, (34..).zip(second_segment()).collect::<Vec<_>>());
     assert_eq!(book.position(), BookPosition { sequence: 36, aggregator: "n0", epoch: 3 });
     assert_eq!(*book.totals(), totals());
@@ -361,12 +354,12 @@
     assert_eq!(book.corrections(), corrections);
     assert_eq!(
         book.gaps(),
-        [RecordedGap { sequence: 8, gap: gap() }, RecordedGap { sequence: 35, gap: gap_of_run() }]
+        [RecordedGap { sequence: 8, gap: gap() }, RecordedGap { sequence: 35, gap: gap_of_killed_run() }]
     );
-    assert_eq!(book.exports(), [begun(0), begun(1), begun(2)]);
+    assert_eq!(book.exports(), [export_record(0), export_record(1), export_record(2)]);
     assert_eq!(book.period_state(november), PeriodState::Closed);
     assert_eq!(book.period_state(period("2026-12")), PeriodState::Open);
-    // The last change of each period: none in November since its last export, one in December.
+    // November has not changed since its last export; December has.
     assert_eq!(book.next_export(november, "csv"), None);
     let next = ExportRecord {
         name: "n0-e3-2026-12-0001".to_owned(),
@@ -378,34 +371,40 @@
     assert_eq!(book.next_export(period("2026-12"), "csv"), Some(next));
 }
 
-/// Opens a ledger so that its segment is sealed at once, which writes a snapshot.
-fn seal(dir: &Path) {
+/// Opens a ledger with a segment size that seals its segment immediately, which writes a snapshot.
+fn seal_segment(dir: &Path) {
     let options = Options { segment_bytes: 1, ..Options::default() };
-    let disk = RealDisk::own(dir).expect("owned");
+    let disk = RealDisk::own(dir).expect("locked");
     Store::open(disk, calendar(), options, "n0", DECEMBER + 2000).expect("opened");
 }
 
 #[test]
 fn snapshot_made_from_the_stored_segment_has_the_stored_bytes() {
-    let dir = copied("ledger", &[FIRST]);
-    seal(&dir);
-    let made = fs::read(dir.join(SNAPSHOT)).expect("a snapshot");
-    assert!(made == bytes(&format!("ledger/{SNAPSHOT}")), "the encoding differs from the stored bytes");
+    let dir = copy_to_scratch_dir("ledger", &[FIRST_SEGMENT]);
+    seal_segment(&dir);
+    let written = fs::read(dir.join(SNAPSHOT)).expect("snapshot exists");
+    assert!(
+        written == stored_bytes(&format!("ledger/{SNAPSHOT}")),
+        "the encoding differs from the stored bytes"
+    );
 }
 
 #[test]
 fn snapshot_made_from_the_stored_snapshot_has_the_stored_bytes() {
     use std::os::unix::fs::MetadataExt;
-    let dir = copied("ledger", &[SNAPSHOT]);
-    fs::write(dir.join(SECOND), journal::segment_header(34)).expect("written");
+    let dir = copy_to_scratch_dir("ledger", &[SNAPSHOT]);
+    fs::write(dir.join(SECOND_SEGMENT), journal::segment_header(34)).expect("written");
     let path = dir.join(SNAPSHOT);
-    // Held open, so that its inode number is not given to the new file.
-    let old = fs::File::open(&path).expect("there");
-    seal(&dir);
-    let inodes = (old.metadata().expect("open").ino(), fs::metadata(&path).expect("there").ino());
+    // Kept open, so that its inode number is not reused for the new file.
+    let old_file = fs::File::open(&path).expect("file exists");
+    seal_segment(&dir);
+    let inodes = (old_file.metadata().expect("metadata").ino(), fs::metadata(&path).expect("metadata").ino());
     assert_ne!(inodes.0, inodes.1, "the snapshot was not written again");
-    let made = fs::read(&path).expect("a snapshot");
-    assert!(made == bytes(&format!("ledger/{SNAPSHOT}")), "the encoding differs from the stored bytes");
+    let written = fs::read(&path).expect("snapshot exists");
+    assert!(
+        written == stored_bytes(&format!("ledger/{SNAPSHOT}")),
+        "the encoding differs from the stored bytes"
+    );
 }
 
 // ---- Ledger: exports --------------------------------------------------------------------------------------------
@@ -428,10 +427,11 @@
     "note",
 ];
 
-/// The rows of an export: a batch from a moment whose first record has a sequence number, then corrections.
-fn rows(from: i64, first: u64, corrections: &[(u64, i64)]) -> Vec<Vec<Value>> {
-    let at = |n: i64| NOVEMBER + from + n;
-    let q = |n: u64| format!("q{from}-{n}");
+/// The expected rows of an export: the entries at a time offset, whose first record has the sequence number `first`,
+/// and corrections.
+fn rows(offset_ms: i64, first: u64, corrections: &[(u64, i64)]) -> Vec<Vec<Value>> {
+    let at = |n: i64| NOVEMBER + offset_ms + n;
+    let q = |n: u64| format!("q{offset_ms}-{n}");
     let zoe = "zo\u{eb}, \"b\"";
     #[rustfmt::skip]
     let mut rows = vec![
@@ -442,25 +442,25 @@
         json!([first + 4, "entry", at(5), "", false, "c", q(5), 200, 0, 300, 0, "expired", "within", "", ""]),
         json!([first + 5, "entry", at(6), "acme", true, "c", q(6), 2, 2, 2, 0, "gone", "beyond", "", ""]),
     ];
-    for (seq, n) in corrections {
-        let (moment, share) = (NOVEMBER + n * 100 - 70, if n % 2 == 0 { "beyond" } else { "within" });
+    for (sequence, n) in corrections {
+        let (at_ms, share) = (NOVEMBER + n * 100 - 70, if n % 2 == 0 { "beyond" } else { "within" });
         let note = format!("by ops: ticket {n}, \"twice\"");
         #[rustfmt::skip]
         rows.push(json!([
-            seq, "correction", moment, "acme", true, "c", "", -n, 300 * n, 0, -70_000 * n, "correction", share,
+            sequence, "correction", at_ms, "acme", true, "c", "", -n, 300 * n, 0, -70_000 * n, "correction", share,
             "2026-10", note
         ]));
     }
-    rows.into_iter().map(|row| row.as_array().expect("an array").clone()).collect()
+    rows.into_iter().map(|row| row.as_array().expect("array").clone()).collect()
 }
 
 #[test]
 fn csv_export_has_the_expected_rows() {
-    let text = text("ledger/n0-e1-2026-11-0001.csv");
+    let text = stored_text("ledger/n0-e1-2026-11-0001.csv");
     let mut reader = csv::ReaderBuilder::new().has_headers(false).from_reader(text.as_bytes());
     let read: Vec<Vec<String>> =
-        reader.records().map(|r| r.expect("a row").iter().map(str::to_owned).collect()).collect();
-    let cell = |v: &Value| v.as_str().map_or_else(|| v.to_string(), str::to_owned);
+        reader.records().map(|row| row.expect("valid row").iter().map(str::to_owned).collect()).collect();
+    let cell = |value: &Value| value.as_str().map_or_else(|| value.to_string(), str::to_owned);
     let mut expected = vec![COLUMNS.map(str::to_owned).to_vec()];
     expected.extend(rows(0, 2, &[(9, 1), (10, 2)]).iter().map(|row| row.iter().map(cell).collect()));
     assert_eq!(read, expected);
@@ -468,8 +468,8 @@
 
 #[test]
 fn json_lines_export_has_the_expected_rows() {
-    let text = text("ledger/n0-e1-2026-11-0002.jsonl");
-    let read: Vec<Value> = text.lines().map(|l| serde_json::from_str(l).expect("JSON")).collect();
+    let text = stored_text("ledger/n0-e1-2026-11-0002.jsonl");
+    let read: Vec<Value> = text.lines().map(|line| serde_json::from_str(line).expect("JSON")).collect();
     let object = |row: Vec<Value>| -> Value {
         Value::Object(COLUMNS.iter().map(|name| (*name).to_owned()).zip(row).collect())
     };
@@ -482,17 +482,17 @@
     use arrow_array::cast::AsArray;
     use arrow_array::types::{Int64Type, UInt64Type};
     use arrow_schema::DataType;
-    let stored = std::io::Cursor::new(bytes("ledger/n0-e1-2026-11-0003.arrow"));
-    let reader = arrow_ipc::reader::FileReader::try_new(stored, None).expect("Arrow");
-    let batches: Vec<_> = reader.map(|batch| batch.expect("a batch")).collect();
+    let stored = std::io::Cursor::new(stored_bytes("ledger/n0-e1-2026-11-0003.arrow"));
+    let reader = arrow_ipc::reader::FileReader::try_new(stored, None).expect("valid Arrow file");
+    let batches: Vec<_> = reader.map(|batch| batch.expect("valid batch")).collect();
     assert_eq!(batches.len(), 1);
     let schema = batches[0].schema();
     let fields: Vec<(&str, &DataType)> =
-        schema.fields().iter().map(|f| (f.name().as_str(), f.data_type())).collect();
-    let (unsigned, signed, text, truth) =
+        schema.fields().iter().map(|field| (field.name().as_str(), field.data_type())).collect();
+    let (unsigned, signed, text, boolean) =
         (&DataType::UInt64, &DataType::Int64, &DataType::Utf8, &DataType::Boolean);
     let types = [
-        unsigned, text, signed, text, truth, text, text, signed, signed, signed, signed, text, text, text,
+        unsigned, text, signed, text, boolean, text, text, signed, signed, signed, signed, text, text, text,
         text,
     ];
     assert_eq!(fields, COLUMNS.into_iter().zip(types).collect::<Vec<_>>());
@@ -520,10 +520,11 @@
             "refused": r, "failed": f, "asked": asked, "parts": p, "attempts": a, "work_milliunits": w, "late": 0,
         })
     };
-    for ((name, _, hash, (after, upto), _), corrections) in EXPORTS.into_iter().zip([2, 1, 1]) {
-        let read: Value = serde_json::from_str(&text(&format!("ledger/{name}.manifest.json"))).expect("JSON");
+    for ((name, _, hash, (after, up_to), _), corrections) in EXPORTS.into_iter().zip([2, 1, 1]) {
+        let read: Value =
+            serde_json::from_str(&stored_text(&format!("ledger/{name}.manifest.json"))).expect("JSON");
         let expected = json!({
-            "name": name, "period": "2026-11", "after": after, "upto": upto, "entries": 6,
+            "name": name, "period": "2026-11", "after": after, "upto": up_to, "entries": 6,
             "corrections": corrections, "sha256": hash,
             "totals": [
                 row("acme", "c", "within", [1, 1, 0, 0, 3, 3, 4, 1250]),
@@ -539,21 +540,30 @@
 
 #[test]
 fn exports_completed_from_the_stored_segment_have_the_stored_bytes() {
-    let segment = bytes(&format!("ledger/{FIRST}"));
+    let segment = stored_bytes(&format!("ledger/{FIRST_SEGMENT}"));
     let scanned = journal::scan(&segment, 1, true).expect("undamaged");
     for (name, format, ..) in EXPORTS {
-        // The journal ends behind the record that the export was begun; opening the ledger completes it.
-        let begun = |r: &Record| matches!(r, Record::ExportIntent { name: n, .. } if n == name);
-        let end = &scanned.records.iter().find(|scanned| begun(&scanned.record)).expect("it was begun").end;
+        // The journal ends after the export's intent; opening the ledger completes the export.
+        let is_intent =
+            |record: &Record| matches!(record, Record::ExportIntent { name: export, .. } if export == name);
+        let end = &scanned
+            .records
+            .iter()
+            .find(|scanned| is_intent(&scanned.record))
+            .expect("the export has an intent")
+            .end;
         let dir = scratch_dir("stored");
-        fs::write(dir.join(FIRST), &segment[..*end]).expect("written");
-        let disk = RealDisk::own(&dir).expect("owned");
+        fs::write(dir.join(FIRST_SEGMENT), &segment[..*end]).expect("written");
+        let disk = RealDisk::own(&dir).expect("locked");
         let (_, recovery) =
             Store::open(disk, calendar(), Options::default(), "n0", DECEMBER).expect("opened");
         assert_eq!(recovery.completed_exports, 1, "{name}");
         for file in [format!("{name}.{format}"), format!("{name}.manifest.json")] {
-            let made = fs::read(dir.join(&file)).expect("written");
-            assert!(made == bytes(&format!("ledger/{file}")), "{file}: other bytes than the stored ones");
+            let written = fs::read(dir.join(&file)).expect("written");
+            assert!(
+                written == stored_bytes(&format!("ledger/{file}")),
+                "{file}: the content differs from the stored bytes"
+            );
         }
     }
 }
@@ -563,13 +573,16 @@
 const EXPORT_FILES: [&str; 3] =
     ["n0-e1-2026-11-0001.csv", "n0-e1-2026-11-0002.jsonl", "n0-e1-2026-11-0003.arrow"];
 
-fn whole_ledger() -> PathBuf {
-    copied("ledger", &[&[FIRST, SECOND, SNAPSHOT], EXPORT_FILES.as_slice()].concat())
+fn complete_ledger() -> PathBuf {
+    copy_to_scratch_dir(
+        "ledger",
+        &[&[FIRST_SEGMENT, SECOND_SEGMENT, SNAPSHOT], EXPORT_FILES.as_slice()].concat(),
+    )
 }
 
 #[test]
 fn ledger_verify_accepts_the_stored_exports_and_names_each_changed_one() {
-    let dir = whole_ledger();
+    let dir = complete_ledger();
     let output = run(&["ledger", "verify"], &dir, &[]);
     assert!(output.status.success(), "{output:?}");
     let expected = format!(
@@ -582,25 +595,25 @@
         NOVEMBER + 400,
         DECEMBER + 3000,
     );
-    assert_eq!(out(&output), expected);
+    assert_eq!(stdout(&output), expected);
     for file in EXPORT_FILES {
-        let dir = whole_ledger();
-        let mut changed = bytes(&format!("ledger/{file}"));
+        let dir = complete_ledger();
+        let mut changed = stored_bytes(&format!("ledger/{file}"));
         changed[20] ^= 1;
         fs::write(dir.join(file), changed).expect("written");
         let output = run(&["ledger", "verify"], &dir, &[]);
-        let problem = String::from_utf8(output.stderr).expect("UTF-8");
-        assert_eq!(output.status.code(), Some(1), "{problem}");
-        assert!(problem.contains(file), "{problem}");
-        assert!(EXPORT_FILES.iter().all(|f| *f == file || !problem.contains(f)), "{problem}");
+        let stderr = String::from_utf8(output.stderr).expect("UTF-8");
+        assert_eq!(output.status.code(), Some(1), "{stderr}");
+        assert!(stderr.contains(file), "{stderr}");
+        assert!(EXPORT_FILES.iter().all(|other| *other == file || !stderr.contains(other)), "{stderr}");
     }
 }
 
-/// The totals of records 1 to 33 as the commands print them in JSON.
+/// The totals of records 1 to 33 as commands print them in JSON.
 fn totals_in_json() -> Value {
-    let row = |of: &str, tenant: &str, class: &str, share: &str, n: [u64; 9]| {
+    let row = |period: &str, tenant: &str, class: &str, share: &str, n: [u64; 9]| {
         json!({
-            "period": of, "tenant": tenant, "class": class, "share": share, "queries": n[0], "billed": n[1],
+            "period": period, "tenant": tenant, "class": class, "share": share, "queries": n[0], "billed": n[1],
             "refused": n[2], "failed": n[3], "asked": n[4], "parts": n[5], "attempts": n[6],
             "work_milliunits": n[7], "late": n[8],
         })
@@ -617,11 +630,11 @@
 
 #[test]
 fn ledger_show_prints_the_stored_totals_and_corrections() {
-    let output = run(&["ledger", "show"], &whole_ledger(), &["--json"]);
-    let read: Value = serde_json::from_str(&out(&output)).expect("JSON");
-    let row = |(n, seq): (i64, u64)| {
+    let output = run(&["ledger", "show"], &complete_ledger(), &["--json"]);
+    let read: Value = serde_json::from_str(&stdout(&output)).expect("JSON");
+    let row = |(n, sequence): (i64, u64)| {
         json!({
-            "seq": seq, "billed_in": "2026-11", "corrects": "2026-10", "tenant": "acme", "class": "c",
+            "seq": sequence, "billed_in": "2026-11", "corrects": "2026-10", "tenant": "acme", "class": "c",
             "share": if n % 2 == 0 { "beyond" } else { "within" }, "queries": -n, "parts": 300 * n,
             "work_milliunits": -70_000 * n, "by": "ops", "why": format!("ticket {n}, \"twice\""),
             "at_ms": NOVEMBER + n * 100 - 70,
@@ -633,11 +646,11 @@
 
 #[test]
 fn ledger_reconcile_reads_the_stored_segments() {
-    let output = run(&["ledger", "reconcile"], &whole_ledger(), &["--json"]);
-    let read: Value = serde_json::from_str(&out(&output)).expect("JSON");
-    let row = |g: Gap| json!({ "mixer": "n0", "from": g.from, "to": g.to, "entries": g.entries, "reason": g.reason });
+    let output = run(&["ledger", "reconcile"], &complete_ledger(), &["--json"]);
+    let read: Value = serde_json::from_str(&stdout(&output)).expect("JSON");
+    let row = |gap: Gap| json!({ "mixer": "n0", "from": gap.from, "to": gap.to, "entries": gap.entries, "reason": gap.reason });
     let expected = json!({
-        "complete": false, "entries": 19, "totals": totals_in_json(), "gaps": [row(gap()), row(gap_of_run())],
+        "complete": false, "entries": 19, "totals": totals_in_json(), "gaps": [row(gap()), row(gap_of_killed_run())],
         "overlaps": [], "clocks": [], "met_at_two_mixers": 0,
     });
     assert_eq!(read, expected);
@@ -648,8 +661,8 @@
 
 const NOW: i64 = 1_796_256_005_000;
 
-fn requests_of() -> [(&'static str, Request); 4] {
-    let made = Correction {
+fn requests() -> [(&'static str, Request); 4] {
+    let correction_5 = Correction {
         at: NOW,
         id: "id-5".to_owned(),
         tenant: "zo\u{eb}, \"b\"".to_owned(),
@@ -663,7 +676,7 @@
         reason: "line 1\nline 2".to_owned(),
     };
     [
-        ("1", Request::Correct(made)),
+        ("1", Request::Correct(correction_5)),
         ("2", Request::Correct(Correction { at: NOW, id: "id-6".to_owned(), ..correction(1) })),
         ("3", Request::Export(period("2026-12"), Format::JsonLines)),
         ("4", Request::Close(period("2026-12"))),
@@ -672,40 +685,44 @@
 
 #[test]
 fn request_files_decode_and_reencode() {
-    for (id, request) in requests_of() {
-        let stored = text(&format!("requests/{}", request_file_name(id)));
+    for (id, request) in requests() {
+        let stored = stored_text(&format!("requests/{}", request_file_name(id)));
         assert_eq!(Request::from_json(&stored, NOW), Ok(request.clone()), "{id}");
         assert_eq!(request.to_json(), stored, "{id}");
     }
 }
 
 #[test]
-fn stored_requests_are_done_by_the_store_with_the_stored_replies() {
-    let dir = whole_ledger();
-    for (id, _) in requests_of() {
-        fs::copy(stored("requests").join(request_file_name(id)), dir.join(request_file_name(id)))
+fn stored_requests_are_processed_with_the_stored_replies() {
+    let dir = complete_ledger();
+    for (id, _) in requests() {
+        fs::copy(stored_path("requests").join(request_file_name(id)), dir.join(request_file_name(id)))
             .expect("copied");
     }
-    let disk = RealDisk::own(&dir).expect("owned");
+    let disk = RealDisk::own(&dir).expect("locked");
     let mut store = Store::open(disk, calendar(), Options::default(), "n0", NOW).expect("opened").0;
-    assert_eq!(store.process_requests(NOW).expect("done"), 4);
-    for (id, request) in requests_of() {
-        let reply = fs::read_to_string(dir.join(reply_file_name(id))).expect("a reply");
-        assert_eq!(reply, text(&format!("requests/{}", reply_file_name(id))), "{id}");
+    assert_eq!(store.process_requests(NOW).expect("processed"), 4);
+    for (id, request) in requests() {
+        let reply = fs::read_to_string(dir.join(reply_file_name(id))).expect("reply file exists");
+        assert_eq!(reply, stored_text(&format!("requests/{}", reply_file_name(id))), "{id}");
         assert!(!dir.join(request_file_name(id)).exists(), "request {id} is removed");
         if let Request::Correct(correction) = request {
-            let of = |made: &BilledCorrection| (made.billed_in, made.correction.clone());
-            let made: Vec<_> = store.book().corrections().iter().map(of).collect();
-            assert!(made.contains(&(period("2026-12"), correction)), "{id}");
+            let period_and_correction =
+                |billed: &BilledCorrection| (billed.billed_in, billed.correction.clone());
+            let corrections: Vec<_> = store.book().corrections().iter().map(period_and_correction).collect();
+            assert!(corrections.contains(&(period("2026-12"), correction)), "{id}");
         }
     }
     let last = store.book().exports().last().cloned();
-    assert_eq!(last.map(|e| (e.name, e.format)), Some(("n0-e4-2026-12-0001".into(), "jsonl".into())));
+    assert_eq!(
+        last.map(|export| (export.name, export.format)),
+        Some(("n0-e4-2026-12-0001".into(), "jsonl".into()))
+    );
 }
 
 #[test]
-fn stored_replies_are_read_by_the_command_that_asked() {
-    let done = [
+fn stored_replies_are_read_by_the_requesting_command() {
+    let replies = [
         ("1", Ok("correction 39, billed in 2026-12")),
         (
             "3",
@@ -715,10 +732,10 @@
         ),
         ("4", Err("2026-12 is not over")),
     ];
-    for (reply, words) in done {
-        let dir = whole_ledger();
-        // This process owns the ledger, so the command leaves its request as a file.
-        let _owned = RealDisk::own(&dir).expect("owned");
+    for (reply, expected) in replies {
+        let dir = complete_ledger();
+        // This process owns the ledger, so the command writes its request to a file.
+        let _lock = RealDisk::own(&dir).expect("locked");
         let command = Command::new(binary())
             .args(["ledger", "close"])
             .arg(&dir)
@@ -726,37 +743,40 @@
             .stdout(Stdio::piped())
             .stderr(Stdio::piped())
             .spawn()
-            .expect("it starts");
-        let end = Instant::now() + PATIENCE;
+            .expect("command starts");
+        let deadline = Instant::now() + PATIENCE;
         let id = loop {
-            let names = fs::read_dir(&dir).expect("a folder").map(|e| e.expect("an entry").file_name());
-            let ids = names.filter_map(|n| {
-                Some(n.to_str()?.strip_prefix("request-")?.strip_suffix(".json")?.to_owned())
+            let names = fs::read_dir(&dir)
+                .expect("directory is readable")
+                .map(|entry| entry.expect("directory entry").file_name());
+            let ids = names.filter_map(|name| {
+                Some(name.to_str()?.strip_prefix("request-")?.strip_suffix(".json")?.to_owned())
             });
             if let Some(id) = ids.into_iter().next() {
                 break id;
             }
-            assert!(Instant::now() < end, "no request came");
+            assert!(Instant::now() < deadline, "no request file was written");
             sleep(Duration::from_millis(5));
         };
-        let request = fs::read_to_string(dir.join(request_file_name(&id))).expect("a request");
-        assert_eq!(request, text("requests/request-4.json"));
-        let whole = dir.join("reply.tmp");
-        fs::write(&whole, bytes(&format!("requests/{}", reply_file_name(reply)))).expect("written");
-        fs::rename(&whole, dir.join(reply_file_name(&id))).expect("renamed");
-        let output = command.wait_with_output().expect("it ends");
-        let problem = String::from_utf8(output.stderr.clone()).expect("UTF-8");
-        match words {
-            Ok(words) => {
+        let request = fs::read_to_string(dir.join(request_file_name(&id))).expect("request file");
+        assert_eq!(request, stored_text("requests/request-4.json"));
+        let temporary = dir.join("reply.tmp");
+        fs::write(&temporary, stored_bytes(&format!("requests/{}", reply_file_name(reply))))
+            .expect("written");
+        fs::rename(&temporary, dir.join(reply_file_name(&id))).expect("renamed");
+        let output = command.wait_with_output().expect("process exits");
+        let stderr = String::from_utf8(output.stderr.clone()).expect("UTF-8");
+        match expected {
+            Ok(message) => {
                 assert_eq!(
-                    (output.status.code(), out(&output)),
-                    (Some(0), format!("{words}\n")),
-                    "{problem}"
+                    (output.status.code(), stdout(&output)),
+                    (Some(0), format!("{message}\n")),
+                    "{stderr}"
                 );
             }
-            Err(words) => {
-                assert_eq!((output.status.code(), out(&output)), (Some(1), String::new()));
-                assert!(problem.contains(words), "{problem}");
+            Err(message) => {
+                assert_eq!((output.status.code(), stdout(&output)), (Some(1), String::new()));
+                assert!(stderr.contains(message), "{stderr}");
             }
         }
     }
@@ -764,19 +784,19 @@
 
 // ---- Hot restart ------------------------------------------------------------------------------------------------
 
-fn orders() -> Overrides {
-    let node = |name: &str| OverrideSubject::LeafServer(name.into());
+fn overrides() -> Overrides {
+    let leaf_server = |name: &str| OverrideSubject::LeafServer(name.into());
     [
         (
             OverrideSubject::Aggregator,
             Override { active: true, given_at: 1_796_256_000_000.0, active_since: 1_796_256_000_000.0 },
         ),
         (
-            node("a"),
+            leaf_server("a"),
             Override { active: true, given_at: 1_796_256_000_123.5, active_since: 1_796_256_000_123.5 },
         ),
         (
-            node("b \"\u{eb}\""),
+            leaf_server("b \"\u{eb}\""),
             Override { active: false, given_at: 1_796_256_000_900.25, active_since: 1_796_256_000_100.0 },
         ),
     ]
@@ -784,116 +804,116 @@
     .collect()
 }
 
-fn words() -> [ProcessStatus; 2] {
+fn statuses() -> [ProcessStatus; 2] {
     [
         ProcessStatus { ready: true, overrides_digest: u32::MAX },
         ProcessStatus { ready: false, overrides_digest: 7 },
     ]
 }
 
-/// The folder of mixer n0 at 127.0.0.1:7000, with the stored files in it.
-fn shared_folder() -> (SharedDirectory, PathBuf) {
-    let below = scratch_dir("stored");
-    let folder = SharedDirectory::open(&below, "n0", "127.0.0.1:7000").expect("made");
-    let dir = below.join("sailmux-24ae7d61");
-    assert!(dir.is_dir(), "the folder has the name that version 0.1.0 gives it");
+/// The shared directory of aggregator n0 at 127.0.0.1:7000, with copies of the stored files.
+fn shared_directory() -> (SharedDirectory, PathBuf) {
+    let parent = scratch_dir("stored");
+    let shared = SharedDirectory::open(&parent, "n0", "127.0.0.1:7000").expect("created");
+    let dir = parent.join("sailmux-24ae7d61");
+    assert!(dir.is_dir(), "the directory has the same name as in version 0.1.0");
     for name in ["orders", "seat-0", "seat-1"] {
-        fs::copy(stored("handover").join(name), dir.join(name)).expect("copied");
+        fs::copy(stored_path("handover").join(name), dir.join(name)).expect("copied");
     }
-    (folder, dir)
+    (shared, dir)
 }
 
 #[test]
-fn orders_file_decodes_and_reencodes() {
-    let stored = bytes("handover/orders");
-    assert_eq!(snapshot::decode(&stored), Ok(orders()));
-    assert!(snapshot::encode(&orders()) == stored, "the encoding differs from the stored bytes");
-    assert_eq!(snapshot::digest(&orders()), 3_755_694_234);
+fn overrides_file_decodes_and_reencodes() {
+    let stored = stored_bytes("handover/orders");
+    assert_eq!(snapshot::decode(&stored), Ok(overrides()));
+    assert!(snapshot::encode(&overrides()) == stored, "the encoding differs from the stored bytes");
+    assert_eq!(snapshot::digest(&overrides()), 3_755_694_234);
 }
 
 #[test]
-fn orders_file_is_read_from_the_folder_and_written_by_a_merge() {
-    let (folder, dir) = shared_folder();
-    assert_eq!(folder.read_overrides().expect("read"), StoredOverrides::Present(orders()));
-    // Nothing new: the file stays.
+fn overrides_file_is_read_from_the_shared_directory_and_written_by_a_merge() {
+    let (shared, dir) = shared_directory();
+    assert_eq!(shared.read_overrides().expect("read"), StoredOverrides::Present(overrides()));
+    // A merge without changes keeps the file.
     assert_eq!(
-        folder.merge_overrides(&orders(), 0.0).expect("merged"),
-        MergedOverrides { merged: orders(), found: StoredOverrides::Present(orders()) }
+        shared.merge_overrides(&overrides(), 0.0).expect("merged"),
+        MergedOverrides { merged: overrides(), found: StoredOverrides::Present(overrides()) }
     );
     fs::remove_file(dir.join("orders")).expect("removed");
     assert_eq!(
-        folder.merge_overrides(&orders(), 0.0).expect("merged"),
-        MergedOverrides { merged: orders(), found: StoredOverrides::Missing }
+        shared.merge_overrides(&overrides(), 0.0).expect("merged"),
+        MergedOverrides { merged: overrides(), found: StoredOverrides::Missing }
     );
-    assert!(fs::read(dir.join("orders")).expect("written") == bytes("handover/orders"));
+    assert!(fs::read(dir.join("orders")).expect("written") == stored_bytes("handover/orders"));
 }
 
 #[test]
-fn seat_files_of_live_processes_are_read_from_the_folder() {
-    let (folder, dir) = shared_folder();
-    assert_eq!(folder.siblings(None), [], "no seat is locked");
+fn status_files_of_running_processes_are_read_from_the_shared_directory() {
+    let (shared, dir) = shared_directory();
+    assert_eq!(shared.siblings(None), [], "no process slot is locked");
     let lock = |name: &str| {
-        let file = fs::File::open(dir.join(name)).expect("there");
+        let file = fs::File::open(dir.join(name)).expect("file exists");
         file.lock().expect("locked");
         file
     };
-    let _locked = ["seat-0", "seat-1"].map(lock);
-    let [first, second] = words();
+    let _locks = ["seat-0", "seat-1"].map(lock);
+    let [first, second] = statuses();
     let second = Sibling { slot: 1, status: Some(second) };
-    assert_eq!(folder.siblings(None), [Sibling { slot: 0, status: Some(first) }, second.clone()]);
-    assert_eq!(folder.siblings(Some(0)), [second]);
+    assert_eq!(shared.siblings(None), [Sibling { slot: 0, status: Some(first) }, second.clone()]);
+    assert_eq!(shared.siblings(Some(0)), [second]);
 }
 
 #[test]
-fn seat_files_decode_and_are_written_with_the_stored_bytes() {
-    let (folder, dir) = shared_folder();
-    let mut seats = [0, 1].map(|_| folder.acquire_slot().expect("a file").expect("free"));
-    for ((seat, word), name) in seats.iter_mut().zip(words()).zip(["seat-0", "seat-1"]) {
-        let stored = text(&format!("handover/{name}"));
-        assert_eq!(serde_json::from_str::<ProcessStatus>(stored.trim_end()).expect("JSON"), word);
-        seat.publish(&word).expect("said");
+fn status_files_decode_and_are_written_with_the_stored_bytes() {
+    let (shared, dir) = shared_directory();
+    let mut slots = [0, 1].map(|_| shared.acquire_slot().expect("slot file").expect("a free slot"));
+    for ((slot, status), name) in slots.iter_mut().zip(statuses()).zip(["seat-0", "seat-1"]) {
+        let stored = stored_text(&format!("handover/{name}"));
+        assert_eq!(serde_json::from_str::<ProcessStatus>(stored.trim_end()).expect("JSON"), status);
+        slot.publish(&status).expect("published");
         assert_eq!(fs::read_to_string(dir.join(name)).expect("written"), stored);
     }
 }
 
 // ---- Inventory --------------------------------------------------------------------------------------------------
 
-fn nodes(numbers: &[u32]) -> String {
-    let row = |i: &u32| format!("s0{i},127.0.0.1:{},z,{},1,ready\n", i + 1, i % 3);
+fn inventory(numbers: &[u32]) -> String {
+    let row = |number: &u32| format!("s0{number},127.0.0.1:{},z,{},1,ready\n", number + 1, number % 3);
     format!("name,address,zone,cell,weight,state\n{}", numbers.iter().map(row).collect::<String>())
 }
 
 #[test]
 fn confirmation_file_is_written_with_the_stored_bytes() {
-    let dir = copied("inventory", &["nodes.csv"]);
-    assert_eq!(text("inventory/nodes.csv"), nodes(&[0, 1, 2]));
+    let dir = copy_to_scratch_dir("inventory", &["nodes.csv"]);
+    assert_eq!(stored_text("inventory/nodes.csv"), inventory(&[0, 1, 2]));
     let path = dir.join("nodes.csv");
     let output = run(&["inventory", "confirm"], &path, &[]);
     assert!(output.status.success(), "{output:?}");
     let expected = format!("{}.confirm: list 95f1a861b4777089 of 3 nodes is confirmed\n", path.display());
-    assert_eq!(out(&output), expected);
-    let made = fs::read_to_string(dir.join("nodes.csv.confirm")).expect("written");
-    assert_eq!(made, text("inventory/nodes.csv.confirm"));
-    assert_eq!(made, "95f1a861b4777089\n");
+    assert_eq!(stdout(&output), expected);
+    let written = fs::read_to_string(dir.join("nodes.csv.confirm")).expect("written");
+    assert_eq!(written, stored_text("inventory/nodes.csv.confirm"));
+    assert_eq!(written, "95f1a861b4777089\n");
 }
 
 #[test]
-fn stored_confirmation_file_makes_a_mixer_take_the_list_that_it_holds_back() {
+fn stored_confirmation_file_makes_an_aggregator_apply_the_list_that_it_holds_back() {
     let dir = scratch_dir("stored");
     let path = dir.join("nodes.csv");
-    let place = |name: &str, content: &[u8]| {
-        let whole = dir.join("whole.tmp");
-        fs::write(&whole, content).expect("written");
-        fs::rename(&whole, dir.join(name)).expect("renamed");
+    let write_file = |name: &str, content: &[u8]| {
+        let temporary = dir.join("whole.tmp");
+        fs::write(&temporary, content).expect("written");
+        fs::rename(&temporary, dir.join(name)).expect("renamed");
     };
-    place("nodes.csv", nodes(&[0, 1, 2, 3, 4, 5, 6, 7, 8]).as_bytes());
+    write_file("nodes.csv", inventory(&[0, 1, 2, 3, 4, 5, 6, 7, 8]).as_bytes());
     let operator = format!("inventory:\n  file: {}\n", path.display());
-    let mut mixer = Setup { operator: Some(operator), ..Setup::new(&[]) }.start();
-    place("nodes.csv", &bytes("inventory/nodes.csv"));
-    let line = mixer.wait_for_new_log("list held back");
+    let mut aggregator = Setup { operator: Some(operator), ..Setup::new(&[]) }.start();
+    write_file("nodes.csv", &stored_bytes("inventory/nodes.csv"));
+    let line = aggregator.wait_for_new_log("list held back");
     assert!(line.contains("6 of 9 nodes would be lost at once"), "{line}");
-    place("nodes.csv.confirm", &bytes("inventory/nodes.csv.confirm"));
-    let line = mixer.wait_for_new_log("confirmed=true");
+    write_file("nodes.csv.confirm", &stored_bytes("inventory/nodes.csv.confirm"));
+    let line = aggregator.wait_for_new_log("confirmed=true");
     assert!(line.contains("nodes=3") && line.contains("gone=6"), "{line}");
-    assert!(!dir.join("nodes.csv.confirm").exists(), "a confirmation is read once");
+    assert!(!dir.join("nodes.csv.confirm").exists(), "a confirmation is removed once it is read");
 }
