--- a/src/ledger/reconcile.rs
+++ b/src/ledger/reconcile.rs
@@ -9,7 +9,8 @@
 /// Clock differences above this many milliseconds are reported, both within one ledger and between two ledgers that
 /// recorded the same query.
 const CLOCK_TOLERANCE_MS: UnixMs = 5_000;
-/// Maximum number of listed duplicates and of listed clock differences.
+/// Maximum number of listed duplicates and of listed clock differences. Further duplicates are only counted; further
+/// clock differences are dropped.
 const MAX_LISTED: usize = 100;
 
 /// The totals of several ledgers, and the gaps and contradictions found in them.
--- a/tests/stored_formats.rs
+++ b/tests/stored_formats.rs
@@ -55,16 +55,16 @@
 // ---- Ledger: expected content -----------------------------------------------------------------------------------
 
 /// 2026-11-15T00:00:00Z.
-const NOVEMBER: i64 = 1_794_700_800_000;
+const NOVEMBER_MS: i64 = 1_794_700_800_000;
 /// 2026-12-03T00:00:00Z.
-const DECEMBER: i64 = 1_796_256_000_000;
+const DECEMBER_MS: i64 = 1_796_256_000_000;
 
 const FIRST_SEGMENT: &str = "seg-00000000000000000001.log";
 const SECOND_SEGMENT: &str = "seg-00000000000000000034.log";
 const SNAPSHOT: &str = "snap-00000000000000000033.bin";
 type ExportFields = (&'static str, &'static str, &'static str, (u64, u64), i64);
 
-/// Name, format, SHA-256, range of sequence numbers, and time in milliseconds after `NOVEMBER` of each export.
+/// Name, format, SHA-256, range of sequence numbers, and time in milliseconds after `NOVEMBER_MS` of each export.
 const EXPORTS: [ExportFields; 3] = [
     (
         "n0-e1-2026-11-0001",
@@ -100,7 +100,7 @@
 /// One entry of each outcome, with both quota shares and with known and unknown tenants.
 #[allow(clippy::too_many_lines, reason = "one literal record after another")]
 fn entries(offset_ms: i64) -> Vec<Record> {
-    let at = NOVEMBER + offset_ms;
+    let at = NOVEMBER_MS + offset_ms;
     let acme = Entry {
         at: at + 1,
         tenant: "acme".to_owned(),
@@ -178,14 +178,14 @@
 }
 
 fn gap() -> Gap {
-    Gap { from: NOVEMBER + 10, to: NOVEMBER + 20, entries: 3, reason: "the queue was full".to_owned() }
+    Gap { from: NOVEMBER_MS + 10, to: NOVEMBER_MS + 20, entries: 3, reason: "the queue was full".to_owned() }
 }
 
 /// The gap that the store records if the previous run has no end record.
 fn gap_of_killed_run() -> Gap {
     Gap {
-        from: NOVEMBER + 400,
-        to: DECEMBER + 3000,
+        from: NOVEMBER_MS + 400,
+        to: DECEMBER_MS + 3000,
         entries: 0,
         reason: "a run ended without a word; its last 50 ms may be missing".to_owned(),
     }
@@ -193,7 +193,7 @@
 
 fn correction(number: i64) -> Correction {
     Correction {
-        at: NOVEMBER + number * 100 - 70,
+        at: NOVEMBER_MS + number * 100 - 70,
         id: format!("id-{number}"),
         tenant: "acme".to_owned(),
         class: "c".to_owned(),
@@ -209,7 +209,7 @@
 
 fn late_entry() -> Entry {
     Entry {
-        at: NOVEMBER + 400,
+        at: NOVEMBER_MS + 400,
         tenant: "acme".to_owned(),
         tenant_is_known: true,
         class: "c".to_owned(),
@@ -232,12 +232,12 @@
         after,
         up_to: last,
     };
-    [intent, Record::ExportFinished { name: name.to_owned(), hash: hash.to_owned(), at: NOVEMBER + at }]
+    [intent, Record::ExportFinished { name: name.to_owned(), hash: hash.to_owned(), at: NOVEMBER_MS + at }]
 }
 
 /// Records 1 to 33: the first segment.
 fn first_segment() -> Vec<Record> {
-    let mut all = vec![Record::Open { aggregator: "n0".to_owned(), epoch: 1, at: NOVEMBER }];
+    let mut all = vec![Record::Open { aggregator: "n0".to_owned(), epoch: 1, at: NOVEMBER_MS }];
     all.extend(entries(0));
     all.push(Record::Gap(gap()));
     all.extend([1, 2].map(|n| Record::Correction(correction(n))));
@@ -248,18 +248,18 @@
     all.extend(entries(210));
     all.push(Record::Correction(correction(4)));
     all.extend(export_records(2));
-    all.push(Record::Close { period: "2026-11".to_owned(), at: DECEMBER });
+    all.push(Record::Close { period: "2026-11".to_owned(), at: DECEMBER_MS });
     all.push(Record::Entry(late_entry()));
-    all.push(Record::End { at: DECEMBER + 1000 });
+    all.push(Record::End { at: DECEMBER_MS + 1000 });
     all
 }
 
 /// Records 34 to 36: the second segment.
 fn second_segment() -> Vec<Record> {
     vec![
-        Record::Open { aggregator: "n0".to_owned(), epoch: 2, at: DECEMBER + 2000 },
+        Record::Open { aggregator: "n0".to_owned(), epoch: 2, at: DECEMBER_MS + 2000 },
         Record::Gap(gap_of_killed_run()),
-        Record::Open { aggregator: "n0".to_owned(), epoch: 3, at: DECEMBER + 3000 },
+        Record::Open { aggregator: "n0".to_owned(), epoch: 3, at: DECEMBER_MS + 3000 },
     ]
 }
 // ---- Ledger: journal segments -----------------------------------------------------------------------------------
@@ -375,7 +375,7 @@
 fn seal_segment(dir: &Path) {
     let options = Options { segment_bytes: 1, ..Options::default() };
     let disk = RealDisk::own(dir).expect("locked");
-    Store::open(disk, calendar(), options, "n0", DECEMBER + 2000).expect("opened");
+    Store::open(disk, calendar(), options, "n0", DECEMBER_MS + 2000).expect("opened");
 }
 
 #[test]
@@ -430,7 +430,7 @@
 /// The expected rows of an export: the entries at a time offset, whose first record has the sequence number `first`,
 /// and corrections.
 fn rows(offset_ms: i64, first: u64, corrections: &[(u64, i64)]) -> Vec<Vec<Value>> {
-    let at = |n: i64| NOVEMBER + offset_ms + n;
+    let at = |n: i64| NOVEMBER_MS + offset_ms + n;
     let q = |n: u64| format!("q{offset_ms}-{n}");
     let zoe = "zo\u{eb}, \"b\"";
     #[rustfmt::skip]
@@ -443,7 +443,7 @@
         json!([first + 5, "entry", at(6), "acme", true, "c", q(6), 2, 2, 2, 0, "gone", "beyond", "", ""]),
     ];
     for (sequence, n) in corrections {
-        let (at_ms, share) = (NOVEMBER + n * 100 - 70, if n % 2 == 0 { "beyond" } else { "within" });
+        let (at_ms, share) = (NOVEMBER_MS + n * 100 - 70, if n % 2 == 0 { "beyond" } else { "within" });
         let note = format!("by ops: ticket {n}, \"twice\"");
         #[rustfmt::skip]
         rows.push(json!([
@@ -556,7 +556,7 @@
         fs::write(dir.join(FIRST_SEGMENT), &segment[..*end]).expect("written");
         let disk = RealDisk::own(&dir).expect("locked");
         let (_, recovery) =
-            Store::open(disk, calendar(), Options::default(), "n0", DECEMBER).expect("opened");
+            Store::open(disk, calendar(), Options::default(), "n0", DECEMBER_MS).expect("opened");
         assert_eq!(recovery.completed_exports, 1, "{name}");
         for file in [format!("{name}.{format}"), format!("{name}.manifest.json")] {
             let written = fs::read(dir.join(&file)).expect("written");
@@ -590,10 +590,10 @@
          record 8: gap      3 entries from {} to {}: the queue was full\n\
          record 35: gap      0 entries from {} to {}: a run ended without a word; its last 50 ms may be missing\n",
         dir.display(),
-        NOVEMBER + 10,
-        NOVEMBER + 20,
-        NOVEMBER + 400,
-        DECEMBER + 3000,
+        NOVEMBER_MS + 10,
+        NOVEMBER_MS + 20,
+        NOVEMBER_MS + 400,
+        DECEMBER_MS + 3000,
     );
     assert_eq!(stdout(&output), expected);
     for file in EXPORT_FILES {
@@ -637,7 +637,7 @@
             "seq": sequence, "billed_in": "2026-11", "corrects": "2026-10", "tenant": "acme", "class": "c",
             "share": if n % 2 == 0 { "beyond" } else { "within" }, "queries": -n, "parts": 300 * n,
             "work_milliunits": -70_000 * n, "by": "ops", "why": format!("ticket {n}, \"twice\""),
-            "at_ms": NOVEMBER + n * 100 - 70,
+            "at_ms": NOVEMBER_MS + n * 100 - 70,
         })
     };
     let corrections: Vec<Value> = [(1, 9), (2, 10), (3, 19), (4, 28)].map(row).to_vec();
@@ -659,11 +659,12 @@
 
 // ---- Ledger: requests and replies -------------------------------------------------------------------------------
 
-const NOW: i64 = 1_796_256_005_000;
+/// 2026-12-03T00:00:05Z.
+const NOW_MS: i64 = 1_796_256_005_000;
 
 fn requests() -> [(&'static str, Request); 4] {
     let correction_5 = Correction {
-        at: NOW,
+        at: NOW_MS,
         id: "id-5".to_owned(),
         tenant: "zo\u{eb}, \"b\"".to_owned(),
         class: "slow".to_owned(),
@@ -677,7 +678,7 @@
     };
     [
         ("1", Request::Correct(correction_5)),
-        ("2", Request::Correct(Correction { at: NOW, id: "id-6".to_owned(), ..correction(1) })),
+        ("2", Request::Correct(Correction { at: NOW_MS, id: "id-6".to_owned(), ..correction(1) })),
         ("3", Request::Export(period("2026-12"), Format::JsonLines)),
         ("4", Request::Close(period("2026-12"))),
     ]
@@ -687,7 +688,7 @@
 fn request_files_decode_and_reencode() {
     for (id, request) in requests() {
         let stored = stored_text(&format!("requests/{}", request_file_name(id)));
-        assert_eq!(Request::from_json(&stored, NOW), Ok(request.clone()), "{id}");
+        assert_eq!(Request::from_json(&stored, NOW_MS), Ok(request.clone()), "{id}");
         assert_eq!(request.to_json(), stored, "{id}");
     }
 }
@@ -700,8 +701,8 @@
             .expect("copied");
     }
     let disk = RealDisk::own(&dir).expect("locked");
-    let mut store = Store::open(disk, calendar(), Options::default(), "n0", NOW).expect("opened").0;
-    assert_eq!(store.process_requests(NOW).expect("processed"), 4);
+    let mut store = Store::open(disk, calendar(), Options::default(), "n0", NOW_MS).expect("opened").0;
+    assert_eq!(store.process_requests(NOW_MS).expect("processed"), 4);
     for (id, request) in requests() {
         let reply = fs::read_to_string(dir.join(reply_file_name(id))).expect("reply file exists");
         assert_eq!(reply, stored_text(&format!("requests/{}", reply_file_name(id))), "{id}");
