--- a/src/cli/ledger/reconcile.rs
+++ b/src/cli/ledger/reconcile.rs
@@ -4,7 +4,7 @@
 use super::super::print;
 use super::LedgerLocation;
 use super::table::totals_table;
-use crate::ledger::{Gap, Ledger, Reconciled, Record, lines, reconcile};
+use crate::ledger::{Gap, Ledger, Reconciliation, Record, reconcile, totals_to_json};
 use serde_json::{Value, json};
 use std::path::PathBuf;
 
@@ -13,10 +13,10 @@
     /// The directories of the ledgers
     #[arg(required = true)]
     dirs: Vec<PathBuf>,
-    /// The time zone of the periods
+    /// The time zone of the billing periods
     #[arg(long, default_value = "Asia/Taipei")]
     time_zone: String,
-    /// JSON instead of a table
+    /// Print JSON instead of a table
     #[arg(long)]
     json: bool,
 }
@@ -41,16 +41,16 @@
             records.push((sequence, record.clone()));
         }
     })?;
-    Ok(Ledger { place: location.dir.display().to_string(), book, records })
+    Ok(Ledger { directory: location.dir.display().to_string(), book, records })
 }
 
-fn json_text(reconciled: &Reconciled) -> String {
+fn json_text(reconciled: &Reconciliation) -> String {
     let gaps: Vec<Value> =
         reconciled.gaps.iter().map(|(aggregator, gap)| gap_object(aggregator, gap)).collect();
     let object = json!({
         "complete": reconciled.is_complete(),
         "entries": reconciled.entries,
-        "totals": lines(&reconciled.totals),
+        "totals": totals_to_json(&reconciled.totals),
         "gaps": gaps,
         "overlaps": reconciled.overlaps,
         "clocks": reconciled.clock_differences,
@@ -69,7 +69,7 @@
     })
 }
 
-fn plain_text(reconciled: &Reconciled) -> String {
+fn plain_text(reconciled: &Reconciliation) -> String {
     let mut text = totals_table(&reconciled.totals);
     for finding in reconciled.overlaps.iter().chain(&reconciled.clock_differences) {
         text.push_str(&format!("{finding}\n"));
@@ -82,7 +82,7 @@
         text.push_str(&format!("{count} queries were received by two aggregators; both are billed\n"));
     }
     text.push_str(if reconciled.is_complete() {
-        "complete: every sequence is whole, no gap is recorded, no ledger is given twice\n"
+        "complete: no sequence number is missing, no gap is recorded, no ledger is listed twice\n"
     } else {
         "not complete: see above\n"
     });
