--- a/examples/inventory_scale.rs
+++ b/examples/inventory_scale.rs
@@ -70,7 +70,7 @@
     timed("diff, one drained", || old.changed_names(&one));
     let config = std::env::temp_dir().join(format!("sailmux-scale-{}.json", std::process::id()));
     std::fs::write(&config, include_str!("../src/cli/demo/config.json"))?;
-    let site = Config::at(&config);
+    let site = Config::from_file(&config);
     std::fs::remove_file(&config)?;
     let mut state =
         State::new(site?.settings, Limits::from_max_descriptors(1024), 1, GuardSettings::default())?;
--- a/src/aggregator/event.rs
+++ b/src/aggregator/event.rs
@@ -5,7 +5,7 @@
 };
 use crate::balancer::LoadReport;
 use crate::clock::Millis;
-use crate::config::SiteSettings;
+use crate::config::PlatformSettings;
 use crate::endpoints::{EndpointList, Input};
 use crate::hot_restart::Overrides;
 use crate::ledger::LedgerEvent;
@@ -88,7 +88,7 @@
     /// The ledger's writer reports a change of its state.
     Ledger(LedgerEvent),
     /// The configuration was reloaded.
-    SettingsReloaded(Box<SiteSettings>, Limits),
+    SettingsReloaded(Box<PlatformSettings>, Limits),
     /// The configuration was to be reloaded, but is invalid.
     ReloadRejected,
     /// An operator's call on the admin address.
--- a/src/aggregator/query_validation.rs
+++ b/src/aggregator/query_validation.rs
@@ -1,7 +1,7 @@
 //! Whether a query that was read can be run under the settings in force.
 
 use super::{NewPart, NewQuery};
-use crate::config::SiteSettings;
+use crate::config::PlatformSettings;
 use std::error::Error;
 use std::fmt;
 
@@ -60,7 +60,10 @@
 }
 
 /// Checks all of a query that does not depend on what is in flight.
-pub(super) fn validate_query(query: &NewQuery, settings: &SiteSettings) -> Result<QueryIndices, QueryError> {
+pub(super) fn validate_query(
+    query: &NewQuery,
+    settings: &PlatformSettings,
+) -> Result<QueryIndices, QueryError> {
     let class = settings.classes.iter().position(|name| *name == query.class);
     let class = class.ok_or(QueryError::UnknownClass)?;
     let tenant = find_tenant(query, settings)?;
@@ -72,7 +75,7 @@
     Ok(QueryIndices { class, tenant })
 }
 
-fn find_tenant(query: &NewQuery, settings: &SiteSettings) -> Result<Option<usize>, QueryError> {
+fn find_tenant(query: &NewQuery, settings: &PlatformSettings) -> Result<Option<usize>, QueryError> {
     let Some(name) = &query.tenant else { return Ok(None) };
     let tenant = settings.tenants.iter().position(|known| known == name);
     // Where tenants have quotas, an unknown one would be served on nobody's quota.
--- a/src/aggregator/reload.rs
+++ b/src/aggregator/reload.rs
@@ -2,12 +2,12 @@
 
 use super::Limits;
 use super::reduce::Reduction;
-use crate::config::SiteSettings;
+use crate::config::PlatformSettings;
 use crate::endpoints::Input;
 
 impl Reduction<'_> {
     /// Takes over new settings. They hold for new queries; queries in flight go on under the old ones.
-    pub(super) fn reload_settings(&mut self, settings: SiteSettings, limits: Limits) {
+    pub(super) fn reload_settings(&mut self, settings: PlatformSettings, limits: Limits) {
         let old = &self.state.settings;
         let old_index = |name: &String| old.classes.iter().position(|class| class == name);
         let old_class_indices: Vec<Option<usize>> = settings.classes.iter().map(old_index).collect();
--- a/src/aggregator/state.rs
+++ b/src/aggregator/state.rs
@@ -8,7 +8,7 @@
 use super::{AttemptId, ClientId, ConnectionId, Counters, Lifecycle, Limits, Siblings};
 use crate::balancer::{Balancer, PartId, QueryId, ReplicaId, SettingsError};
 use crate::clock::Millis;
-use crate::config::SiteSettings;
+use crate::config::PlatformSettings;
 use crate::endpoints::{EndpointRegistry, GuardSettings};
 use crate::hot_restart::Overrides;
 use crate::ledger::PriceList;
@@ -17,7 +17,7 @@
 
 /// The state of one process of an aggregator.
 pub struct State {
-    pub(super) settings: SiteSettings,
+    pub(super) settings: PlatformSettings,
     pub(super) balancer: Balancer,
     pub(super) counters: Counters,
     pub(super) rejections: RejectionCounters,
@@ -65,7 +65,7 @@
     /// # Errors
     /// The balancer does not accept the settings.
     pub fn new(
-        settings: SiteSettings,
+        settings: PlatformSettings,
         limits: Limits,
         seed: u64,
         guard: GuardSettings,
@@ -116,7 +116,7 @@
     }
 
     /// The settings in force.
-    pub fn settings(&self) -> &SiteSettings {
+    pub fn settings(&self) -> &PlatformSettings {
         &self.settings
     }
 
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -50,7 +50,7 @@
         let mut cells = None;
         if let Some(path) = &config {
             report.add(path, Config::check_file(path));
-            cells = Config::at(path).ok().map(|config| config.settings.layout().cells);
+            cells = Config::from_file(path).ok().map(|config| config.settings.layout().cells);
         }
         if let Some(path) = &operator {
             check_operator(path, cells, &mut report);
--- a/src/cli/demo/mod.rs
+++ b/src/cli/demo/mod.rs
@@ -82,7 +82,7 @@
     let operator_path = directory.join("operator.yaml");
     fs::write(&operator_path, "inventory:\n  file: nodes.yaml\n")?;
     let operator = Operator::load(&operator_path)?;
-    Ok(Config { operator, ..Config::at(&config_path)? })
+    Ok(Config { operator, ..Config::from_file(&config_path)? })
 }
 
 /// Sends a query and prints its answer and the counters that are not 0.
--- a/src/cli/inventory/source.rs
+++ b/src/cli/inventory/source.rs
@@ -65,7 +65,7 @@
         if self.cells.is_some() {
             return self.cells;
         }
-        let config = Config::at(&path_in_environment("RELAY_CONFIG")?).ok()?;
+        let config = Config::from_file(&path_in_environment("RELAY_CONFIG")?).ok()?;
         Some(config.settings.layout().cells)
     }
 
--- a/src/config/load.rs
+++ b/src/config/load.rs
@@ -4,7 +4,7 @@
 use super::endpoint_list::parse_endpoint_list;
 use super::error::ConfigError;
 use super::operator::Operator;
-use super::platform_settings::{SiteSettings, parse_platform_settings};
+use super::platform_settings::{PlatformSettings, parse_platform_settings};
 use crate::endpoints::EndpointList;
 use crate::json::{Field, FieldError, KeyPaths};
 use miniserde::json::Value;
@@ -40,7 +40,7 @@
     /// The endpoint list that this aggregator had last.
     pub known_endpoints: EndpointList,
     /// The platform's settings.
-    pub settings: SiteSettings,
+    pub settings: PlatformSettings,
     /// The keys that the file has in `settings` and `limits`, for [`Config::reload`].
     pub setting_keys: KeyPaths,
     /// What the operator's file sets up.
@@ -84,7 +84,7 @@
     ///
     /// # Errors
     /// The first thing that is wrong with it, with the field.
-    pub fn at(path: &Path) -> Result<Self, ConfigError> {
+    pub fn from_file(path: &Path) -> Result<Self, ConfigError> {
         Self::read(path, no_override)
     }
 
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -15,4 +15,4 @@
 pub use error::ConfigError;
 pub use load::Config;
 pub use operator::Operator;
-pub use platform_settings::{SiteSettings, parse_platform_settings, zone_index};
+pub use platform_settings::{PlatformSettings, parse_platform_settings, zone_index};
--- a/src/config/operator/ledger.rs
+++ b/src/config/operator/ledger.rs
@@ -69,9 +69,9 @@
     /// Its directory.
     pub dir: PathBuf,
     /// How long an answer waits for its entry at most; `None` if answers do not wait.
-    pub strict: Option<Duration>,
+    pub max_answer_wait: Option<Duration>,
     /// Time between two commits.
-    pub every: Duration,
+    pub commit_interval: Duration,
     /// The billing periods.
     pub calendar: Calendar,
     /// How it is stored.
@@ -93,8 +93,8 @@
         };
         Some(Ledger {
             dir: base.join(self.dir.as_ref()?),
-            strict: self.is_strict().then_some(Duration::from_millis(self.answer_wait_ms.0)),
-            every: Duration::from_millis(self.commit_ms.0),
+            max_answer_wait: self.is_strict().then_some(Duration::from_millis(self.answer_wait_ms.0)),
+            commit_interval: Duration::from_millis(self.commit_ms.0),
             calendar,
             options: self.store_options(),
             prices: self.price_list(),
--- a/src/config/platform_settings.rs
+++ b/src/config/platform_settings.rs
@@ -12,7 +12,7 @@
 
 /// The settings of one aggregator: the balancer's, and those of the aggregator around it.
 #[derive(Clone, Debug)]
-pub struct SiteSettings {
+pub struct PlatformSettings {
     /// The balancer's settings.
     pub balancer: Settings,
     /// Class names, by the balancer's index.
@@ -33,7 +33,7 @@
     pub idle_timeout: Millis,
 }
 
-impl SiteSettings {
+impl PlatformSettings {
     /// Which cells hold a shard.
     pub fn layout(&self) -> Layout {
         Layout { cells: self.balancer.cells.max(1), width: self.balancer.width.max(1) }
@@ -54,7 +54,7 @@
 /// # Errors
 /// The first field that is missing or has a value that cannot be used; or the settings as a whole, where they
 /// contradict each other.
-pub fn parse_platform_settings(facts: &Field<'_>) -> Result<SiteSettings, FieldError> {
+pub fn parse_platform_settings(facts: &Field<'_>) -> Result<PlatformSettings, FieldError> {
     let classes = parse_classes(facts)?;
     let tenants = parse_tenants(facts)?;
     let zones = parse_zones(facts)?;
@@ -63,7 +63,7 @@
     balancer.validate().map_err(|error| facts.error(error.to_string()))?;
     let limits = facts.get("limits");
     let invariants = facts.get("invariants");
-    Ok(SiteSettings {
+    Ok(PlatformSettings {
         balancer,
         classes: parse_names(facts.get("categories"))?,
         tenants: parse_names(facts.get("tenants"))?,
--- a/src/net/discovery_watch/mod.rs
+++ b/src/net/discovery_watch/mod.rs
@@ -7,7 +7,7 @@
 use super::messages::{AggregatorStopped, EventSender};
 use crate::aggregator::Event;
 use crate::clock::{Clock, Millis};
-use crate::config::SiteSettings;
+use crate::config::PlatformSettings;
 use crate::endpoints::{DiscoveryTiming, EndpointList};
 use answer::{BodyReader, MalformedAnswer};
 use bytes::BytesMut;
@@ -50,13 +50,13 @@
 
 impl DiscoveryWatchHandle {
     /// Starts a watch of discovery at an address.
-    pub fn start(address: Arc<str>, source: DiscoverySource, settings: &SiteSettings) -> Self {
+    pub fn start(address: Arc<str>, source: DiscoverySource, settings: &PlatformSettings) -> Self {
         let task = source.spawn_watch(address.clone(), settings);
         DiscoveryWatchHandle { address, source, task }
     }
 
     /// Moves the watch to another address; one that stays where it is goes on undisturbed.
-    pub fn follow(&mut self, address: Arc<str>, settings: &SiteSettings) {
+    pub fn follow(&mut self, address: Arc<str>, settings: &PlatformSettings) {
         if address == self.address {
             return;
         }
@@ -74,7 +74,7 @@
 }
 
 impl DiscoverySource {
-    fn spawn_watch(&self, address: Arc<str>, settings: &SiteSettings) -> JoinHandle<()> {
+    fn spawn_watch(&self, address: Arc<str>, settings: &PlatformSettings) -> JoinHandle<()> {
         let balancer = &settings.balancer;
         let timing = if balancer.discovery_is_polled {
             DiscoveryTiming::shared_discovery(self.seed, balancer.aggregators)
--- a/src/net/ledger_writer.rs
+++ b/src/net/ledger_writer.rs
@@ -73,7 +73,8 @@
             "ledger opened"
         );
         let (entries, intake) = queue();
-        let commit_interval = if settings.strict.is_some() { Duration::ZERO } else { settings.every };
+        let commit_interval =
+            if settings.max_answer_wait.is_some() { Duration::ZERO } else { settings.commit_interval };
         let on_event = move |event: LedgerEvent| {
             log_event(&event);
             forward_event(&events, event);
@@ -85,7 +86,7 @@
             entries,
             thread,
             clock,
-            max_reply_wait: settings.strict.map(|wait| wait.as_secs_f64() * 1e3),
+            max_reply_wait: settings.max_answer_wait.map(|wait| wait.as_secs_f64() * 1e3),
             durable_entry: 0,
             entry_numbers: HashMap::new(),
             held_replies: VecDeque::new(),
--- a/tests/aggregator.rs
+++ b/tests/aggregator.rs
@@ -34,7 +34,7 @@
 fn aggregator_configured(servers: &str, config: &str) -> State {
     let path = scratch_dir("aggregator").join("config.json");
     std::fs::write(&path, config).expect("written");
-    let settings = Config::at(&path).expect("a valid configuration").settings;
+    let settings = Config::from_file(&path).expect("a valid configuration").settings;
     let limits = Limits::from_max_descriptors(1024);
     let mut state = State::new(settings, limits, 7, GuardSettings::default()).expect("valid settings");
     let files = vec![inventory(servers)];
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -197,7 +197,10 @@
 
     let ledger = operator.ledger.expect("a ledger");
     assert_eq!(ledger.dir, Path::new("/etc/sailmux/book"));
-    assert_eq!((ledger.strict, ledger.every), (Some(Duration::from_millis(40)), Duration::from_millis(50)));
+    assert_eq!(
+        (ledger.max_answer_wait, ledger.commit_interval),
+        (Some(Duration::from_millis(40)), Duration::from_millis(50))
+    );
     assert_eq!((ledger.options.segment_bytes, ledger.options.grace_ms), (2 << 20, 3_600_000));
     assert_eq!(ledger.prices.classes["c"], ClassPrices { query: 5, part: 1000 });
 }
--- a/tests/lifecycle.rs
+++ b/tests/lifecycle.rs
@@ -83,7 +83,7 @@
     fn start(&mut self, name: &'static str) {
         let path = scratch_dir("lifecycle").join("config.json");
         std::fs::write(&path, Setup::new(&[]).config()).expect("written");
-        let settings = Config::at(&path).expect("a valid configuration").settings;
+        let settings = Config::from_file(&path).expect("a valid configuration").settings;
         let limits = Limits::from_max_descriptors(256);
         let state = State::new(settings, limits, 7, GuardSettings::default()).expect("valid settings");
         self.processes.push(Process { name, state, is_running: true, is_ready: false });
