--- a/src/config/endpoint_list.rs
+++ b/src/config/endpoint_list.rs
@@ -1,12 +1,13 @@
-//! Lists of leaf servers in discovery's JSON form, as the discovery watch and the platform's file (`known`) carry them.
+//! Endpoint lists in discovery's JSON format, as received by the discovery watch and stored in the platform's file
+//! (`known`).
 
 use crate::endpoints::{Endpoint, EndpointList, EndpointState};
 use crate::json::{Field, FieldError};
 
-/// Reads a list of leaf servers in discovery's form.
+/// Parses an endpoint list in discovery's JSON format.
 ///
 /// # Errors
-/// The first field that is missing or has a value that cannot be used.
+/// The first field that is missing or has an invalid value.
 pub fn parse_endpoint_list(list: &Field<'_>) -> Result<EndpointList, FieldError> {
     let mut entries = Vec::new();
     for instance in list.get("instances").as_list()? {
@@ -34,6 +35,9 @@
         "Ready" => Ok(EndpointState::Ready),
         "Terminating" => Ok(EndpointState::Draining),
         "Gone" => Ok(EndpointState::Gone),
-        other => lifecycle.report(lifecycle.error(format!("knows no state {other:?}")), EndpointState::Gone),
+        other => lifecycle.report(
+            lifecycle.error(format!("must be Ready, Terminating or Gone, not {other:?}")),
+            EndpointState::Gone,
+        ),
     }
 }
--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -1,22 +1,22 @@
-//! Why a configuration cannot be used.
+//! The errors of loading a configuration.
 
 use crate::diagnostic::Diagnostics;
 use crate::json::FieldError;
 use std::fmt;
 use std::io;
 
-/// Why a configuration cannot be used. The text names the file and, where one is at fault, the field.
+/// Why a configuration cannot be used. The message names the file and, if one is invalid, the field.
 #[derive(Debug)]
 pub enum ConfigError {
-    /// An environment variable that must be set is not.
+    /// This required environment variable is not set.
     Missing(&'static str),
     /// The file of this path cannot be read.
     Unreadable(String, io::Error),
-    /// The file of this path is, as a whole, not of the expected format.
+    /// The file of this path does not have the expected format; with a message.
     Malformed(String, String),
-    /// A field in the file of this path is missing or has a value that cannot be used.
+    /// A field in the file of this path is missing or has an invalid value.
     Field(String, FieldError),
-    /// Everything that is wrong with an operator's file or with inventories.
+    /// All problems of an operator file or of inventories.
     Diagnostics(Diagnostics),
 }
 
--- a/src/config/load.rs
+++ b/src/config/load.rs
@@ -13,47 +13,47 @@
 use std::sync::Arc;
 use std::{env, fs};
 
-/// Names the platform's file.
+/// Environment variable with the path of the platform's file.
 const CONFIG_VARIABLE: &str = "RELAY_CONFIG";
-/// Names the operator's file.
+/// Environment variable with the path of the operator file.
 const OPERATOR_VARIABLE: &str = "SAILMUX_OPERATOR";
-/// Descriptors that the process may hold, where the file does not say.
+/// Maximum number of file descriptors, if the file does not set it.
 const DEFAULT_MAX_DESCRIPTORS: f64 = 1024.0;
-/// Stands for a faulty address while errors are collected; it is never used.
+/// Replaces an invalid address while errors are collected; it is never used.
 const PLACEHOLDER_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// The whole configuration of an aggregator.
+/// The complete configuration of an aggregator.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The aggregator's name.
+    /// Name of the aggregator.
     pub name: String,
-    /// Where clients connect.
+    /// Listen address for clients.
     pub listen: SocketAddr,
     /// Address of the discovery service.
     pub discovery: Arc<str>,
-    /// Seed of the random source.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Where the admin interface listens, if at all.
+    /// Listen address of the admin interface; `None` turns it off.
     pub admin_address: Option<SocketAddr>,
-    /// Descriptors that the process may hold.
+    /// Maximum number of file descriptors of the process; 1024 by default.
     pub max_descriptors: usize,
-    /// The endpoint list that this aggregator had last.
+    /// The last known endpoint list; empty if the file has none.
     pub known_endpoints: EndpointList,
     /// The platform's settings.
     pub settings: PlatformSettings,
-    /// The keys that the file has in `settings` and `limits`, for [`Config::reload`].
+    /// The keys present in the file's `settings` and `limits`, for [`Config::reload`].
     pub setting_keys: KeyPaths,
-    /// What the operator's file sets up.
+    /// The settings of the operator file.
     pub operator: Operator,
 }
 
 impl Config {
-    /// Loads the configuration at startup: the file that `RELAY_CONFIG` names, and the operator's file that
+    /// Loads the configuration at startup: the file that `RELAY_CONFIG` names, and the operator file that
     /// `SAILMUX_OPERATOR` names, if set. `RELAY_NAME`, `RELAY_LISTEN`, `RELAY_DISCOVERY` and `RELAY_MANAGEMENT` take
     /// precedence over the file.
     ///
     /// # Errors
-    /// What keeps the program from starting, with the file and the field.
+    /// Why the configuration cannot be used, with the file and the field.
     pub fn load() -> Result<Self, ConfigError> {
         let path = config_path()?;
         let operator = match env::var(OPERATOR_VARIABLE) {
@@ -64,32 +64,32 @@
         Ok(Config { operator, ..config })
     }
 
-    /// Reads the file that `RELAY_CONFIG` names again, at SIGHUP. The other environment variables date from the start
-    /// and are older than the file now, so they are ignored. `in_force` are the keys of the configuration in force.
+    /// Reads the file that `RELAY_CONFIG` names again, at SIGHUP. The other environment variables are ignored: they
+    /// were set at startup, and the file is newer. `in_force` are the keys of the configuration in force.
     ///
     /// # Errors
-    /// Why the old settings stay in force, with the file and the field. A key that is in force and missing in the new
-    /// file is an error: in a truncated file, each lost setting would otherwise fall back to its default.
+    /// Why the new configuration is rejected, with the file and the field. A key that is in force but missing from the
+    /// new file is an error: otherwise each setting lost from a truncated file would fall back to its default.
     pub fn reload(in_force: &KeyPaths) -> Result<Self, ConfigError> {
         let path = config_path()?;
         let config = Self::read(Path::new(&path), no_override)?;
         if let Some(key) = in_force.difference(&config.setting_keys).next() {
-            let message = "is missing, the file in force has it".to_owned();
+            let message = "is missing, but the configuration in force has it".to_owned();
             return Err(ConfigError::Field(path, FieldError { field: key.clone(), message }));
         }
         Ok(config)
     }
 
-    /// Reads a platform's file by itself, without environment and operator's file.
+    /// Reads a platform's file alone, without the environment and the operator file.
     ///
     /// # Errors
-    /// The first thing that is wrong with it, with the field.
+    /// The first problem of the file, with the field.
     pub fn from_file(path: &Path) -> Result<Self, ConfigError> {
         Self::read(path, no_override)
     }
 
-    /// Everything that is wrong with a platform's file, for `sailmux check`. What the settings say together is checked
-    /// only once each field by itself is right.
+    /// All problems of a platform's file, for `sailmux check`. Whether settings contradict each other is checked only
+    /// if each field is valid.
     pub fn check_file(path: &Path) -> Vec<ConfigError> {
         let file = path.display().to_string();
         let value = match read_json(path, &file) {
@@ -97,10 +97,10 @@
             Err(error) => return vec![error],
         };
         let (root, errors) = Field::collecting_errors(&value);
-        let first_fatal = Self::from_json(&root, no_override).err();
+        let first_error = Self::from_json(&root, no_override).err();
         let mut found = errors.take();
         if found.is_empty() {
-            found.extend(first_fatal);
+            found.extend(first_error);
         }
         found.into_iter().map(|error| ConfigError::Field(file.clone(), error)).collect()
     }
@@ -111,7 +111,7 @@
         Self::from_json(&Field::root(&value), override_of).map_err(|error| ConfigError::Field(file, error))
     }
 
-    /// Reads the sections in the order in which their errors are to be reported.
+    /// Reads the sections in the order in which their errors are reported.
     fn from_json(root: &Field<'_>, override_of: Override) -> Result<Self, FieldError> {
         let listen_text = text_or_override(root, "listen", override_of("RELAY_LISTEN"))?;
         let admin_address = parse_admin_address(root, override_of("RELAY_MANAGEMENT"))?;
@@ -132,7 +132,7 @@
     }
 }
 
-/// The value of an environment variable that takes precedence over the file, if any.
+/// Returns the value of an environment variable that takes precedence over the file, if it is set.
 type Override = fn(&str) -> Option<String>;
 
 fn environment_variable(name: &str) -> Option<String> {
@@ -167,7 +167,7 @@
 fn parse_address(field: &Field<'_>, text: &str) -> Result<SocketAddr, FieldError> {
     match text.parse() {
         Ok(address) => Ok(address),
-        Err(_) => field.report(field.error("is no address and port"), PLACEHOLDER_ADDRESS),
+        Err(_) => field.report(field.error("is not an address and port"), PLACEHOLDER_ADDRESS),
     }
 }
 
@@ -186,7 +186,7 @@
 fn parse_seed(field: &Field<'_>) -> Result<u64, FieldError> {
     match u64::from_str_radix(field.as_str()?, 16) {
         Ok(seed) => Ok(seed),
-        Err(_) => field.report(field.error("is no hex number"), 0),
+        Err(_) => field.report(field.error("is not a hexadecimal number"), 0),
     }
 }
 
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,9 +1,9 @@
-//! Configuration: the platform's file, the environment and the operator's file, as typed settings.
+//! Configuration: the platform's file, the environment and the operator file, as typed settings.
 //!
-//! This is the only place where the platform's field names (`aimMs`, `worth`, `mustAskInMs`, ...) meet the terms of
-//! the field. `net` and `cli` load a [`Config`] at startup and again at SIGHUP; the discovery watch reads endpoint
-//! lists with [`parse_endpoint_list`]; the simulator adapter reads its facts with [`parse_platform_settings`]. Nothing
-//! here decides or keeps state.
+//! The platform's field names (`aimMs`, `worth`, `mustAskInMs`, ...) are mapped to the names in the code here and
+//! nowhere else. `net` and `cli` load a [`Config`] at startup and again at SIGHUP; the discovery watch reads endpoint
+//! lists with [`parse_endpoint_list`]; the simulator adapter reads its `facts` with [`parse_platform_settings`]. This
+//! module makes no decisions and keeps no state.
 
 mod endpoint_list;
 mod error;
--- a/src/config/operator/flight.rs
+++ b/src/config/operator/flight.rs
@@ -1,11 +1,11 @@
-//! Section `flight`: the Arrow Flight front.
+//! Section `flight`: the Arrow Flight listener.
 
 use super::setting::{Address, records};
 
 records! {
-    /// Arrow Flight for gateways; off unless it has an address.
+    /// Arrow Flight listener for gateways; off unless `listen` is set.
     FlightRecord {
-        /// Address and port where gateways connect, as `127.0.0.1:8815`.
+        /// IP address and port on which gateways connect, such as `127.0.0.1:8815`.
         listen: Option<Address> = None,
     }
 }
--- a/src/config/operator/inventory.rs
+++ b/src/config/operator/inventory.rs
@@ -1,4 +1,4 @@
-//! Section `inventory`: leaf servers by inventory files.
+//! Section `inventory`: leaf servers from inventory files.
 
 use super::setting::{Count, FieldContext, choices, records};
 use crate::endpoints::{FileList, GuardSettings};
@@ -10,136 +10,136 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Most inventory files that a process watches.
+/// Maximum number of entries in `files`.
 const MAX_FILES: usize = 16;
 
 records! {
-    /// Nodes by inventory files; off unless there is one.
+    /// Leaf servers from inventory files; off unless `file` or `files` is set.
     InventoryRecord {
-        /// One file or directory with all defaults, beside this file unless absolute.
+        /// A file or directory read with default options; relative to the directory of this file unless absolute.
         file: Option<String> = None,
-        /// Files or directories; a later one stands over an earlier one.
+        /// Files or directories, at most 16; a later one takes precedence over an earlier one.
         files: Vec<FileRecord> = Vec::new(),
-        /// Discovery goes on beside the files, and stands over them; otherwise they take its place.
+        /// Whether discovery is used as well, with precedence over the files; otherwise the files replace it.
         discovery: bool = false,
-        /// How changes are noticed.
+        /// How changes of the files are detected.
         watch: WatchRecord = WatchRecord::Auto,
-        /// Milliseconds between two looks at the files.
+        /// Milliseconds between two polls of the files.
         poll_ms: Count<50, 400> = Count(200),
-        /// Milliseconds for which a file must stand still before it is taken.
+        /// Milliseconds for which a file must be unchanged before it is read.
         settle_ms: Count<5, 250> = Count(25),
-        /// When a list is held back.
+        /// Checks that hold back a new list.
         guard: GuardRecord = GuardRecord::default(),
-        /// What an inventory may hold at most.
+        /// Upper limits on an inventory.
         bounds: BoundsRecord = BoundsRecord::default(),
     }
 
-    /// One inventory.
+    /// An inventory file or directory, and how it is read.
     FileRecord {
-        /// File or directory, beside this file unless absolute.
+        /// Path of the file or directory, relative to the directory of the operator file unless absolute; required.
         path: String = String::new(),
-        /// How it is written.
+        /// Format of the inventory.
         format: FormatRecord = FormatRecord::Auto,
-        /// CSV's delimiter, one character; found out where it is left out.
+        /// Delimiter of CSV, one ASCII character; detected if not set.
         delimiter: Option<String> = None,
-        /// It only adds to nodes that another source names, as a list of drains does; it may be empty.
+        /// Whether it only adds to leaf servers that another source lists, as a list of drains does; it may be empty.
         partial: bool = false,
-        /// The last line of each whole file; a file without it is not taken.
+        /// Last line of each complete file; a file without it is rejected.
         end_marker: Option<String> = None,
-        /// A file PATH.sha256 holds each file's SHA-256; a file that differs is not taken.
+        /// Whether PATH.sha256 holds the SHA-256 of each file PATH; a file that does not match it is rejected.
         checksum: bool = false,
-        /// Whether a file that ends within a line is held back.
+        /// Whether a file without a final newline is held back.
         final_newline: NewlineRecord = NewlineRecord::Required,
-        /// The column or variable for a field: name, address, port, cell, zone, state, weight, protocol, started_at_ms.
+        /// Column or variable for each field: name, address, port, cell, zone, state, weight, protocol, started_at_ms.
         fields: BTreeMap<String, String> = BTreeMap::new(),
-        /// For a field, what the file's values stand for, as `state: {Active: ready, Decommissioning: draining}`.
+        /// Meaning of the file's values of a field, such as `state: {Active: ready, Decommissioning: draining}`.
         values: BTreeMap<String, BTreeMap<String, String>> = BTreeMap::new(),
-        /// The value of a field that a host does not state.
+        /// Value of each field for the hosts that do not set it.
         defaults: BTreeMap<String, String> = BTreeMap::new(),
     }
 
-    /// When a new list is held back. Drains never are.
+    /// Checks that hold back a new list. Drains are never held back.
     GuardRecord {
-        /// Percent of the nodes that one list may lose; a single node may always go.
+        /// Maximum percentage of the leaf servers that one list may remove; a single one may always be removed.
         most_lost_percent: Count<0, 100> = Count(25),
-        /// Seconds after which a held list that stands unchanged is taken; left out: only a command takes it.
+        /// Seconds after which an unchanged list that is held back is applied; if not set, only a command applies it.
         confirm_after_s: Option<Count<1, 86_400>> = None,
     }
 
-    /// What an inventory may hold at most.
+    /// Upper limits on an inventory.
     BoundsRecord {
-        /// Bytes of all its files.
+        /// Bytes of all its files together.
         bytes: Count<1024, 268_435_456> = Count(16 << 20),
-        /// Hosts, ranges written out.
+        /// Number of hosts, after ranges are expanded.
         hosts: Count<1, 1_000_000> = Count(50_000),
-        /// Groups within groups.
+        /// Depth of nested groups and of nested values.
         depth: Count<1, 64> = Count(32),
-        /// Values of one YAML file, aliases written out.
+        /// Values in one YAML file, after aliases are expanded.
         values: Count<100, 50_000_000> = Count(2_000_000),
     }
 }
 
 choices! {
-    /// How changes of files are noticed.
+    /// How changes of the files are detected.
     WatchRecord {
-        /// By the system's notices, and by looks.
+        /// By file-system notifications and by polling.
         Auto = "auto",
-        /// By the system's notices alone.
+        /// By file-system notifications; by polling only if the system provides none.
         Notify = "notify",
-        /// By looks alone.
+        /// By polling only.
         Poll = "poll",
     }
 
-    /// How an inventory is written.
+    /// Format of an inventory.
     FormatRecord {
-        /// By the file's name.
+        /// By the file name: CSV for `.csv` and `.tsv`, otherwise YAML.
         Auto = "auto",
-        /// Rows under a header.
+        /// CSV with a header.
         Csv = "csv",
-        /// Ansible's groups.
+        /// Ansible inventory in YAML or JSON.
         Yaml = "yaml",
     }
 
-    /// Whether a whole file ends with a line end.
+    /// Whether a complete file must end with a newline.
     NewlineRecord {
-        /// One that ends within a line is held back.
+        /// A file that ends within a line is held back as truncated.
         Required = "required",
-        /// It may end within a line.
+        /// A file may end within a line.
         Optional = "optional",
     }
 }
 
-/// Inventories and how they are watched.
+/// The resolved settings of all inventories.
 #[derive(Clone, Debug)]
 pub struct Inventory {
     /// The files, in ascending order of precedence.
     pub files: Vec<InventoryFile>,
-    /// Discovery is used beside them.
+    /// Whether discovery is used as well.
     pub discovery: bool,
-    /// How changes are noticed.
+    /// How changes of the files are detected.
     pub watch: WatchRecord,
     /// Time between two polls of the files.
     pub poll: Duration,
     /// Time for which a file must be unchanged before it is read.
     pub settle: Duration,
-    /// When a list is held back.
+    /// Checks that hold back a new list.
     pub guard: GuardSettings,
 }
 
-/// One inventory, as it was read at startup.
+/// An inventory file or directory, with its content at startup.
 #[derive(Clone, Debug)]
 pub struct InventoryFile {
-    /// File or directory.
+    /// Path of the file or directory.
     pub path: PathBuf,
     /// How it is read.
     pub options: Options,
-    /// Its content; empty if it was not read.
+    /// Endpoints at startup; empty until the file is read.
     pub list: Arc<FileList>,
 }
 
 impl InventoryRecord {
-    /// The inventories that the record sets up, or `None` where it names no file. Settings that are right one by one and
-    /// wrong together are reported to `root`. `tree` is the whole file, for line numbers.
+    /// The settings of the inventories, or `None` if the record names no file. Settings that contradict each other are
+    /// reported to `root`. `tree` is the complete file, for line numbers.
     pub(super) fn resolve(&self, tree: &Node, root: &mut FieldContext<'_>, base: &Path) -> Option<Inventory> {
         let mut context = root.field("inventory");
         let section = SectionLines::of(tree.get("inventory"));
@@ -159,7 +159,8 @@
             return None;
         }
         if !self.discovery && files.iter().all(|file| file.options.partial) {
-            context.report(section.line, "names partial files only: nothing names the leaf servers");
+            context
+                .report(section.line, "names partial files only, so that no source lists the leaf servers");
         }
         Some(Inventory {
             files,
@@ -171,17 +172,17 @@
         })
     }
 
-    /// The records of all files, with `file` written out as a record.
+    /// The records of all files, including the one in the short form `file`.
     fn file_records(&self, line: u32, context: &mut FieldContext<'_>) -> Vec<FileRecord> {
         let mut records = self.files.clone();
         if let Some(path) = &self.file {
             if !records.is_empty() {
-                context.field("file").report(line, "and files exclude each other");
+                context.field("file").report(line, "cannot be combined with files");
             }
             records.push(FileRecord { path: path.clone(), ..FileRecord::default() });
         }
         if records.len() > MAX_FILES {
-            context.field("files").report(line, format!("are more than {MAX_FILES}"));
+            context.field("files").report(line, format!("must have at most {MAX_FILES} entries"));
         }
         records
     }
@@ -209,7 +210,7 @@
 }
 
 impl FileRecord {
-    /// How the file is read; what is wrong is reported to `context`.
+    /// The options for reading the file; problems are reported to `context`.
     fn resolve(&self, lines: FileLines<'_>, context: &mut FieldContext<'_>, bounds: Bounds) -> Options {
         if self.path.is_empty() {
             context.field("path").report(lines.of("path"), "is missing");
@@ -250,7 +251,7 @@
     }
 }
 
-/// The entries of `setting` by the endpoint field that each names; names of no field are reported.
+/// The entries of `setting` by endpoint field; names that are not a field are reported.
 fn by_endpoint_field<T: Clone>(
     setting: &str,
     entries: &BTreeMap<String, T>,
@@ -263,16 +264,16 @@
             by_field.insert(field, value.clone());
         } else {
             let known = EndpointField::ALL.map(EndpointField::name).join(", ");
-            let message = format!("is no field; there are {known}");
+            let message = format!("is not a field; known fields: {known}");
             context.field(setting).field(name).report(lines.of(setting), message);
         }
     }
     by_field
 }
 
-/// Lines of the section, for diagnostics.
+/// Line numbers of the section, for diagnostics.
 struct SectionLines<'a> {
-    /// The section's own line; 1 if the file has none.
+    /// Line of the section; 1 if the file does not have it.
     line: u32,
     files: &'a [Rc<Node>],
 }
@@ -288,16 +289,16 @@
     }
 }
 
-/// Lines of one file's record, for diagnostics.
+/// Line numbers of one file's record, for diagnostics.
 #[derive(Clone, Copy)]
 struct FileLines<'a> {
     section_line: u32,
-    /// The record in `files`; `None` where the short form `file` is used.
+    /// The record in `files`; `None` for the short form `file`.
     node: Option<&'a Node>,
 }
 
 impl FileLines<'_> {
-    /// The line of a field or, where it is left out, of the record.
+    /// The line of a field or, if it is not set, of the record.
     fn of(&self, field: &str) -> u32 {
         let Some(node) = self.node else { return self.section_line };
         node.get(field).map_or(node.line, |value| value.line)
--- a/src/config/operator/ledger.rs
+++ b/src/config/operator/ledger.rs
@@ -1,4 +1,4 @@
-//! Section `ledger`: use by tenant, kept on disk.
+//! Section `ledger`: the ledger of each tenant's usage, stored on disk.
 
 use super::setting::{Count, FieldContext, choices, records};
 use crate::ledger::{self, Calendar, ClassPrices, PriceList};
@@ -10,79 +10,79 @@
 const MILLIS_PER_HOUR: u64 = 3_600_000;
 
 records! {
-    /// Use by tenant, kept on disk; off unless there is a directory.
+    /// Ledger of each tenant's usage, stored on disk; off unless `dir` is set.
     LedgerRecord {
-        /// The directory, beside this file unless absolute; one process owns it.
+        /// Directory of the ledger, relative to the directory of this file unless absolute; for one process only.
         dir: Option<String> = None,
-        /// Whether an answer waits until its entry is safe.
+        /// Whether an answer is held until its ledger entry is durable.
         mode: LedgerMode = LedgerMode::Group,
-        /// Milliseconds between two commits: in group mode a crash loses no more than that.
+        /// Milliseconds between two commits in group mode: a crash loses at most the entries of this time.
         commit_ms: Count<1, 1000> = Count(50),
-        /// Milliseconds that an answer waits for its entry at most, in strict mode.
+        /// Maximum time in milliseconds that an answer is held for its ledger entry, in strict mode.
         answer_wait_ms: Count<1, 1000> = Count(250),
-        /// The time zone of the billing periods, by its name in the IANA database.
+        /// Time zone of the billing periods, by its name in the IANA time zone database.
         time_zone: String = "Asia/Taipei".to_owned(),
-        /// Hours after a period's end until it closes.
+        /// Hours from the end of a billing period until it closes.
         grace_hours: Count<0, 744> = Count(24),
-        /// In which form a period is exported when it closes.
+        /// Format in which a billing period is exported when it closes.
         export: LedgerExport = LedgerExport::Off,
-        /// Megabytes of a segment, beyond which it is sealed.
+        /// Size of a segment in MiB; a segment that has reached it is sealed.
         segment_mb: Count<1, 1024> = Count(8),
-        /// Units of work by class; a class that is not there costs a unit a part.
+        /// Prices by class; a class that is not listed costs one unit of work per part.
         prices: BTreeMap<String, PriceRecord> = BTreeMap::new(),
     }
 
-    /// Units of work, in thousandths.
+    /// Prices of a class, in thousandths of a unit of work.
     PriceRecord {
-        /// For a query answered.
+        /// Price of each answered query.
         query: Count<0, 1_000_000_000> = Count(0),
-        /// For each part served.
+        /// Price of each part served.
         part: Count<0, 1_000_000_000> = Count(1000),
     }
 }
 
 choices! {
-    /// Whether answers wait for the ledger.
+    /// Whether answers are held until their ledger entries are durable.
     LedgerMode {
-        /// They do not; a crash loses what came since the last commit.
+        /// Answers are sent at once; a crash loses the entries since the last commit.
         Group = "group",
-        /// They do.
+        /// Answers are held until their entries are durable, for at most `answer_wait_ms`.
         Strict = "strict",
     }
 
-    /// The form of exports.
+    /// Format in which a billing period is exported when it closes.
     LedgerExport {
-        /// By command alone.
+        /// No automatic export; periods are exported by command only.
         Off = "off",
-        /// Rows under a header.
+        /// CSV with a header.
         Csv = "csv",
-        /// A JSON object a line.
+        /// One JSON object per line.
         JsonLines = "jsonl",
-        /// Arrow's IPC file.
+        /// Arrow IPC file format.
         Arrow = "arrow",
     }
 }
 
-/// A ledger to be kept.
+/// The resolved settings of a ledger.
 #[derive(Clone, Debug)]
 pub struct Ledger {
-    /// Its directory.
+    /// Directory of the ledger.
     pub dir: PathBuf,
-    /// How long an answer waits for its entry at most; `None` if answers do not wait.
+    /// Maximum time that an answer is held for its ledger entry; `None` if answers are sent at once.
     pub max_answer_wait: Option<Duration>,
-    /// Time between two commits.
+    /// Time between two commits, if answers are sent at once.
     pub commit_interval: Duration,
-    /// The billing periods.
+    /// Calendar of the billing periods.
     pub calendar: Calendar,
-    /// How it is stored.
+    /// Options of the ledger's storage.
     pub options: ledger::Options,
-    /// What use costs.
+    /// Prices of queries and parts, by class.
     pub prices: PriceList,
 }
 
 impl LedgerRecord {
-    /// The ledger that the record sets up, or `None` where it names no directory or an unknown time zone; the latter is
-    /// reported to `root`. `tree` is the whole file, for line numbers.
+    /// The settings of the ledger, or `None` if the record has no directory or an unknown time zone; the latter is
+    /// reported to `root`. `tree` is the complete file, for line numbers.
     pub(super) fn resolve(&self, tree: &Node, root: &mut FieldContext<'_>, base: &Path) -> Option<Ledger> {
         let calendar = match Calendar::new(&self.time_zone) {
             Ok(calendar) => calendar,
@@ -129,7 +129,7 @@
     }
 }
 
-/// The line of the time zone or, where the default is at fault, of the section.
+/// The line of the time zone or, if the record uses the default, of the section.
 fn time_zone_line(tree: &Node) -> u32 {
     let Some(section) = tree.get("ledger") else { return 1 };
     match section.get("time_zone") {
--- a/src/config/operator/log.rs
+++ b/src/config/operator/log.rs
@@ -1,37 +1,37 @@
-//! Section `log`: form and level of the log.
+//! Section `log`: format and level of the log.
 
 use super::setting::{choices, records};
 
 records! {
-    /// What the program writes to its standard error.
+    /// Log events, written to standard error.
     LogRecord {
-        /// Text for readers, or a JSON object a line.
+        /// Format of log events.
         format: LogFormat = LogFormat::Text,
-        /// The least severity that is written.
+        /// Lowest severity that is written.
         level: LogLevel = LogLevel::Info,
     }
 }
 
 choices! {
-    /// The log's form.
+    /// Format of log events.
     LogFormat {
-        /// For readers.
+        /// Human-readable text.
         Text = "text",
-        /// An object a line.
+        /// One JSON object per line.
         Json = "json",
     }
 
-    /// A severity.
+    /// Severity of a log event.
     LogLevel {
-        /// What keeps the program from its work.
+        /// Failures that keep the program from working.
         Error = "error",
-        /// What operators should look at.
+        /// Conditions that need an operator's attention.
         Warn = "warn",
         /// Changes of state.
         Info = "info",
-        /// What helps to find a cause.
+        /// Details for finding the cause of a problem.
         Debug = "debug",
-        /// All there is.
+        /// All events.
         Trace = "trace",
     }
 }
--- a/src/config/operator/mod.rs
+++ b/src/config/operator/mod.rs
@@ -1,8 +1,8 @@
-//! The operator's file: closed YAML records with defaults and bounds, a file for each section.
+//! The operator file: closed YAML records with defaults and bounds, one module for each section.
 //!
 //! A field that is unknown, of another type or out of its bounds is reported with file, line and field; all problems are
-//! reported at once. The records (`...Record`) are the file's form, from which the JSON Schema is derived;
-//! [`Operator`] is what the program uses. Called by `config` at startup, and by `cli` to check files.
+//! reported at once. The records (`...Record`) mirror the file, and the JSON Schema is derived from them; [`Operator`]
+//! holds the resolved settings. Called by `config` at startup, and by `cli` to check files.
 
 mod flight;
 mod inventory;
@@ -29,43 +29,43 @@
 use std::sync::Arc;
 
 records! {
-    /// The operators' file.
+    /// The operator file: settings of an aggregator that its operators maintain.
     OperatorFile {
-        /// Arrow Flight for gateways.
+        /// Arrow Flight listener for gateways; off unless `listen` is set.
         flight: FlightRecord = FlightRecord::default(),
-        /// Nodes by inventory files.
+        /// Leaf servers from inventory files; off unless `file` or `files` is set.
         inventory: InventoryRecord = InventoryRecord::default(),
-        /// Use by tenant, kept on disk.
+        /// Ledger of each tenant's usage, stored on disk; off unless `dir` is set.
         ledger: LedgerRecord = LedgerRecord::default(),
-        /// What the program writes to its standard error.
+        /// Log events, written to standard error.
         log: LogRecord = LogRecord::default(),
     }
 }
 
-/// The JSON Schema of the operator's file, for editors.
+/// The JSON Schema of the operator file, for editors.
 pub fn schema() -> String {
     let schema = schemars::schema_for!(OperatorFile);
     format!("{:#}\n", schema.as_value())
 }
 
-/// What the operator's file sets up; without a file everything is off.
+/// The resolved settings of the operator file. Without a file, everything but the log is off.
 #[derive(Clone, Debug, Default)]
 pub struct Operator {
-    /// Where gateways connect by Arrow Flight.
+    /// Listen address for Arrow Flight; `None` turns it off.
     pub flight_listen: Option<SocketAddr>,
-    /// Inventories.
+    /// Inventories of leaf servers; `None` if the file names none.
     pub inventory: Option<Inventory>,
-    /// Use by tenant.
+    /// Ledger of each tenant's usage; `None` turns it off.
     pub ledger: Option<Ledger>,
-    /// The log.
+    /// Format and level of the log.
     pub log: LogRecord,
 }
 
 impl Operator {
-    /// Reads an operator's file and the inventories that it names.
+    /// Reads an operator file and the inventories that it names.
     ///
     /// # Errors
-    /// Everything that is wrong with any of them.
+    /// All problems of any of them.
     pub fn load(path: &Path) -> Result<Self, Diagnostics> {
         let mut operator = Self::read(path)?;
         let mut diagnostics = Vec::new();
@@ -80,10 +80,10 @@
         if diagnostics.is_empty() { Ok(operator) } else { Err(Diagnostics(diagnostics)) }
     }
 
-    /// Reads an operator's file alone.
+    /// Reads an operator file without its inventories.
     ///
     /// # Errors
-    /// Everything that is wrong with it.
+    /// All problems of the file.
     pub fn read(path: &Path) -> Result<Self, Diagnostics> {
         let file = path.display().to_string();
         match fs::read_to_string(path) {
@@ -92,10 +92,10 @@
         }
     }
 
-    /// Reads the text of an operator's file. Relative paths in it start at the directory of `file`.
+    /// Parses the text of an operator file. Relative paths in it are relative to the directory of `file`.
     ///
     /// # Errors
-    /// Everything that is wrong with it.
+    /// All problems of the file.
     pub fn parse(file: &str, text: &str) -> Result<Self, Diagnostics> {
         let tree = match yaml::parse(text, &yaml::Bounds::default()) {
             Ok(tree) => tree,
--- a/src/config/operator/setting.rs
+++ b/src/config/operator/setting.rs
@@ -1,5 +1,5 @@
-//! Reading the records of the operator's file from YAML: each type says how its value is read, and reports what is wrong
-//! with file, line and field. Reading goes on after an error, so that all of them are reported at once.
+//! Reading the records of the operator file from YAML: each type reads its own value, and reports an invalid one with
+//! file, line and field. Reading continues after an error, so that all errors are reported at once.
 
 use crate::diagnostic::Diagnostic;
 use crate::yaml::{Entry, Node};
@@ -9,9 +9,9 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// A type that can be read from a value in the operator's file.
+/// A type that can be read from a value in the operator file.
 pub trait Setting: Sized {
-    /// Reads a value. `None` where it cannot be used; the reason is then reported to `context`.
+    /// Reads a value. Returns `None` if it is invalid; the reason is then reported to `context`.
     fn read(node: &Node, context: &mut FieldContext<'_>) -> Option<Self>;
 }
 
@@ -23,12 +23,12 @@
 }
 
 impl<'a> FieldContext<'a> {
-    /// The root of a file.
+    /// The context of a file's top level.
     pub(super) fn root(file: &'a str, diagnostics: &'a mut Vec<Diagnostic>) -> Self {
         FieldContext { file, path: String::new(), diagnostics }
     }
 
-    /// A field of this record.
+    /// The context of a field of this record.
     pub(super) fn field(&mut self, name: &str) -> FieldContext<'_> {
         let path = match self.path.as_str() {
             "" => name.to_owned(),
@@ -37,58 +37,58 @@
         FieldContext { file: self.file, path, diagnostics: self.diagnostics }
     }
 
-    /// An entry of this list.
+    /// The context of an entry of this list.
     pub(super) fn entry(&mut self, index: usize) -> FieldContext<'_> {
         let path = format!("{}[{index}]", self.path);
         FieldContext { file: self.file, path, diagnostics: self.diagnostics }
     }
 
-    /// Reports what is wrong with this field.
+    /// Reports a problem of this field.
     pub(super) fn report(&mut self, line: u32, message: impl Into<String>) {
         self.diagnostics.push(Diagnostic::at(self.file, line, self.path.clone(), message));
     }
 }
 
-/// A closed record with a default for each field; made by [`records`].
+/// A closed record with a default for each field; implemented by [`records`].
 pub(super) trait Record: Default {
     /// The names of its fields.
     const NAMES: &'static [&'static str];
 
-    /// Reads the field of that name; false if there is none. A value that cannot be used leaves the default.
+    /// Reads the field `name`; returns false if there is no such field. An invalid value leaves the default.
     fn read_field(&mut self, name: &str, node: &Node, context: &mut FieldContext<'_>) -> bool;
 }
 
-/// Reads a record; a null reads as the defaults.
+/// Reads a record; null is read as the defaults.
 pub(super) fn read_record<T: Record>(node: &Node, context: &mut FieldContext<'_>) -> Option<T> {
     let mut record = T::default();
     if node.is_null() {
         return Some(record);
     }
     let Some(entries) = node.map() else {
-        context.report(node.line, format!("must be fields by name, not {}", node.kind_name()));
+        context.report(node.line, format!("must be a mapping, not {}", node.kind_name()));
         return None;
     };
     for entry in entries {
         let mut field = context.field(&entry.name);
         if !record.read_field(&entry.name, &entry.value, &mut field) {
             let known = T::NAMES.join(", ");
-            field.report(entry.line, format!("is unknown; there are {known}"));
+            field.report(entry.line, format!("is unknown; known fields: {known}"));
         }
     }
     Some(record)
 }
 
-/// Declares records: for each the struct, its defaults, its reader and its JSON Schema. The doc comments become the
-/// schema's descriptions.
+/// Declares records: for each the struct, its defaults, its reader and its JSON Schema. The doc comments are the
+/// descriptions in the schema.
 macro_rules! records {
     ($(
-        $(#[doc = $about:literal])+
-        $name:ident { $($(#[doc = $help:literal])+ $field:ident: $type:ty = $default:expr,)* }
+        $(#[doc = $type_doc:literal])+
+        $name:ident { $($(#[doc = $field_doc:literal])+ $field:ident: $type:ty = $default:expr,)* }
     )*) => {$(
-        $(#[doc = $about])+
+        $(#[doc = $type_doc])+
         #[derive(Clone, Debug, schemars::JsonSchema, serde::Serialize)]
         #[schemars(deny_unknown_fields, default)]
-        pub struct $name { $($(#[doc = $help])+ pub $field: $type,)* }
+        pub struct $name { $($(#[doc = $field_doc])+ pub $field: $type,)* }
 
         impl Default for $name {
             fn default() -> Self {
@@ -134,15 +134,15 @@
 }
 pub(super) use records;
 
-/// Declares enums: for each variant the word that stands for it in the file and in the JSON Schema.
+/// Declares enums: for each variant its keyword in the file and in the JSON Schema.
 macro_rules! choices {
     ($(
-        $(#[doc = $about:literal])+
-        $name:ident { $($(#[doc = $help:literal])+ $variant:ident = $word:literal,)* }
+        $(#[doc = $type_doc:literal])+
+        $name:ident { $($(#[doc = $variant_doc:literal])+ $variant:ident = $keyword:literal,)* }
     )*) => {$(
-        $(#[doc = $about])+
+        $(#[doc = $type_doc])+
         #[derive(Clone, Copy, Debug, PartialEq, Eq, schemars::JsonSchema, serde::Serialize)]
-        pub enum $name { $($(#[doc = $help])+ #[serde(rename = $word)] $variant,)* }
+        pub enum $name { $($(#[doc = $variant_doc])+ #[serde(rename = $keyword)] $variant,)* }
 
         impl $crate::config::operator::setting::Setting for $name {
             fn read(
@@ -150,9 +150,9 @@
                 context: &mut $crate::config::operator::setting::FieldContext<'_>,
             ) -> Option<Self> {
                 match node.as_str() {
-                    $(Some($word) => Some($name::$variant),)*
+                    $(Some($keyword) => Some($name::$variant),)*
                     _ => {
-                        context.report(node.line, format!("must be one of {}", [$($word),*].join(", ")));
+                        context.report(node.line, format!("must be one of {}", [$($keyword),*].join(", ")));
                         None
                     }
                 }
@@ -162,7 +162,7 @@
 }
 pub(super) use choices;
 
-/// A whole number from `MIN` to `MAX`.
+/// A whole number from `MIN` to `MAX`, both inclusive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct Count<const MIN: u64, const MAX: u64>(pub u64);
 
@@ -201,7 +201,7 @@
     fn read(node: &Node, context: &mut FieldContext<'_>) -> Option<Self> {
         let address = node.as_str().and_then(|text| text.parse().ok());
         if address.is_none() {
-            context.report(node.line, "is no address and port");
+            context.report(node.line, "is not an address and port");
         }
         address.map(Address)
     }
@@ -225,7 +225,7 @@
     fn read(node: &Node, context: &mut FieldContext<'_>) -> Option<Self> {
         let text = node.as_str();
         if text.is_none() {
-            context.report(node.line, format!("must be a text, not {}", node.kind_name()));
+            context.report(node.line, format!("must be a string, not {}", node.kind_name()));
         }
         text.map(str::to_owned)
     }
@@ -264,7 +264,7 @@
 impl<T: Setting> Setting for BTreeMap<String, T> {
     fn read(node: &Node, context: &mut FieldContext<'_>) -> Option<Self> {
         let Some(entries) = node.map() else {
-            context.report(node.line, format!("must be entries by name, not {}", node.kind_name()));
+            context.report(node.line, format!("must be a mapping, not {}", node.kind_name()));
             return None;
         };
         let mut values = BTreeMap::new();
--- a/src/config/platform_settings.rs
+++ b/src/config/platform_settings.rs
@@ -1,5 +1,5 @@
-//! The platform's settings, as the aggregator's file and the simulator's `up` message carry them: a function for each
-//! section of the JSON object.
+//! Parses the platform's settings, which come in `RELAY_CONFIG` and in the simulator's `up` message: one function for
+//! each section of the JSON object.
 
 use crate::balancer::{Class, Idempotency, LoadReportMode, Millis, RetryBudget, Settings, Tenant};
 use crate::endpoints::Layout;
@@ -10,10 +10,10 @@
 const DEFAULT_IDLE_TIMEOUT: Millis = 30_000.0;
 const DEFAULT_CALLS_PER_CONNECTION: f64 = 1.0;
 
-/// The settings of one aggregator: the balancer's, and those of the aggregator around it.
+/// The platform's settings of one aggregator: those of the balancer and those of the rest of the aggregator.
 #[derive(Clone, Debug)]
 pub struct PlatformSettings {
-    /// The balancer's settings.
+    /// Settings of the balancer.
     pub balancer: Settings,
     /// Class names, by the balancer's index.
     pub classes: Vec<String>,
@@ -21,27 +21,26 @@
     pub tenants: Vec<String>,
     /// Zone names, by the balancer's index.
     pub zones: Vec<String>,
-    /// Number of shards, if stated.
+    /// Number of shards; `None` if the settings do not have it.
     pub shards: Option<u32>,
-    /// Calls that one connection to a leaf server carries at once; 1 or more.
+    /// Maximum number of concurrent calls on one connection to a leaf server; at least 1, the default.
     pub calls_per_connection: u32,
-    /// Time after which an attempt to connect has failed.
+    /// Time after which an attempt to connect to a leaf server fails; 1 s by default.
     pub connect_timeout: Millis,
-    /// Time after which no new part may go to a leaf server that is draining or gone.
+    /// Time after which a draining or removed leaf server may get no new parts; 1 s by default.
     pub drain_grace: Millis,
-    /// Time after which leaf servers close an idle connection.
+    /// Time after which leaf servers close an idle connection; 30 s by default.
     pub idle_timeout: Millis,
 }
 
 impl PlatformSettings {
-    /// Which cells hold a shard.
+    /// The assignment of shards to cells.
     pub fn layout(&self) -> Layout {
         Layout { cells: self.balancer.cells.max(1), width: self.balancer.width.max(1) }
     }
 }
 
-/// The index of a zone's name in `zones`, as the balancer uses it; `u32::MAX`, the index of no zone, where the name is
-/// unknown.
+/// The balancer's index of a zone: its position in `zones`, or `u32::MAX`, which no zone has, if the name is unknown.
 pub fn zone_index(zones: &[String], zone: &str) -> u32 {
     match zones.iter().position(|name| name == zone) {
         Some(index) => index as u32,
@@ -49,26 +48,25 @@
     }
 }
 
-/// Reads the platform's settings from the simulator's `up` message or from `settings` in `RELAY_CONFIG`.
+/// Parses the platform's settings: `facts` in the simulator's `up` message, or `settings` in `RELAY_CONFIG`.
 ///
 /// # Errors
-/// The first field that is missing or has a value that cannot be used; or the settings as a whole, where they
-/// contradict each other.
-pub fn parse_platform_settings(facts: &Field<'_>) -> Result<PlatformSettings, FieldError> {
-    let classes = parse_classes(facts)?;
-    let tenants = parse_tenants(facts)?;
-    let zones = parse_zones(facts)?;
-    let zone = zone_index(&zones, facts.get("zone").str_or("")?);
-    let balancer = parse_balancer_settings(facts, classes, tenants, zone)?;
-    balancer.validate().map_err(|error| facts.error(error.to_string()))?;
-    let limits = facts.get("limits");
-    let invariants = facts.get("invariants");
+/// The first field that is missing or has an invalid value, or the settings that contradict each other.
+pub fn parse_platform_settings(settings: &Field<'_>) -> Result<PlatformSettings, FieldError> {
+    let classes = parse_classes(settings)?;
+    let tenants = parse_tenants(settings)?;
+    let zones = parse_zones(settings)?;
+    let zone = zone_index(&zones, settings.get("zone").str_or("")?);
+    let balancer = parse_balancer_settings(settings, classes, tenants, zone)?;
+    balancer.validate().map_err(|error| settings.error(error.to_string()))?;
+    let limits = settings.get("limits");
+    let invariants = settings.get("invariants");
     Ok(PlatformSettings {
         balancer,
-        classes: parse_names(facts.get("categories"))?,
-        tenants: parse_names(facts.get("tenants"))?,
+        classes: parse_names(settings.get("categories"))?,
+        tenants: parse_names(settings.get("tenants"))?,
         zones,
-        shards: facts.get("specifics").get("shards").optional_u32()?,
+        shards: settings.get("specifics").get("shards").optional_u32()?,
         calls_per_connection: parse_calls_per_connection(&limits)?,
         connect_timeout: limits.get("dialTimeoutMs").f64_or(DEFAULT_CONNECT_TIMEOUT)?,
         drain_grace: invariants.get("drainGraceMs").f64_or(DEFAULT_DRAIN_GRACE)?,
@@ -76,24 +74,24 @@
     })
 }
 
-/// Reads the sections in the order in which their errors are to be reported.
+/// Reads the sections in the order in which their errors are reported.
 fn parse_balancer_settings(
-    facts: &Field<'_>,
+    settings: &Field<'_>,
     classes: Vec<Class>,
     tenants: Vec<Tenant>,
     zone: u32,
 ) -> Result<Settings, FieldError> {
-    let over_quota_weight = facts.get("overShareWorth").f64_or(0.0)?;
-    let weight_by_work = is_weighted_by_work(facts.get("worthBy"));
-    let clients_mark_retries = facts.get("clients").get("marksRetry").bool_or(false)?;
-    let aggregators = facts.get("replicasOfMe").as_u32()?;
-    let timer_granularity = facts.get("periodMs").as_f64()?;
-    let sharding = parse_sharding(&facts.get("specifics"))?;
-    let load_report_mode = parse_load_report_mode(&facts.get("report").get("how"))?;
-    let limits = parse_limits(&facts.get("limits"))?;
-    let discovery_is_polled = parse_discovery_is_polled(&facts.get("discovery"))?;
-    let invariants = parse_invariants(&facts.get("invariants"))?;
-    let costs = parse_costs(&facts.get("tariffs"))?;
+    let over_quota_weight = settings.get("overShareWorth").f64_or(0.0)?;
+    let weight_by_work = is_weighted_by_work(settings.get("worthBy"));
+    let clients_mark_retries = settings.get("clients").get("marksRetry").bool_or(false)?;
+    let aggregators = settings.get("replicasOfMe").as_u32()?;
+    let timer_granularity = settings.get("periodMs").as_f64()?;
+    let sharding = parse_sharding(&settings.get("specifics"))?;
+    let load_report_mode = parse_load_report_mode(&settings.get("report").get("how"))?;
+    let limits = parse_limits(&settings.get("limits"))?;
+    let discovery_is_polled = parse_discovery_is_polled(&settings.get("discovery"))?;
+    let invariants = parse_invariants(&settings.get("invariants"))?;
+    let costs = parse_costs(&settings.get("tariffs"))?;
     Ok(Settings {
         classes,
         tenants,
@@ -124,10 +122,10 @@
     })
 }
 
-fn parse_classes(facts: &Field<'_>) -> Result<Vec<Class>, FieldError> {
-    let specifics = facts.get("specifics");
+fn parse_classes(settings: &Field<'_>) -> Result<Vec<Class>, FieldError> {
+    let specifics = settings.get("specifics");
     let mut classes = Vec::new();
-    for (index, category) in facts.get("categories").as_list()?.iter().enumerate() {
+    for (index, category) in settings.get("categories").as_list()?.iter().enumerate() {
         classes.push(parse_class(category, &specifics, index)?);
     }
     Ok(classes)
@@ -154,29 +152,32 @@
         "retryable" => Ok(Idempotency::Idempotent),
         "dedup" => Ok(Idempotency::Keyed { window: category.get("windowMs").f64_or(0.0)? }),
         "fragile" => Ok(Idempotency::NotIdempotent),
-        other => effect.report(effect.error(format!("knows no effect {other:?}")), Idempotency::Idempotent),
+        other => effect.report(
+            effect.error(format!("must be retryable, dedup or fragile, not {other:?}")),
+            Idempotency::Idempotent,
+        ),
     }
 }
 
-/// The number of one class in a list that has one for each.
+/// The number of one class in a list with a number for each class.
 fn number_of_class(numbers: &Field<'_>, class: usize) -> Result<f64, FieldError> {
     match numbers.as_list()?.get(class) {
         Some(number) => number.as_f64(),
-        None => numbers.report(numbers.error("has no figure for every class"), 0.0),
+        None => numbers.report(numbers.error("must have a number for every class"), 0.0),
     }
 }
 
-fn parse_tenants(facts: &Field<'_>) -> Result<Vec<Tenant>, FieldError> {
+fn parse_tenants(settings: &Field<'_>) -> Result<Vec<Tenant>, FieldError> {
     let mut tenants = Vec::new();
-    for tenant in facts.get("tenants").list_or_empty()? {
+    for tenant in settings.get("tenants").list_or_empty()? {
         tenants.push(Tenant { quota_per_s: tenant.get("quotaPerS").as_f64()? });
     }
     Ok(tenants)
 }
 
-fn parse_zones(facts: &Field<'_>) -> Result<Vec<String>, FieldError> {
+fn parse_zones(settings: &Field<'_>) -> Result<Vec<String>, FieldError> {
     let mut zones = Vec::new();
-    for zone in facts.get("zones").list_or_empty()? {
+    for zone in settings.get("zones").list_or_empty()? {
         zones.push(zone.as_str()?.to_owned());
     }
     Ok(zones)
@@ -196,7 +197,7 @@
     Ok(calls.max(1.0) as u32)
 }
 
-/// How shards lie on cells, and how parts share calls.
+/// The assignment of shards to cells, and the number of parts in a call.
 struct Sharding {
     cells: u32,
     width: u32,
@@ -211,7 +212,7 @@
     })
 }
 
-/// Whether queries are weighted by their work. A value that is no text counts as any other word.
+/// Whether queries are weighted by their work. Any value but the string `work` means no.
 fn is_weighted_by_work(worth_by: Field<'_>) -> bool {
     worth_by.optional().is_some_and(|field| field.as_str() == Ok("work"))
 }
@@ -221,7 +222,10 @@
         "inline" => Ok(LoadReportMode::Inline),
         "on_probe" => Ok(LoadReportMode::OnHealthCheck),
         "off" => Ok(LoadReportMode::Off),
-        other => how.report(how.error(format!("knows no way of reporting {other:?}")), LoadReportMode::Off),
+        other => how.report(
+            how.error(format!("must be inline, on_probe or off, not {other:?}")),
+            LoadReportMode::Off,
+        ),
     }
 }
 
@@ -229,11 +233,13 @@
     match discovery.as_str()? {
         "pushed" => Ok(false),
         "on_request" => Ok(true),
-        other => discovery.report(discovery.error(format!("knows no discovery {other:?}")), false),
+        other => {
+            discovery.report(discovery.error(format!("must be pushed or on_request, not {other:?}")), false)
+        }
     }
 }
 
-/// What the section `limits` says to the balancer.
+/// The balancer's settings in the section `limits`.
 struct Limits {
     health_checks_allowed: bool,
     cancellation_allowed: bool,
@@ -254,7 +260,7 @@
     })
 }
 
-/// The longest Retry-After; none where clients get no Retry-After.
+/// The maximum Retry-After; `None` if clients get no Retry-After.
 fn parse_max_retry_after(limits: &Field<'_>) -> Result<Option<Millis>, FieldError> {
     let has_retry_after = limits.get("retryAfter").as_bool()?;
     if !has_retry_after {
@@ -263,7 +269,7 @@
     limits.get("maxRetryAfterMs").as_f64().map(Some)
 }
 
-/// What the section `invariants` says to the balancer.
+/// The balancer's settings in the section `invariants`.
 struct Invariants {
     max_poll_interval: Millis,
     slow_start_share: f64,
@@ -282,7 +288,7 @@
     })
 }
 
-/// The retry budget; none unless both its share and its window are stated.
+/// The retry budget; `None` unless both its share and its window are set.
 fn parse_retry_budget(invariants: &Field<'_>) -> Result<Option<RetryBudget>, FieldError> {
     let free_attempts = invariants.get("extraFree").f64_or(0.0)?;
     let share = invariants.get("budgetShare").optional_f64()?;
@@ -293,7 +299,7 @@
     }
 }
 
-/// Prices, as shares of a whole result.
+/// Costs, as shares of the value of a complete answer.
 struct Costs {
     cross_zone: f64,
     health_check: f64,
--- a/src/hot_restart/mod.rs
+++ b/src/hot_restart/mod.rs
@@ -1,12 +1,13 @@
-//! What the processes of one aggregator share, so that a new version can take over from the old one: operators'
+//! State that the processes of one aggregator share, so that a new version can replace the running one: operators'
 //! overrides, and which processes are running.
 //!
-//! Promises: an override that was acknowledged holds in every process of the aggregator and in the next one. A stored
-//! file that is truncated, foreign or of a later version is reported and moved aside, never used and never deleted.
-//! Load, health and latencies are never passed on: they are measured anew within a second, and wrong when old.
+//! Guarantees: an acknowledged override is in force in every process of the aggregator and in its successors. A stored
+//! file that is truncated, in another format or of another format version is reported and moved aside, never used and
+//! never deleted. Load, health and latencies are not shared: each process measures them within a second, and old values
+//! would be wrong.
 //!
-//! [`Overrides`] and [`snapshot`] are sans-IO; [`SharedDirectory`] and [`ProcessSlot`] access the disk. The caller is
-//! the thread in `net::hot_restart`; the aggregator keeps [`Overrides`] in its state.
+//! [`Overrides`] and [`snapshot`] are sans-IO; [`SharedDirectory`] and [`ProcessSlot`] access the disk. They are used
+//! by the thread in `net::hot_restart`; the aggregator keeps [`Overrides`] in its state.
 
 mod overrides;
 mod process_slots;
--- a/src/hot_restart/overrides.rs
+++ b/src/hot_restart/overrides.rs
@@ -1,5 +1,5 @@
 //! Operators' overrides as records that merge without conflicts: for each subject the later override wins; of two
-//! given at the same time, the active one. The order and the number of merges between processes do not matter.
+//! given at the same time, the active one. Merging is commutative, associative and idempotent.
 
 use crate::clock::Millis;
 use crate::endpoints::Override;
@@ -8,14 +8,14 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Most subjects with an override, which bounds the effect of a faulty script.
+/// Maximum number of subjects with an override, which bounds the effect of a faulty script.
 pub const MAX_OVERRIDES: usize = 4096;
 
-/// Least time between two overrides of one subject, so that the later one wins although the clock may have stepped
-/// back between them.
+/// Minimum time between two overrides of one subject, so that the later one wins even if the clock stepped back
+/// between them.
 const MIN_OVERRIDE_INTERVAL: Millis = 1.0;
 
-/// What an override applies to.
+/// The subject that an override applies to.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum OverrideSubject {
     /// The aggregator itself: while active, it is draining.
@@ -24,13 +24,13 @@
     LeafServer(Arc<str>),
 }
 
-/// The error of adding an override beyond [`MAX_OVERRIDES`].
+/// [`MAX_OVERRIDES`] subjects have an override already, so that a new one cannot be added.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TooManyOverrides;
 
 impl fmt::Display for TooManyOverrides {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "there are {MAX_OVERRIDES} overrides already")
+        write!(f, "the limit of {MAX_OVERRIDES} overrides is reached")
     }
 }
 
@@ -43,19 +43,19 @@
 }
 
 impl Overrides {
-    /// Records an operator's command at `now` (Unix milliseconds); returns whether it changes anything. A command that
-    /// asks for the present state changes nothing. A later command wins over an earlier one, even if the clock stepped
-    /// back between them.
+    /// Records an operator's command at `now` (Unix milliseconds); returns whether it changes anything. A command for
+    /// the current state changes nothing. A later command wins over an earlier one, even if the clock stepped back
+    /// between them.
     ///
     /// # Errors
-    /// [`TooManyOverrides`] if the subject is new and there is no space for it.
+    /// [`TooManyOverrides`] if the subject is new and the limit is reached.
     pub fn set(
         &mut self,
         subject: OverrideSubject,
         active: bool,
         now: Millis,
     ) -> Result<bool, TooManyOverrides> {
-        let full = self.is_full();
+        let is_full = self.is_full();
         match self.by_subject.entry(subject) {
             Entry::Occupied(mut occupied) => {
                 let previous = *occupied.get();
@@ -63,12 +63,12 @@
                     return Ok(false);
                 }
                 let given_at = now.max(previous.given_at + MIN_OVERRIDE_INTERVAL);
-                let since = if active { given_at } else { previous.active_since };
-                occupied.insert(Override { active, given_at, active_since: since });
+                let active_since = if active { given_at } else { previous.active_since };
+                occupied.insert(Override { active, given_at, active_since });
                 Ok(true)
             }
             Entry::Vacant(_) if !active => Ok(false),
-            Entry::Vacant(_) if full => Err(TooManyOverrides),
+            Entry::Vacant(_) if is_full => Err(TooManyOverrides),
             Entry::Vacant(vacant) => {
                 vacant.insert(Override { active, given_at: now, active_since: now });
                 Ok(true)
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Adopts the overrides of another process that supersede the own ones; returns whether there were any. New
+    /// Adopts the overrides of another process that supersede those stored here; returns whether there were any. New
     /// subjects beyond [`MAX_OVERRIDES`] are ignored.
     pub fn merge(&mut self, other: &Overrides) -> bool {
         let mut changed = false;
@@ -87,13 +87,13 @@
     }
 
     fn merge_one(&mut self, subject: &OverrideSubject, record: &Override) -> bool {
-        let full = self.is_full();
+        let is_full = self.is_full();
         match self.by_subject.entry(subject.clone()) {
-            Entry::Occupied(mut own) if record.supersedes(own.get()) => {
-                own.insert(*record);
+            Entry::Occupied(mut occupied) if record.supersedes(occupied.get()) => {
+                occupied.insert(*record);
                 true
             }
-            Entry::Vacant(vacant) if !full => {
+            Entry::Vacant(vacant) if !is_full => {
                 vacant.insert(*record);
                 true
             }
@@ -105,7 +105,7 @@
         self.by_subject.len() >= MAX_OVERRIDES
     }
 
-    /// Removes the inactive overrides given before a time: every process has seen them by then.
+    /// Removes the inactive overrides given before `time`, by when every process has merged them.
     pub fn forget_before(&mut self, time: Millis) {
         self.by_subject.retain(|_, record| record.active || record.given_at >= time);
     }
@@ -120,7 +120,7 @@
         self.get(subject).is_some_and(|record| record.active)
     }
 
-    /// All overrides, in order of subjects.
+    /// All overrides, ordered by subject.
     pub fn iter(&self) -> impl Iterator<Item = (&OverrideSubject, &Override)> {
         self.by_subject.iter()
     }
--- a/src/hot_restart/shared_directory.rs
+++ b/src/hot_restart/shared_directory.rs
@@ -1,4 +1,4 @@
-//! The directory that the processes of one aggregator share: the stored overrides, and the process slots.
+//! The directory shared by the processes of one aggregator: the stored overrides, and the process slots.
 
 use super::process_slots::{self, ProcessSlot, Sibling};
 use super::{Overrides, snapshot};
@@ -8,28 +8,28 @@
 use std::os::unix::fs::{DirBuilderExt, MetadataExt};
 use std::path::{Path, PathBuf};
 
-/// The stored overrides, as a [`snapshot`].
+/// Stores the overrides, as a [`snapshot`].
 const OVERRIDES_FILE: &str = "orders";
-/// The overrides while they are being written, before the rename.
+/// Holds new overrides until it is renamed to [`OVERRIDES_FILE`].
 const TEMPORARY_FILE: &str = "orders.new";
-/// Where stored overrides go that cannot be used.
+/// Stored overrides that cannot be used are moved here.
 const UNUSABLE_FILE: &str = "orders.unusable";
 /// Locked while a process reads, merges and writes the overrides.
 const LOCK_FILE: &str = "lock";
 
-/// Access rights of the directory: the owner only.
+/// Permissions of the directory: owner only.
 const DIRECTORY_MODE: u32 = 0o700;
 
-/// What was found as stored overrides.
+/// The result of reading the stored overrides.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StoredOverrides {
     /// There is no file.
     Missing,
     /// The overrides in the file.
     Present(Overrides),
-    /// The file could not be used and was moved.
+    /// The file could not be used and was moved aside.
     MovedAside {
-        /// Where it is now.
+        /// The file's new path.
         path: PathBuf,
         /// Why it could not be used.
         reason: snapshot::SnapshotError,
@@ -46,24 +46,24 @@
 /// The result of [`SharedDirectory::merge_overrides`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct MergedOverrides {
-    /// The overrides that are stored now.
+    /// The overrides that are stored after the merge.
     pub merged: Overrides,
-    /// What was stored before.
+    /// The overrides that were stored before the merge.
     pub found: StoredOverrides,
 }
 
-/// The shared directory.
+/// The directory shared by the processes of one aggregator.
 #[derive(Clone, Debug)]
 pub struct SharedDirectory {
     path: PathBuf,
 }
 
 impl SharedDirectory {
-    /// Opens the directory of an aggregator below `parent`, and creates it if needed. Aggregators that share the
-    /// parent are distinguished by name and listen address.
+    /// Opens the directory of an aggregator below `parent`, and creates it if needed. Aggregators with the same
+    /// `parent` are distinguished by name and listen address.
     ///
     /// # Errors
-    /// Those of creating the directory.
+    /// The directory cannot be created.
     pub fn open(parent: &Path, aggregator: &str, listen_address: &str) -> io::Result<Self> {
         let key = crc32fast::hash(format!("{aggregator}\n{listen_address}").as_bytes());
         let path = parent.join(format!("sailmux-{key:08x}"));
@@ -71,7 +71,7 @@
         Ok(SharedDirectory { path })
     }
 
-    /// A marker that changes whenever overrides are stored or a process acquires a slot, but not when a process ends.
+    /// A marker that changes whenever overrides are stored or a process acquires a slot, but not when a process ends;
     /// `None` if it cannot be read.
     pub fn change_marker(&self) -> Option<ChangeMarker> {
         let metadata = fs::metadata(&self.path).ok()?;
@@ -81,7 +81,7 @@
     /// Reads the stored overrides. A file that cannot be used is moved aside.
     ///
     /// # Errors
-    /// Those of reading or moving the file.
+    /// The file cannot be read or moved.
     pub fn read_overrides(&self) -> io::Result<StoredOverrides> {
         let path = self.path.join(OVERRIDES_FILE);
         let Some(bytes) = read_if_present(&path)? else { return Ok(StoredOverrides::Missing) };
@@ -98,9 +98,9 @@
     /// Merges overrides into the stored ones, under the lock, and removes inactive ones given before `forget_before`.
     ///
     /// # Errors
-    /// Those of reading, writing or locking the files; the stored overrides are then unchanged.
+    /// The files cannot be read, written or locked; the stored overrides are then unchanged.
     pub fn merge_overrides(&self, own: &Overrides, forget_before: Millis) -> io::Result<MergedOverrides> {
-        // Held until the end of the function.
+        // The lock is held until the end of the function.
         let lock =
             OpenOptions::new().create(true).truncate(false).write(true).open(self.path.join(LOCK_FILE))?;
         lock.lock()?;
@@ -131,18 +131,18 @@
     /// Acquires a free process slot; `None` if all are in use.
     ///
     /// # Errors
-    /// Those of creating the slot's file.
+    /// The slot's file cannot be created.
     pub fn acquire_slot(&self) -> io::Result<Option<ProcessSlot>> {
         ProcessSlot::acquire(&self.path)
     }
 
-    /// The other running processes of this aggregator, for a process in the slot `own` or in none.
+    /// The other running processes of this aggregator. `own` is the slot of the calling process, if it has one.
     pub fn siblings(&self, own: Option<usize>) -> Vec<Sibling> {
         process_slots::siblings(&self.path, own)
     }
 }
 
-/// The content of a file, up to one byte more than a snapshot may have; `None` if there is no file.
+/// The content of a file, up to one byte more than the maximum of a snapshot; `None` if there is no file.
 fn read_if_present(path: &Path) -> io::Result<Option<Vec<u8>>> {
     let file = match File::open(path) {
         Ok(file) => file,
--- a/src/hot_restart/snapshot.rs
+++ b/src/hot_restart/snapshot.rs
@@ -1,7 +1,7 @@
 //! The stored form of overrides: a header line `sailmux-orders VERSION LENGTH CRC32`, then LENGTH bytes of JSON.
 //!
-//! The names in the file are older than those in the code, and are part of the format. A file of another format
-//! version is refused; it is never interpreted by guesses.
+//! The names in the file are part of the format and differ from those in the code. A file of another format version is
+//! rejected.
 
 use super::{Override, OverrideSubject, Overrides};
 use serde::{Deserialize, Serialize};
@@ -11,26 +11,26 @@
 pub const FORMAT_VERSION: u32 = 1;
 /// The first word of the header.
 const MAGIC: &str = "sailmux-orders";
-/// Upper limit of a file's length: enough for [`MAX_OVERRIDES`](super::MAX_OVERRIDES) names of 512 bytes.
+/// Maximum length of a file in bytes: enough for [`MAX_OVERRIDES`](super::MAX_OVERRIDES) names of 512 bytes.
 pub const MAX_BYTES: usize = 4 << 20;
 
 /// Why bytes are not a usable snapshot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SnapshotError {
-    /// They do not begin with the header of a snapshot.
+    /// The bytes do not begin with the header of a snapshot.
     NotASnapshot,
-    /// They have this format version, which this program does not read.
+    /// The snapshot has this format version, which this program does not read.
     UnsupportedVersion(u32),
     /// The body is shorter or longer than the header states.
     LengthMismatch {
-        /// Bytes, as the header states.
+        /// Length in bytes that the header states.
         expected: usize,
-        /// Bytes of the body.
+        /// Length of the body in bytes.
         found: usize,
     },
     /// The body does not match the checksum in the header.
     ChecksumMismatch,
-    /// The body is not the expected JSON; the parser's message.
+    /// The body is not the expected JSON; holds the parser's message.
     InvalidJson(String),
     /// A time in the body is negative or not finite.
     InvalidTime,
@@ -41,10 +41,10 @@
         match self {
             Self::NotASnapshot => write!(f, "is not a file of stored overrides"),
             Self::UnsupportedVersion(version) => {
-                write!(f, "has format {version}, this program knows {FORMAT_VERSION}")
+                write!(f, "has format version {version}, this program reads version {FORMAT_VERSION}")
             }
             Self::LengthMismatch { expected, found } => {
-                write!(f, "is torn: {found} bytes in place of {expected}")
+                write!(f, "has a body of {found} bytes, expected {expected}")
             }
             Self::ChecksumMismatch => write!(f, "does not match its checksum"),
             Self::InvalidJson(message) => write!(f, "cannot be read: {message}"),
@@ -118,7 +118,7 @@
 /// Decodes a snapshot.
 ///
 /// # Errors
-/// Why the bytes cannot be used; nothing of them is returned then.
+/// Why the bytes cannot be used; a partial result is never returned.
 pub fn decode(bytes: &[u8]) -> Result<Overrides, SnapshotError> {
     let header_end = bytes.iter().position(|byte| *byte == b'\n').ok_or(SnapshotError::NotASnapshot)?;
     let header = Header::parse(&bytes[..header_end])?;
@@ -145,22 +145,22 @@
 impl Header {
     fn parse(line: &[u8]) -> Result<Self, SnapshotError> {
         let line = std::str::from_utf8(line).map_err(|_| SnapshotError::NotASnapshot)?;
-        let mut words = line.split(' ');
-        let mut next_word = || words.next().ok_or(SnapshotError::NotASnapshot);
-        if next_word()? != MAGIC {
+        let mut fields = line.split(' ');
+        let mut next_field = || fields.next().ok_or(SnapshotError::NotASnapshot);
+        if next_field()? != MAGIC {
             return Err(SnapshotError::NotASnapshot);
         }
-        let version: u32 = next_word()?.parse().map_err(|_| SnapshotError::NotASnapshot)?;
+        let version: u32 = next_field()?.parse().map_err(|_| SnapshotError::NotASnapshot)?;
         if version != FORMAT_VERSION {
             return Err(SnapshotError::UnsupportedVersion(version));
         }
-        let body_length = next_word()?.parse().map_err(|_| SnapshotError::NotASnapshot)?;
-        let checksum = u32::from_str_radix(next_word()?, 16).map_err(|_| SnapshotError::NotASnapshot)?;
+        let body_length = next_field()?.parse().map_err(|_| SnapshotError::NotASnapshot)?;
+        let checksum = u32::from_str_radix(next_field()?, 16).map_err(|_| SnapshotError::NotASnapshot)?;
         Ok(Header { body_length, checksum })
     }
 }
 
-/// A digest of overrides, equal for equal ones, by which processes compare what is in force.
+/// A digest of overrides, by which processes compare those in force; equal overrides have equal digests.
 pub fn digest(overrides: &Overrides) -> u32 {
     crc32fast::hash(&encode(overrides))
 }
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -149,15 +149,15 @@
         run(&["check", "--config", &path("config.json"), "--operator", &path("bad.yaml")]);
     assert_eq!(code, 1);
     for wanted in [
-        "config.json: field listen: is no address and port",
-        "config.json: field seed: is no hex number",
+        "config.json: field listen: is not an address and port",
+        "config.json: field seed: is not a hexadecimal number",
         "config.json: field settings.limits.maxAttempts: is something else, must be a number",
-        "config.json: field settings.categories[0].effect: knows no effect",
-        "bad.yaml:2: flight.listen: is no address and port",
+        "config.json: field settings.categories[0].effect: must be retryable, dedup or fragile, not \"later\"",
+        "bad.yaml:2: flight.listen: is not an address and port",
         "bad.yaml:3: log.level: must be one of error, warn",
-        "bad.yaml:3: log.colour: is unknown; there are format, level",
+        "bad.yaml:3: log.colour: is unknown; known fields: format, level",
         "bad.yaml:5: inventory.poll_ms: must be a whole number from 50 to 400",
-        "bad.yaml:8: inventory.files[0].fields.adress: is no field; there are name, address",
+        "bad.yaml:8: inventory.files[0].fields.adress: is not a field; known fields: name, address",
         "bad.yaml:9: inventory.files[0].delimiter: must be one character",
     ] {
         assert!(stderr.contains(wanted), "{wanted}:\n{stderr}");
