--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -1,5 +1,5 @@
-//! Configuration: the mapping of the platform's field names to settings, endpoint lists, the operator's file, and what
-//! the errors name.
+//! Configuration: the mapping of the platform's field names to settings, endpoint lists, the operator file, and the
+//! fields and lines in errors.
 
 use miniserde::json::Value;
 use sailmux::balancer::{Idempotency, LoadReportMode};
@@ -12,7 +12,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Every field that is read, each with a value of its own.
+/// Every field that is read, with distinct values so that a mix-up of fields is detected.
 const SETTINGS: &str = r#"{
     "categories": [
         {"name": "search", "aimMs": 101, "aimStretch": 0.5, "hardLimitMs": 102, "lateValue": 0.25, "worth": 3,
@@ -34,20 +34,20 @@
 }"#;
 
 fn json(text: &str) -> Value {
-    miniserde::json::from_str(text).expect("JSON")
+    miniserde::json::from_str(text).expect("valid JSON")
 }
 
-/// The error about the settings with one piece of text replaced.
-fn error_with(text: &str, replacement: &str) -> FieldError {
-    assert!(SETTINGS.contains(text), "{text}");
-    let value = json(&SETTINGS.replace(text, replacement));
-    parse_platform_settings(&Field::root(&value)).expect_err("an error")
+/// The error for the settings after a replacement in their text.
+fn error_with(original: &str, replacement: &str) -> FieldError {
+    assert!(SETTINGS.contains(original), "{original}");
+    let value = json(&SETTINGS.replace(original, replacement));
+    parse_platform_settings(&Field::root(&value)).expect_err("invalid settings")
 }
 
 #[test]
 fn fields_of_a_class_are_mapped() {
     let value = json(SETTINGS);
-    let settings = parse_platform_settings(&Field::root(&value)).expect("settings");
+    let settings = parse_platform_settings(&Field::root(&value)).expect("valid settings");
     assert_eq!(settings.classes, ["search", "order", "audit"]);
     let class = &settings.balancer.classes[0];
     assert_eq!((class.latency_objective, class.objective_stretch, class.deadline), (101.0, 0.5, 102.0));
@@ -66,7 +66,7 @@
 #[test]
 fn fields_of_the_balancer_are_mapped() {
     let value = json(SETTINGS);
-    let settings = parse_platform_settings(&Field::root(&value)).expect("settings").balancer;
+    let settings = parse_platform_settings(&Field::root(&value)).expect("valid settings").balancer;
     assert_eq!(settings.tenants[0].quota_per_s, 11.0);
     assert_eq!((settings.over_quota_weight, settings.weight_by_work), (0.12, true));
     assert!(settings.clients_mark_retries);
@@ -89,7 +89,7 @@
 #[test]
 fn fields_of_the_aggregator_are_mapped() {
     let value = json(SETTINGS);
-    let settings = parse_platform_settings(&Field::root(&value)).expect("settings");
+    let settings = parse_platform_settings(&Field::root(&value)).expect("valid settings");
     assert_eq!(settings.tenants, ["acme"]);
     assert_eq!(settings.zones, ["near", "far"]);
     assert_eq!((settings.shards, settings.calls_per_connection), (Some(18), 22));
@@ -99,29 +99,29 @@
 
 #[test]
 fn a_retry_budget_needs_both_share_and_window() {
-    for part in ["\"budgetShare\": 0.3, ", "\"lookBackMs\": 31, "] {
-        let value = json(&SETTINGS.replace(part, ""));
-        let settings = parse_platform_settings(&Field::root(&value)).expect("settings");
-        assert!(settings.balancer.retry_budget.is_none(), "without {part}");
+    for field in ["\"budgetShare\": 0.3, ", "\"lookBackMs\": 31, "] {
+        let value = json(&SETTINGS.replace(field, ""));
+        let settings = parse_platform_settings(&Field::root(&value)).expect("valid settings");
+        assert!(settings.balancer.retry_budget.is_none(), "without {field}");
     }
 }
 
 #[test]
 fn an_error_names_the_field_with_its_path() {
-    for (text, replacement, field) in [
+    for (original, replacement, field) in [
         ("\"aimMs\": 101, ", "", "categories[0].aimMs"),
-        ("\"dedup\"", "\"twice\"", "categories[1].effect"),
+        ("\"dedup\"", "\"unknown\"", "categories[1].effect"),
         ("[0.5, 0.51, 0.52]", "[0.5]", "specifics.floorByClass"),
         ("\"quotaPerS\": 11", "\"quotaPerS\": \"x\"", "tenants[0].quotaPerS"),
         ("[\"near\", \"far\"]", "[\"near\", 2]", "zones[1]"),
-        ("\"on_probe\"", "\"shouted\"", "report.how"),
-        ("\"on_request\"", "\"by post\"", "discovery"),
+        ("\"on_probe\"", "\"unknown\"", "report.how"),
+        ("\"on_request\"", "\"unknown\"", "discovery"),
         ("\"maxAttempts\": 19", "\"maxAttempts\": 1.5", "limits.maxAttempts"),
         ("\"secondCopies\": true", "\"secondCopies\": 1", "limits.secondCopies"),
         ("\"lookBackMs\": 31", "\"lookBackMs\": []", "invariants.lookBackMs"),
         ("\"replicasOfMe\": 13", "\"replicasOfMe\": 5000000000", "replicasOfMe"),
     ] {
-        assert_eq!(error_with(text, replacement).field, field);
+        assert_eq!(error_with(original, replacement).field, field);
     }
 }
 
@@ -132,9 +132,9 @@
 }
 
 #[test]
-fn collected_errors_name_every_faulty_field_in_order() {
+fn collected_errors_name_every_invalid_field_in_order() {
     let text =
-        SETTINGS.replace("\"fragile\"", "\"broken\"").replace("\"periodMs\": 14", "\"periodMs\": null");
+        SETTINGS.replace("\"fragile\"", "\"unknown\"").replace("\"periodMs\": 14", "\"periodMs\": null");
     let value = json(&text.replace("\"probe\": 0.34", "\"probe\": \"x\""));
     let (root, errors) = Field::collecting_errors(&value);
     let _ = parse_platform_settings(&root);
@@ -151,7 +151,7 @@
             {"instanceId": "b", "hostPort": "h:2", "lifecycle": "Ready"},
             {"instanceId": "c", "hostPort": "h:3", "lifecycle": "Gone"}]}"#,
     );
-    let list = parse_endpoint_list(&Field::root(&value)).expect("a list");
+    let list = parse_endpoint_list(&Field::root(&value)).expect("a valid list");
     assert!(list.generation == 7 && list.complete);
     let first = &list.entries[0];
     assert_eq!((&*first.name, &*first.address, &*first.zone), ("a", "h:1", "z"));
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn sections_of_the_operators_file_are_resolved() {
+fn sections_of_the_operator_file_are_resolved() {
     let text = "
 flight: {listen: '127.0.0.1:8815'}
 inventory:
@@ -177,10 +177,10 @@
   watch: poll
   poll_ms: 100
   guard: {most_lost_percent: 50, confirm_after_s: 2}
-ledger: {dir: book, mode: strict, answer_wait_ms: 40, segment_mb: 2, grace_hours: 1, prices: {c: {query: 5}}}
+ledger: {dir: ledger-data, mode: strict, answer_wait_ms: 40, segment_mb: 2, grace_hours: 1, prices: {c: {query: 5}}}
 log: {format: json, level: debug}
 ";
-    let operator = Operator::parse("/etc/sailmux/operator.yaml", text).expect("an operator's file");
+    let operator = Operator::parse("/etc/sailmux/operator.yaml", text).expect("a valid operator file");
     assert_eq!(operator.flight_listen, "127.0.0.1:8815".parse().ok());
     assert!(operator.log.format == LogFormat::Json && operator.log.level == LogLevel::Debug);
 
@@ -196,7 +196,7 @@
     assert!(options.accepts_missing_final_newline && !options.partial && inventory.files[1].options.partial);
 
     let ledger = operator.ledger.expect("a ledger");
-    assert_eq!(ledger.dir, Path::new("/etc/sailmux/book"));
+    assert_eq!(ledger.dir, Path::new("/etc/sailmux/ledger-data"));
     assert_eq!(
         (ledger.max_answer_wait, ledger.commit_interval),
         (Some(Duration::from_millis(40)), Duration::from_millis(50))
@@ -206,14 +206,14 @@
 }
 
 #[test]
-fn an_empty_operators_file_turns_everything_off() {
-    let operator = Operator::parse("operator.yaml", "").expect("an operator's file");
+fn an_empty_operator_file_turns_everything_off() {
+    let operator = Operator::parse("operator.yaml", "").expect("a valid operator file");
     assert!(operator.flight_listen.is_none() && operator.inventory.is_none() && operator.ledger.is_none());
     assert!(operator.log.format == LogFormat::Text && operator.log.level == LogLevel::Info);
 }
 
 #[test]
-fn errors_across_sections_of_the_operators_file_are_reported_with_line_and_field() {
+fn errors_across_sections_of_the_operator_file_are_reported_with_line_and_field() {
     let text = "
 inventory:
   file: a.csv
@@ -226,7 +226,7 @@
   time_zone: Mars
   colour: red
 ";
-    let diagnostics = Operator::parse("operator.yaml", text).expect_err("errors").0;
+    let diagnostics = Operator::parse("operator.yaml", text).expect_err("an invalid operator file").0;
     let found: Vec<(Option<u32>, &str)> =
         diagnostics.iter().map(|diagnostic| (diagnostic.line, diagnostic.field.as_str())).collect();
     let expected = [
--- a/tests/operational_faults.rs
+++ b/tests/operational_faults.rs
@@ -1,4 +1,4 @@
-//! Faults during operators' work, on real processes: kills at each step of a hot restart, overrides and drains during
+//! Faults during operators' actions, on real processes: kills at each step of a hot restart, overrides and drains during
 //! it, invalid settings, a full disk, many concurrent admin commands.
 
 mod common;
@@ -13,11 +13,11 @@
 use std::time::{Duration, Instant};
 use tokio::net::TcpSocket;
 
-/// A set-up for several processes of one aggregator, with two leaf servers that both hold shard 0.
+/// A setup for several processes of one aggregator, with two leaf servers that both hold shard 0.
 struct TwoLeafServers {
     a: AnsweringLeafServer,
     _b: AnsweringLeafServer,
-    /// Keeps the port of the set-up.
+    /// Reserves the port that the processes share.
     _port: TcpSocket,
     setup: Setup,
 }
@@ -33,7 +33,7 @@
     }
 }
 
-/// Sends a query for shard 0; the status of its response.
+/// Sends a query for shard 0 and returns the status of its response.
 fn query_status(aggregator: &Aggregator, id: &str) -> u16 {
     Client::connect(aggregator.address).request(query(id, "9000m", &[0])).status
 }
@@ -42,21 +42,26 @@
     wait_until("ready", || aggregator.send_admin_command("GET /-/ready") == 200);
 }
 
-/// When the process is killed.
+/// The step of a hot restart at which a process is killed.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Step {
+enum KillStep {
     NewIsNotReady,
     NewIsReady,
     OldGotSigterm,
     OldClosedItsListener,
 }
 
-/// Either process is killed at each step of a hot restart, under load. The other one serves alone, keeps the override
-/// given before, and loses no query; of those in flight at the killed one each client loses one at most.
+/// Under load, the old or the new process is killed at each step of a hot restart. The other process continues to serve
+/// all queries with the override given before; each client loses at most the query it had in flight at the killed one.
 #[test]
 fn a_kill_at_each_step_of_a_hot_restart_costs_only_the_queries_of_the_killed_process() {
     const CLIENTS: usize = 4;
-    for step in [Step::NewIsNotReady, Step::NewIsReady, Step::OldGotSigterm, Step::OldClosedItsListener] {
+    for step in [
+        KillStep::NewIsNotReady,
+        KillStep::NewIsReady,
+        KillStep::OldGotSigterm,
+        KillStep::OldClosedItsListener,
+    ] {
         for old_is_killed in [false, true] {
             let TwoLeafServers { a, setup, _b, _port } = TwoLeafServers::new();
             let mut old = setup.start();
@@ -66,20 +71,20 @@
             let running = Arc::new(AtomicBool::new(true));
             let clients = load(old.address, &running, CLIENTS);
             let mut new = setup.start();
-            if step != Step::NewIsNotReady {
+            if step != KillStep::NewIsNotReady {
                 wait_until_ready(&mut new);
                 old.wait_for_log("others=1 ready=true");
             }
-            if matches!(step, Step::OldGotSigterm | Step::OldClosedItsListener) {
+            if matches!(step, KillStep::OldGotSigterm | KillStep::OldClosedItsListener) {
                 old.signal("-TERM");
             }
-            if step == Step::OldClosedItsListener {
+            if step == KillStep::OldClosedItsListener {
                 old.wait_for_log("to=\"hot restarting\"");
             }
             let (mut killed, mut survivor) = if old_is_killed { (old, new) } else { (new, old) };
             killed.kill();
-            // An old process that got SIGTERM still exits when its successor is gone.
-            if matches!(step, Step::OldGotSigterm | Step::OldClosedItsListener) && !old_is_killed {
+            // An old process that got SIGTERM exits even if the new one was killed.
+            if matches!(step, KillStep::OldGotSigterm | KillStep::OldClosedItsListener) && !old_is_killed {
                 assert!(survivor.wait_for_exit().success(), "{step:?}");
             } else {
                 wait_until_ready(&mut survivor);
@@ -93,27 +98,28 @@
                 assert_eq!(
                     a.count(),
                     count_while_disabled,
-                    "disabled through {step:?}, old is killed: {old_is_killed}"
+                    "still disabled at {step:?}, old is killed: {old_is_killed}"
                 );
                 assert_eq!(survivor.send_admin_command("POST /-/leaf-servers/a/enable"), 200);
                 survivor.wait_for_log("leaf server enabled leaf_server=\"a\"");
             }
             running.store(false, Ordering::SeqCst);
-            let ends: Vec<(u64, u64)> = clients.into_iter().filter_map(|c| c.join().ok()).collect();
+            let counts: Vec<(u64, u64)> =
+                clients.into_iter().filter_map(|client| client.join().ok()).collect();
             if survivor.is_running() {
-                let failed: u64 = ends.iter().map(|(_, failed)| failed).sum();
+                let failed: u64 = counts.iter().map(|(_, failed)| failed).sum();
                 assert!(
                     failed <= CLIENTS as u64,
-                    "{failed} of {ends:?} at {step:?}, old is killed: {old_is_killed}"
+                    "{failed} of {counts:?} at {step:?}, old is killed: {old_is_killed}"
                 );
             }
         }
     }
 }
 
-/// A drain holds in both processes whichever got the command; so does its cancellation.
+/// A drain is in force in both processes, whichever got the command; so is its cancellation.
 #[test]
-fn a_drain_during_a_hot_restart_holds_in_both_processes() {
+fn a_drain_during_a_hot_restart_is_in_force_in_both_processes() {
     let leaf_server = AnsweringLeafServer::new();
     let port = shared_port();
     let setup = Setup::new(&[listed("a", leaf_server.address, 0)]).shared(&port);
@@ -125,32 +131,32 @@
     assert_eq!(old.send_admin_command("POST /-/drain"), 200);
     // The load balancer's health check may reach either process.
     for _ in 0..20 {
-        assert_eq!(old.healthz(), 503, "503 from both, once the command is answered");
+        assert_eq!(old.healthz(), 503, "503 from both processes once the command is answered");
     }
     old.signal("-TERM");
-    assert!(old.wait_for_exit().success(), "SIGTERM while it is drained");
-    assert_eq!(new.healthz(), 503, "the drain goes on");
-    assert_eq!(new.send_admin_command("GET /-/ready"), 200, "though the process could serve");
+    assert!(old.wait_for_exit().success(), "SIGTERM while drained");
+    assert_eq!(new.healthz(), 503, "the drain remains in force");
+    assert_eq!(new.send_admin_command("GET /-/ready"), 200, "the process itself is ready");
     assert_eq!(new.send_admin_command("POST /-/resume"), 200);
     assert_eq!(new.healthz(), 200);
     assert_eq!(query_status(&new, "q"), 200);
 }
 
-/// Enabling a leaf server that is not disabled changes nothing, and the disable that follows is in force.
+/// Enabling a leaf server that is not disabled changes nothing, and does not cancel a later disable.
 #[test]
 fn an_enable_before_a_disable_does_not_cancel_it() {
     let TwoLeafServers { a, setup, _b, _port } = TwoLeafServers::new();
     let mut aggregator = setup.start();
     wait_until_ready(&mut aggregator);
-    for call in ["enable", "enable", "disable"] {
-        assert_eq!(aggregator.send_admin_command(&format!("POST /-/leaf-servers/a/{call}")), 200);
+    for command in ["enable", "enable", "disable"] {
+        assert_eq!(aggregator.send_admin_command(&format!("POST /-/leaf-servers/a/{command}")), 200);
     }
     let count_while_disabled = a.count();
     for i in 0..20 {
         assert_eq!(query_status(&aggregator, &format!("q{i}")), 200);
     }
     assert_eq!(a.count(), count_while_disabled, "disabled");
-    assert_eq!(aggregator.send_admin_command("POST /-/leaf-servers/a/enable"), 200, "one call back");
+    assert_eq!(aggregator.send_admin_command("POST /-/leaf-servers/a/enable"), 200, "one command enables it");
     let mut i = 0;
     wait_until("used again", || {
         i += 1;
@@ -160,73 +166,75 @@
 }
 
 /// Invalid settings leave the old ones in force while a leaf server is disabled, during a drain and during a hot restart;
-/// each is counted, and the log names the field.
+/// each rejection is counted and logged.
 #[test]
 fn invalid_settings_change_nothing_during_a_disable_a_drain_and_a_hot_restart() {
     let TwoLeafServers { a, setup, _b, _port } = TwoLeafServers::new();
     let mut old = setup.start();
     wait_until_ready(&mut old);
-    let sound = setup.config();
-    let broken = [
+    let valid = setup.config();
+    let invalid = [
         String::new(),
-        sound[..sound.len() / 2].to_owned(),
-        sound.replace("\"maxAttempts\":3,", ""),
-        sound.replace("\"maxAttempts\":3", "\"maxAttempts\":0"),
-        sound.replace("\"hardLimitMs\":10000", "\"hardLimitMs\":0"),
+        valid[..valid.len() / 2].to_owned(),
+        valid.replace("\"maxAttempts\":3,", ""),
+        valid.replace("\"maxAttempts\":3", "\"maxAttempts\":0"),
+        valid.replace("\"hardLimitMs\":10000", "\"hardLimitMs\":0"),
     ];
     let mut rejected = 0;
-    let reject = |aggregator: &mut Aggregator, last: &mut u64| {
-        for text in &broken {
+    let reload_invalid = |aggregator: &mut Aggregator, rejected: &mut u64| {
+        for text in &invalid {
             std::fs::write(&aggregator.config, text).expect("written");
             aggregator.signal("-HUP");
-            *last += 1;
+            *rejected += 1;
             aggregator.wait_for_new_log("the previous settings stay in force");
         }
     };
     assert_eq!(old.send_admin_command("POST /-/leaf-servers/a/disable"), 200);
     let count_while_disabled = a.count();
-    reject(&mut old, &mut rejected);
+    reload_invalid(&mut old, &mut rejected);
     assert_eq!(old.counters()["reloads_rejected"], rejected);
     assert_eq!(query_status(&old, "q1"), 200);
     assert_eq!(old.send_admin_command("POST /-/drain"), 200);
-    reject(&mut old, &mut rejected);
-    assert_eq!(old.healthz(), 503, "drained still");
+    reload_invalid(&mut old, &mut rejected);
+    assert_eq!(old.healthz(), 503, "still drained");
     assert_eq!(old.send_admin_command("POST /-/resume"), 200);
     let mut new = setup.start();
     wait_until_ready(&mut new);
     old.wait_for_log("others=1 ready=true");
-    reject(&mut old, &mut rejected);
-    reject(&mut new, &mut rejected);
+    reload_invalid(&mut old, &mut rejected);
+    reload_invalid(&mut new, &mut rejected);
     old.signal("-TERM");
     assert!(old.wait_for_exit().success());
     for i in 0..20 {
         assert_eq!(query_status(&new, &format!("r{i}")), 200);
     }
     assert_eq!(a.count(), count_while_disabled, "disabled throughout");
-    assert_eq!(new.counters()["reloads_rejected"], broken.len() as u64);
+    assert_eq!(new.counters()["reloads_rejected"], invalid.len() as u64);
 }
 
-/// The disk is full: the override is in force all the same, and the log says that it is not stored.
+/// With a full disk an override is in force in the process that got the command, and the log reports that it is not
+/// stored.
 #[test]
-fn an_override_that_cannot_be_stored_holds_in_this_process() {
+fn an_override_that_cannot_be_stored_is_in_force_in_this_process() {
     let TwoLeafServers { a, setup, _b, _port } = TwoLeafServers::new();
-    let tmp = setup.tmp_dir.clone().expect("a directory");
+    let tmp_dir = setup.tmp_dir.clone().expect("a directory");
     let mut aggregator = setup.start();
     wait_until_ready(&mut aggregator);
-    let directory = std::fs::read_dir(&tmp).expect("read").next().expect("a directory").expect("read").path();
-    // Every write to it fails with ENOSPC.
-    symlink("/dev/full", directory.join("orders.new")).expect("made");
-    let began = Instant::now();
+    let directory =
+        std::fs::read_dir(&tmp_dir).expect("read").next().expect("a directory").expect("read").path();
+    // Every write to /dev/full fails with ENOSPC.
+    symlink("/dev/full", directory.join("orders.new")).expect("symlink created");
+    let started = Instant::now();
     assert_eq!(aggregator.send_admin_command("POST /-/leaf-servers/a/disable"), 200);
-    assert!(began.elapsed() < Duration::from_secs(1), "{:?}", began.elapsed());
+    assert!(started.elapsed() < Duration::from_secs(1), "{:?}", started.elapsed());
     aggregator.wait_for_log("overrides cannot be stored");
     let count_while_disabled = a.count();
     for i in 0..20 {
         assert_eq!(query_status(&aggregator, &format!("q{i}")), 200);
     }
     assert_eq!(a.count(), count_while_disabled, "disabled in this process");
-    assert!(!directory.join("orders").exists(), "and nowhere else");
-    // Once there is space the next command stores both overrides.
+    assert!(!directory.join("orders").exists(), "the override is not stored");
+    // Once the disk has space, the next command stores both overrides.
     assert_eq!(aggregator.send_admin_command("POST /-/drain"), 200);
     aggregator.kill();
     let mut next = setup.start();
@@ -234,38 +242,40 @@
     assert_eq!(next.healthz(), 503, "drained");
 }
 
-/// A thousand concurrent commands, beside sixty silent connections and clients beyond their limit: each is answered, and
-/// 200 means that the override is in force.
+/// A thousand concurrent admin commands, with sixty idle admin connections and more clients than the limit: each command
+/// is answered, and 200 means that the override is in force.
 #[test]
 fn a_thousand_concurrent_admin_commands_are_all_answered() {
     let TwoLeafServers { a, setup, _b, _port } = TwoLeafServers::new();
     let mut aggregator = setup.start();
     wait_until_ready(&mut aggregator);
-    let at: SocketAddr = aggregator.wait_for_log("operators on ").parse().expect("an address");
+    let admin_address: SocketAddr = aggregator.wait_for_log("operators on ").parse().expect("an address");
     // More clients than the limit.
     let clients: Vec<TcpStream> =
         (0..700).filter_map(|_| TcpStream::connect(aggregator.address).ok()).collect();
     assert!(clients.len() > 500, "{}", clients.len());
-    let silent: Vec<TcpStream> = (0..60).map(|_| TcpStream::connect(at).expect("accepted")).collect();
-    let call = |n: usize| {
-        let path = ["GET /-/ready", "POST /-/leaf-servers/a/disable", "POST /-/leaf-servers/a/enable"][n % 3];
-        format!("{path} HTTP/1.1\r\nHost: m\r\nContent-Length: 0\r\n\r\n")
+    let idle: Vec<TcpStream> =
+        (0..60).map(|_| TcpStream::connect(admin_address).expect("accepted")).collect();
+    let request = |n: usize| {
+        let command =
+            ["GET /-/ready", "POST /-/leaf-servers/a/disable", "POST /-/leaf-servers/a/enable"][n % 3];
+        format!("{command} HTTP/1.1\r\nHost: m\r\nContent-Length: 0\r\n\r\n")
     };
-    let mut calls: Vec<TcpStream> = Vec::new();
+    let mut streams: Vec<TcpStream> = Vec::new();
     for n in 0..1000 {
-        let mut stream = TcpStream::connect(at).expect("accepted");
-        stream.write_all(call(n).as_bytes()).expect("written");
-        calls.push(stream);
+        let mut stream = TcpStream::connect(admin_address).expect("accepted");
+        stream.write_all(request(n).as_bytes()).expect("written");
+        streams.push(stream);
     }
     let mut answered = 0;
-    for mut stream in calls {
+    for mut stream in streams {
         stream.set_read_timeout(Some(PATIENCE)).expect("set");
-        let mut text = String::new();
-        let _ = stream.read_to_string(&mut text);
-        answered += usize::from(text.starts_with("HTTP/1.1 200"));
+        let mut response = String::new();
+        let _ = stream.read_to_string(&mut response);
+        answered += usize::from(response.starts_with("HTTP/1.1 200"));
     }
     assert_eq!(answered, 1000);
-    drop((silent, clients));
+    drop((idle, clients));
     assert_eq!(aggregator.send_admin_command("POST /-/leaf-servers/a/disable"), 200);
     let count_while_disabled = a.count();
     thread::sleep(Duration::from_millis(50));
