--- a/src/config/operator/ledger.rs
+++ b/src/config/operator/ledger.rs
@@ -22,7 +22,7 @@
         answer_wait_ms: Count<1, 1000> = Count(250),
         /// Time zone of the billing periods, by its name in the IANA time zone database.
         time_zone: String = "Asia/Taipei".to_owned(),
-        /// Hours from the end of a billing period until it closes.
+        /// Hours from the end of a billing period until it closes; later entries are billed in a later period.
         grace_hours: Count<0, 744> = Count(24),
         /// Format in which a billing period is exported when it closes.
         export: LedgerExport = LedgerExport::Off,
--- a/src/hot_restart/snapshot.rs
+++ b/src/hot_restart/snapshot.rs
@@ -1,7 +1,7 @@
 //! The stored form of overrides: a header line `sailmux-orders VERSION LENGTH CRC32`, then LENGTH bytes of JSON.
 //!
-//! The names in the file are part of the format and differ from those in the code. A file of another format version is
-//! rejected.
+//! The names in the file predate those in the code and are part of the format. A file of another format version is
+//! rejected; its content is never guessed.
 
 use super::{Override, OverrideSubject, Overrides};
 use serde::{Deserialize, Serialize};
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -41,7 +41,7 @@
 fn error_with(original: &str, replacement: &str) -> FieldError {
     assert!(SETTINGS.contains(original), "{original}");
     let value = json(&SETTINGS.replace(original, replacement));
-    parse_platform_settings(&Field::root(&value)).expect_err("invalid settings")
+    parse_platform_settings(&Field::root(&value)).expect_err("rejected settings")
 }
 
 #[test]
@@ -226,7 +226,7 @@
   time_zone: Mars
   colour: red
 ";
-    let diagnostics = Operator::parse("operator.yaml", text).expect_err("an invalid operator file").0;
+    let diagnostics = Operator::parse("operator.yaml", text).expect_err("a rejected operator file").0;
     let found: Vec<(Option<u32>, &str)> =
         diagnostics.iter().map(|diagnostic| (diagnostic.line, diagnostic.field.as_str())).collect();
     let expected = [
