--- a/examples/inventory_scale.rs
+++ b/examples/inventory_scale.rs
@@ -76,7 +76,7 @@
     timed("diff, one drained", || initial_list.changed_names(&drained_list));
     let config_path = std::env::temp_dir().join(format!("sailmux-scale-{}.json", std::process::id()));
     std::fs::write(&config_path, include_str!("../src/cli/demo/config.json"))?;
-    let config = Config::at(&config_path);
+    let config = Config::from_file(&config_path);
     std::fs::remove_file(&config_path)?;
     let mut state =
         State::new(config?.settings, Limits::from_max_descriptors(1024), 1, GuardSettings::default())?;
