--- a/examples/inventory_scale.rs
+++ b/examples/inventory_scale.rs
@@ -11,9 +11,9 @@
 fn bundle(name: &str, text: &str) -> Bundle {
     let file = BundleFile {
         name: name.into(),
-        key: name.to_owned(),
+        relative_path: name.to_owned(),
         role: Role::Inventory,
-        text: text.as_bytes().to_vec(),
+        content: text.as_bytes().to_vec(),
         checksum: None,
     };
     Bundle { files: vec![file] }
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -73,7 +73,7 @@
 }
 
 fn inventory_problems(file: &InventoryFile, cells: Option<u32>) -> Vec<Diagnostic> {
-    let list = inventory::gather(&file.path, &file.options)
+    let list = inventory::load_files(&file.path, &file.options)
         .and_then(|gathered| inventory::read(&gathered.bundle, &file.options));
     match list.and_then(|list| check_cells(&list, cells)) {
         Ok(()) => Vec::new(),
--- a/src/cli/inventory/diff.rs
+++ b/src/cli/inventory/diff.rs
@@ -41,6 +41,6 @@
 }
 
 fn endpoints_by_name(list: &FileList) -> BTreeMap<Arc<str>, Endpoint> {
-    let endpoints = inventory::nodes(list).into_iter();
+    let endpoints = inventory::endpoints(list).into_iter();
     endpoints.map(|endpoint| (endpoint.name.clone(), endpoint)).collect()
 }
--- a/src/cli/inventory/explain.rs
+++ b/src/cli/inventory/explain.rs
@@ -4,7 +4,7 @@
 use super::super::print;
 use super::source::Source;
 use crate::endpoints::SourceLocation;
-use crate::inventory::{self, Bundle, Explained};
+use crate::inventory::{self, Bundle, ExplainedVariable};
 
 #[derive(clap::Args)]
 pub(in crate::cli) struct Explain {
@@ -20,7 +20,7 @@
         let options = source.options(&source.path)?;
         let bundle = Source::bundle(&source.path, &options)?;
         let hosts = inventory::hosts(&bundle, &options).map_err(Failure::diagnostics)?;
-        if hosts.place(&host).is_none() {
+        if hosts.location(&host).is_none() {
             let path = source.path.display();
             return Err(Failure::message(format!("{path}: there is no host {host}")));
         }
@@ -33,7 +33,7 @@
 }
 
 /// The value that has precedence, and below it the ones that it overrides.
-fn explanation(explained: &Explained, bundle: &Bundle) -> String {
+fn explanation(explained: &ExplainedVariable, bundle: &Bundle) -> String {
     let Some((effective, overridden)) = explained.values.split_first() else {
         return String::new();
     };
--- a/src/cli/inventory/show.rs
+++ b/src/cli/inventory/show.rs
@@ -37,7 +37,7 @@
 impl Show {
     pub(super) fn run(self) -> Result<(), Failure> {
         let list = self.source.list(&self.source.path)?;
-        let endpoints = inventory::nodes(&list);
+        let endpoints = inventory::endpoints(&list);
         print(&inventory::print(&endpoints, self.format.into()))
     }
 }
--- a/src/cli/inventory/source.rs
+++ b/src/cli/inventory/source.rs
@@ -71,7 +71,7 @@
 
     /// The content of an inventory.
     pub fn bundle(path: &Path, options: &Options) -> Result<Bundle, Failure> {
-        Ok(inventory::gather(path, options).map_err(Failure::diagnostics)?.bundle)
+        Ok(inventory::load_files(path, options).map_err(Failure::diagnostics)?.bundle)
     }
 
     /// The endpoint list of an inventory.
--- a/src/config/operator/inventory.rs
+++ b/src/config/operator/inventory.rs
@@ -259,7 +259,7 @@
 ) -> BTreeMap<EndpointField, T> {
     let mut by_field = BTreeMap::new();
     for (name, value) in entries {
-        if let Some(field) = EndpointField::named(name) {
+        if let Some(field) = EndpointField::from_name(name) {
             by_field.insert(field, value.clone());
         } else {
             let known = EndpointField::ALL.map(EndpointField::name).join(", ");
--- a/src/config/operator/mod.rs
+++ b/src/config/operator/mod.rs
@@ -70,7 +70,7 @@
         let mut operator = Self::read(path)?;
         let mut diagnostics = Vec::new();
         for file in operator.inventory.iter_mut().flat_map(|inventory| &mut inventory.files) {
-            let gathered = inventory_files::gather(&file.path, &file.options);
+            let gathered = inventory_files::load_files(&file.path, &file.options);
             let list = gathered.and_then(|found| inventory_files::read(&found.bundle, &file.options));
             match list {
                 Ok(list) => file.list = Arc::new(list),
--- a/src/inventory/ansible/explain.rs
+++ b/src/inventory/ansible/explain.rs
@@ -26,7 +26,7 @@
 
 /// One variable of a host.
 #[derive(Clone, Debug)]
-pub struct Explained {
+pub struct ExplainedVariable {
     /// Its name.
     pub variable: String,
     /// Its values. The first one has precedence; each overrides the next.
@@ -35,7 +35,7 @@
 
 impl Hosts {
     /// Every variable of a host with all its values, in the order of the names.
-    pub fn explain(&self, host: &str) -> Vec<Explained> {
+    pub fn explain(&self, host: &str) -> Vec<ExplainedVariable> {
         let mut values_by_name: BTreeMap<&str, Vec<ExplainedValue>> = BTreeMap::new();
         for layer in self.layers(host) {
             for (name, variable) in layer.variables.iter() {
@@ -46,7 +46,7 @@
                 });
             }
         }
-        let explained = |(name, values): (&str, _)| Explained { variable: name.to_owned(), values };
+        let explained = |(name, values): (&str, _)| ExplainedVariable { variable: name.to_owned(), values };
         values_by_name.into_iter().map(explained).collect()
     }
 }
--- a/src/inventory/ansible/hosts.rs
+++ b/src/inventory/ansible/hosts.rs
@@ -65,7 +65,7 @@
     }
 
     /// Where a host is first named; `None` if there is no such host.
-    pub fn place(&self, host: &str) -> Option<SourceLocation> {
+    pub fn location(&self, host: &str) -> Option<SourceLocation> {
         self.hosts.get(host).map(|host| host.location)
     }
 
--- a/src/inventory/ansible/mod.rs
+++ b/src/inventory/ansible/mod.rs
@@ -11,7 +11,7 @@
 mod tree;
 mod variables;
 
-pub use explain::{Explained, ExplainedValue};
+pub use explain::{ExplainedValue, ExplainedVariable};
 pub use hosts::Hosts;
 pub use variables::Layer;
 pub(super) use variables::{HostVariables, VariableMap};
--- a/src/inventory/completeness.rs
+++ b/src/inventory/completeness.rs
@@ -19,7 +19,7 @@
 }
 
 fn utf8_text(file: &BundleFile) -> Result<&str, Diagnostic> {
-    let bytes = file.text.strip_prefix(BYTE_ORDER_MARK).unwrap_or(&file.text);
+    let bytes = file.content.strip_prefix(BYTE_ORDER_MARK).unwrap_or(&file.content);
     std::str::from_utf8(bytes).map_err(|error| {
         let valid = &bytes[..error.valid_up_to()];
         let line = valid.iter().filter(|byte| **byte == b'\n').count() as u32 + 1;
@@ -45,7 +45,7 @@
     // The checksum file may name the file behind the checksum, as `sha256sum` does.
     let expected = file.checksum.as_deref().unwrap_or_default();
     let expected = expected.split_whitespace().next().unwrap_or_default();
-    let found = hex::encode(&Sha256::digest(&file.text));
+    let found = hex::encode(&Sha256::digest(&file.content));
     if expected.eq_ignore_ascii_case(&found) {
         return Ok(());
     }
@@ -61,7 +61,7 @@
     if file.role != Role::Inventory {
         return false;
     }
-    let text = file.text.trim_ascii_start();
+    let text = file.content.trim_ascii_start();
     // A text in brackets from its start to its end is complete without a line end.
     let ends = (text.first(), text.trim_ascii_end().last());
     let is_bracketed = matches!(ends, (Some(b'{'), Some(b'}')) | (Some(b'['), Some(b']')));
@@ -73,8 +73,8 @@
     let without_truncated_line = |file: &BundleFile| {
         let mut file = file.clone();
         if is_truncated_mid_line(&file) {
-            let last_line_end = file.text.iter().rposition(|byte| *byte == b'\n');
-            file.text.truncate(last_line_end.map_or(0, |position| position + 1));
+            let last_line_end = file.content.iter().rposition(|byte| *byte == b'\n');
+            file.content.truncate(last_line_end.map_or(0, |position| position + 1));
         }
         file
     };
--- a/src/inventory/files/bundle.rs
+++ b/src/inventory/files/bundle.rs
@@ -20,11 +20,11 @@
     /// Its path as operators know it, for diagnostics.
     pub name: Arc<str>,
     /// Its path relative to the inventory's directory, which does not depend on where that lies.
-    pub key: String,
+    pub relative_path: String,
     /// What it contributes.
     pub role: Role,
     /// Its content.
-    pub text: Vec<u8>,
+    pub content: Vec<u8>,
     /// The content of its checksum file, if one is asked for and exists.
     pub checksum: Option<String>,
 }
--- a/src/inventory/files/gather.rs
+++ b/src/inventory/files/load.rs
@@ -40,13 +40,13 @@
 
 /// The content of an inventory. Its files stay open, so that they can be compared with it again even if their names
 /// refer to other files by then.
-pub struct Gathered {
+pub struct LoadedFiles {
     /// The content.
     pub bundle: Bundle,
     open_files: Vec<OpenFile>,
 }
 
-impl Gathered {
+impl LoadedFiles {
     /// Whether a file was modified less than `age` ago, so that its stamp may not show another change.
     pub fn modified_within(&self, age: Duration) -> bool {
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
@@ -56,7 +56,7 @@
     /// Whether all files are unchanged since they were read. A file that was renamed is unchanged.
     pub fn is_stable(&mut self) -> bool {
         let mut files = self.open_files.iter_mut().zip(&self.bundle.files);
-        files.all(|(open, file)| open.is_unchanged(&file.text))
+        files.all(|(open, file)| open.is_unchanged(&file.content))
     }
 }
 
@@ -64,8 +64,8 @@
 ///
 /// # Errors
 /// A file cannot be read, or the inventory exceeds a bound.
-pub fn gather(path: &Path, options: &Options) -> Result<Gathered, Diagnostics> {
-    let mut gatherer = Gatherer {
+pub fn load_files(path: &Path, options: &Options) -> Result<LoadedFiles, Diagnostics> {
+    let mut loader = FileLoader {
         base: base_directory(path),
         has_checksums: options.checksum,
         bounds: options.bounds,
@@ -73,11 +73,11 @@
         files: Vec::new(),
         open_files: Vec::new(),
     };
-    gatherer.read_all(path).map_err(|problem| Diagnostics(vec![problem]))?;
-    Ok(Gathered { bundle: Bundle { files: gatherer.files }, open_files: gatherer.open_files })
+    loader.read_all(path).map_err(|problem| Diagnostics(vec![problem]))?;
+    Ok(LoadedFiles { bundle: Bundle { files: loader.files }, open_files: loader.open_files })
 }
 
-struct Gatherer<'a> {
+struct FileLoader<'a> {
     /// The inventory's directory.
     base: &'a Path,
     has_checksums: bool,
@@ -88,7 +88,7 @@
     open_files: Vec<OpenFile>,
 }
 
-impl Gatherer<'_> {
+impl FileLoader<'_> {
     fn read_all(&mut self, path: &Path) -> Result<(), Diagnostic> {
         if path.is_dir() {
             self.read_directory(path)?;
@@ -155,10 +155,10 @@
         if !metadata.is_file() {
             return Err(whole_file(path, "is no file"));
         }
-        let mut text = Vec::new();
+        let mut content = Vec::new();
         let bytes_left = self.bounds.bytes.saturating_sub(self.bytes);
-        (&mut file).take(bytes_left + 1).read_to_end(&mut text).map_err(unreadable)?;
-        self.bytes += text.len() as u64;
+        (&mut file).take(bytes_left + 1).read_to_end(&mut content).map_err(unreadable)?;
+        self.bytes += content.len() as u64;
         if self.bytes > self.bounds.bytes {
             let message = format!("passes {} bytes, the most for an inventory", self.bounds.bytes);
             return Err(whole_file(path, message));
@@ -168,9 +168,9 @@
             checksum = fs::read_to_string(checksum_path(path)).ok();
         }
         self.open_files.push(OpenFile { file, stamp: FileStamp::new(&metadata) });
-        let key = path.strip_prefix(self.base).unwrap_or(path).display().to_string();
+        let relative_path = path.strip_prefix(self.base).unwrap_or(path).display().to_string();
         let name = path.display().to_string().into();
-        self.files.push(BundleFile { name, key, role, text, checksum });
+        self.files.push(BundleFile { name, relative_path, role, content, checksum });
         Ok(())
     }
 }
--- a/src/inventory/files/mod.rs
+++ b/src/inventory/files/mod.rs
@@ -2,12 +2,12 @@
 //! `host_vars` beside.
 
 mod bundle;
-mod gather;
+mod load;
 mod signature;
 
 pub use bundle::{Bundle, BundleFile, Role};
-pub use gather::{Gathered, gather};
-pub use signature::{FileStamp, SeenFile, signature};
+pub use load::{LoadedFiles, load_files};
+pub use signature::{FileSignature, FileStamp, signature};
 
 use std::ffi::OsString;
 use std::path::{Path, PathBuf};
--- a/src/inventory/files/signature.rs
+++ b/src/inventory/files/signature.rs
@@ -38,7 +38,7 @@
 
 /// A file as [`signature`] finds it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct SeenFile {
+pub struct FileSignature {
     path: PathBuf,
     stamp: FileStamp,
     /// When its content, name or permissions last changed.
@@ -48,7 +48,7 @@
 
 /// All files of an inventory in the order of their paths, without reading them; `None` if the inventory does not exist.
 /// Two equal signatures mean that nothing changed, unless within the granularity of the file system's clock.
-pub fn signature(path: &Path) -> Option<Vec<SeenFile>> {
+pub fn signature(path: &Path) -> Option<Vec<FileSignature>> {
     fs::metadata(path).ok()?;
     let base = base_directory(path);
     let mut unvisited =
@@ -64,7 +64,7 @@
             }
             continue;
         }
-        files.push(SeenFile {
+        files.push(FileSignature {
             path: next,
             stamp: FileStamp::new(&metadata),
             changed_seconds: metadata.ctime(),
--- a/src/inventory/list.rs
+++ b/src/inventory/list.rs
@@ -17,9 +17,9 @@
 pub fn digest(bundle: &Bundle) -> Arc<str> {
     let mut hash = Sha256::new();
     for file in &bundle.files {
-        hash.update(file.key.as_bytes());
-        hash.update((file.text.len() as u64).to_be_bytes());
-        hash.update(&file.text);
+        hash.update(file.relative_path.as_bytes());
+        hash.update((file.content.len() as u64).to_be_bytes());
+        hash.update(&file.content);
     }
     hex::encode(&hash.finalize()[..DIGEST_BYTES]).into()
 }
@@ -85,7 +85,7 @@
 }
 
 /// The endpoints of a list as they would be without other sources, in the order of their names.
-pub fn nodes(list: &FileList) -> Vec<Endpoint> {
+pub fn endpoints(list: &FileList) -> Vec<Endpoint> {
     list.records.iter().filter_map(endpoint).collect()
 }
 
--- a/src/inventory/mapping/field.rs
+++ b/src/inventory/mapping/field.rs
@@ -43,7 +43,7 @@
     }
 
     /// The field of that name.
-    pub fn named(name: &str) -> Option<Field> {
+    pub fn from_name(name: &str) -> Option<Field> {
         Field::ALL.into_iter().find(|field| field.name() == name)
     }
 
--- a/src/inventory/mapping/reader.rs
+++ b/src/inventory/mapping/reader.rs
@@ -43,7 +43,7 @@
             candidates,
             variables: hosts.variables(host),
             host,
-            location: hosts.place(host).unwrap_or_default(),
+            location: hosts.location(host).unwrap_or_default(),
             partial,
             problems: Vec::new(),
         }
--- a/src/net/inventory_watch/mod.rs
+++ b/src/net/inventory_watch/mod.rs
@@ -10,7 +10,7 @@
 use crate::config::operator::{Inventory, InventoryFile};
 use crate::diagnostic::Diagnostics;
 use crate::endpoints::{self, FileCheck, FileList, FilePoller, PollDecision};
-use crate::inventory::{self, Bundle, Gathered, SeenFile};
+use crate::inventory::{self, Bundle, FileSignature, LoadedFiles};
 use change_notifier::ChangeNotifier;
 use std::collections::VecDeque;
 use std::fs;
@@ -24,7 +24,7 @@
 const RETAINED_LISTS: usize = 3;
 
 /// What one poll of a file finds; none where the inventory is not there.
-type Signature = Option<Vec<SeenFile>>;
+type Signature = Option<Vec<FileSignature>>;
 
 /// The lists of all files as they were found at the start.
 pub(super) fn initial_lists(inventory: &Inventory) -> Vec<Arc<FileList>> {
@@ -91,7 +91,7 @@
     /// Its place in the watcher's list.
     index: usize,
     signature: Signature,
-    content: Result<Gathered, Diagnostics>,
+    content: Result<LoadedFiles, Diagnostics>,
 }
 
 /// Whether all files are stable.
@@ -155,7 +155,7 @@
             }
             let signature = inventory::signature(path);
             if watched.poller.must_open(now, &signature) {
-                let content = inventory::gather(path, options);
+                let content = inventory::load_files(path, options);
                 opened_files.push(OpenedFile { index, signature, content });
             }
         }
@@ -232,7 +232,7 @@
 }
 
 /// What opening a file has shown, and its content where it is stable.
-fn check(content: Result<Gathered, Diagnostics>) -> (FileCheck, Option<Bundle>) {
+fn check(content: Result<LoadedFiles, Diagnostics>) -> (FileCheck, Option<Bundle>) {
     let mut gathered = match content {
         Ok(gathered) => gathered,
         Err(problems) => return (FileCheck::Unreadable(summary(&problems)), None),
--- a/tests/aggregator.rs
+++ b/tests/aggregator.rs
@@ -18,9 +18,9 @@
 fn inventory(rows: &str) -> Arc<FileList> {
     let file = BundleFile {
         name: "n.csv".into(),
-        key: "n.csv".into(),
+        relative_path: "n.csv".into(),
         role: Role::Inventory,
-        text: format!("name,host,port,cell\n{rows}").into(),
+        content: format!("name,host,port,cell\n{rows}").into(),
         checksum: None,
     };
     Arc::new(read(&Bundle { files: vec![file] }, &Options::default()).expect("a valid inventory"))
--- a/tests/formats/ansible.rs
+++ b/tests/formats/ansible.rs
@@ -64,7 +64,7 @@
     let list = read_one("n.yaml", GROUPS).expect("groups");
     let expected = ["s0 s0:9100 0", "s1 s1:9000 1", "s2 s2:9000 1", "s3 10.0.0.3:9000 1 draining"];
     assert_eq!(summaries(&list), expected);
-    let zones: Vec<String> = nodes(&list).iter().map(|server| server.zone.to_string()).collect();
+    let zones: Vec<String> = endpoints(&list).iter().map(|server| server.zone.to_string()).collect();
     assert_eq!(zones, ["zero", "index", "index", "index"]);
 }
 
@@ -89,7 +89,7 @@
 fn each_layer_of_variables_takes_precedence_over_the_one_before() {
     for count in 1..=LAYERS.len() {
         let list = read(&bundle(&LAYERS[..count]), &Options::default()).expect("layers");
-        assert_eq!(&*nodes(&list)[0].zone, count.to_string());
+        assert_eq!(&*endpoints(&list)[0].zone, count.to_string());
     }
 }
 
--- a/tests/formats/csv.rs
+++ b/tests/formats/csv.rs
@@ -42,7 +42,7 @@
     let mapping = mapping(&fields, &states, &[(Field::Port, "9000")]);
     let list = read_with("export.csv", text, &Options { mapping, ..Options::default() }).expect("mapped");
     assert_eq!(summaries(&list), ["s0 10.0.0.1:9000 1", "s1 10.0.0.2:9000 0 draining"]);
-    assert_eq!(&*nodes(&list)[0].zone, "tpe");
+    assert_eq!(&*endpoints(&list)[0].zone, "tpe");
     let state = list.get("s1").and_then(|record| record.state.as_ref()).expect("a state");
     assert_eq!(state.location.line, 3);
     // Without the mapping, the header's own names are shown.
--- a/tests/formats/round_trip.rs
+++ b/tests/formats/round_trip.rs
@@ -94,7 +94,7 @@
         for (format, file) in FORMATS {
             let text = print(&list, format);
             let again = read_one(file, &text).map_err(|e| TestCaseError::fail(format!("{e}\n{text}")))?;
-            prop_assert_eq!(&nodes(&again), &list, "{}", text);
+            prop_assert_eq!(&endpoints(&again), &list, "{}", text);
         }
     }
 
@@ -110,7 +110,7 @@
             mutation.apply(&mut bytes, index);
         }
         let mut bundle = bundle(&[(name, "")]);
-        bundle.files[0].text = bytes;
+        bundle.files[0].content = bytes;
         let start = Instant::now();
         let _ = read(&bundle, &Options::default());
         prop_assert!(start.elapsed() < Duration::from_secs(5));
--- a/tests/formats/support.rs
+++ b/tests/formats/support.rs
@@ -10,9 +10,9 @@
     for (name, text) in files {
         bundle.files.push(BundleFile {
             name: (*name).into(),
-            key: (*name).to_owned(),
+            relative_path: (*name).to_owned(),
             role: role_of(name),
-            text: text.as_bytes().to_vec(),
+            content: text.as_bytes().to_vec(),
             checksum: None,
         });
     }
@@ -41,7 +41,7 @@
 
 /// Name, address, cell and, if draining, state of each leaf server.
 pub fn summaries(list: &FileList) -> Vec<String> {
-    nodes(list).iter().map(summary).collect()
+    endpoints(list).iter().map(summary).collect()
 }
 
 fn summary(server: &Endpoint) -> String {
--- a/tests/formats/truncation.rs
+++ b/tests/formats/truncation.rs
@@ -28,7 +28,7 @@
     let checksum = after_is.split(',').next().expect("the file's checksum");
     bundle.files[0].checksum = Some(format!("{checksum}  n.csv\n"));
     assert!(read(&bundle, &options).is_ok());
-    bundle.files[0].text.pop();
+    bundle.files[0].content.pop();
     assert!(read(&bundle, &options).is_err());
 }
 
@@ -61,7 +61,7 @@
 }
 
 fn sorted_endpoints(list: &FileList) -> Vec<Endpoint> {
-    let mut endpoints = nodes(list);
+    let mut endpoints = endpoints(list);
     endpoints.sort_by(|a, b| a.name.cmp(&b.name));
     endpoints
 }
