--- a/src/inventory/ansible/explain.rs
+++ b/src/inventory/ansible/explain.rs
@@ -1,4 +1,4 @@
-//! Explains a host's variables: which value has precedence, and which ones it overrides.
+//! Explains a host's variables: which value takes precedence, and which values it overrides.
 
 use super::hosts::Hosts;
 use super::variables::Layer;
@@ -6,35 +6,35 @@
 use crate::yaml::{Entry, Kind, Node};
 use std::collections::BTreeMap;
 
-/// Longest printed value, in characters.
+/// Maximum length of a printed value, in characters.
 const MAX_VALUE_CHARS: usize = 120;
-/// Elements of a list or map that are printed.
+/// Maximum number of elements that are printed of a list or map.
 const MAX_ELEMENTS: usize = 16;
-/// Depth of nested values that are printed.
+/// Maximum depth of nested lists and maps that are printed.
 const MAX_DEPTH: usize = 2;
 
-/// A value of a variable and where it is set.
+/// One of the values of a variable and where it is set.
 #[derive(Clone, Debug)]
 pub struct ExplainedValue {
-    /// The value as text in one line, shortened.
+    /// The value on a single line, shortened to at most 120 characters.
     pub text: String,
-    /// The layer that sets it.
+    /// The layer that sets the value.
     pub layer: Layer,
-    /// Where it is set.
+    /// File and line that set the value.
     pub location: SourceLocation,
 }
 
-/// One variable of a host.
+/// A variable of a host with all values that the layers give it.
 #[derive(Clone, Debug)]
 pub struct ExplainedVariable {
-    /// Its name.
+    /// The variable's name.
     pub variable: String,
-    /// Its values. The first one has precedence; each overrides the next.
+    /// The values in descending order of precedence: the first one is effective.
     pub values: Vec<ExplainedValue>,
 }
 
 impl Hosts {
-    /// Every variable of a host with all its values, in the order of the names.
+    /// All variables of a host with all their values, sorted by name; empty if there is no such host.
     pub fn explain(&self, host: &str) -> Vec<ExplainedVariable> {
         let mut values_by_name: BTreeMap<&str, Vec<ExplainedValue>> = BTreeMap::new();
         for layer in self.layers(host) {
@@ -46,12 +46,13 @@
                 });
             }
         }
-        let explained = |(name, values): (&str, _)| ExplainedVariable { variable: name.to_owned(), values };
-        values_by_name.into_iter().map(explained).collect()
+        let to_explained =
+            |(name, values): (&str, _)| ExplainedVariable { variable: name.to_owned(), values };
+        values_by_name.into_iter().map(to_explained).collect()
     }
 }
 
-/// A value in one line, shortened.
+/// Formats a value on a single line, shortened.
 fn summary(node: &Node, depth: usize) -> String {
     let text = match &node.kind {
         Kind::Scalar { text, .. } if node.tag == "vault" => format!("(encrypted, {} bytes)", text.len()),
--- a/src/inventory/ansible/groups.rs
+++ b/src/inventory/ansible/groups.rs
@@ -1,28 +1,28 @@
-//! Groups of hosts, which may be children of several other groups, and their order of precedence.
+//! Groups of hosts and their order of precedence. A group may have several parents.
 
 use super::variables::VariableMap;
 use crate::endpoints::SourceLocation;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::rc::Rc;
 
-/// The group of all hosts, the parent of all groups that have no other.
+/// Ansible's implicit group of all hosts, the parent of every group without another parent.
 pub(super) const ALL: &str = "all";
 
-/// A group.
+/// A group of hosts.
 #[derive(Debug, Default)]
 pub(super) struct Group {
-    /// Its variables in inventory files, in the order of the files.
+    /// Variables that inventory files set for the group, in the order of the files.
     pub variables: Vec<Rc<VariableMap>>,
-    /// Its `ansible_group_priority`.
+    /// Value of `ansible_group_priority`; 0 if it is not set.
     pub priority: i64,
     parents: BTreeSet<String>,
-    /// The length of the longest path from [`ALL`], once groups are linked.
+    /// Length of the longest path from [`ALL`]; 0 until [`Groups::link`] computes it.
     depth: usize,
-    /// Where it is first named.
+    /// Where the group first occurs.
     location: SourceLocation,
 }
 
-/// A group that is a child of its own children.
+/// The groups form a cycle: `group` is its own descendant.
 pub(super) struct GroupCycle {
     pub group: String,
     pub location: SourceLocation,
@@ -47,10 +47,10 @@
         self.by_name.get(name)
     }
 
-    /// The group of that name, which is made if it is new, as a child of `parent` too.
+    /// Returns the group with that name and adds `parent` to its parents; a group that does not exist is created.
     pub fn declare(&mut self, name: &str, location: SourceLocation, parent: Option<&str>) -> &mut Group {
         let group = self.by_name.entry(name.to_owned()).or_default();
-        // Lines count from 1: a group without a line is new.
+        // Lines count from 1, so line 0 means that the group is new.
         if group.location.line == 0 && name != ALL {
             group.location = location;
         }
@@ -58,8 +58,8 @@
         group
     }
 
-    /// The given groups, their ancestors and [`ALL`], from the weakest to the strongest.
-    pub fn in_order(&self, direct: &BTreeSet<String>) -> Vec<String> {
+    /// The given groups, their ancestors and [`ALL`] in ascending order of precedence.
+    pub fn by_precedence(&self, direct: &BTreeSet<String>) -> Vec<String> {
         let mut names: BTreeSet<&str> = BTreeSet::from([ALL]);
         let mut unvisited: Vec<&str> = direct.iter().map(String::as_str).collect();
         while let Some(name) = unvisited.pop() {
@@ -75,10 +75,10 @@
         order.into_iter().map(str::to_owned).collect()
     }
 
-    /// Computes the depth of each group, once all files are read.
+    /// Computes the depth of each group. Called once all files are read.
     pub fn link(&mut self) -> Result<(), GroupCycle> {
         let mut children: HashMap<String, Vec<String>> = HashMap::new();
-        let mut unlinked_parents: HashMap<String, usize> = HashMap::new();
+        let mut unvisited_parents: HashMap<String, usize> = HashMap::new();
         for (name, group) in &mut self.by_name {
             if name == ALL {
                 continue;
@@ -86,44 +86,45 @@
             if group.parents.is_empty() {
                 group.parents.insert(ALL.to_owned());
             }
-            unlinked_parents.insert(name.clone(), group.parents.len());
+            unvisited_parents.insert(name.clone(), group.parents.len());
             for parent in &group.parents {
                 children.entry(parent.clone()).or_default().push(name.clone());
             }
         }
-        let linked = self.set_depths(children, &mut unlinked_parents);
+        let visited = self.set_depths(children, &mut unvisited_parents);
         let all_has_parents = self.by_name.get(ALL).is_some_and(|group| !group.parents.is_empty());
-        if linked == self.by_name.len() && !all_has_parents {
+        if visited == self.by_name.len() && !all_has_parents {
             return Ok(());
         }
-        let in_cycle = unlinked_parents.iter().filter(|(_, parents)| **parents > 0).map(|(name, _)| name);
+        let in_cycle = unvisited_parents.iter().filter(|(_, parents)| **parents > 0).map(|(name, _)| name);
         let group = in_cycle.min().map_or_else(|| ALL.to_owned(), String::clone);
         let location = self.by_name.get(&group).map_or(SourceLocation::default(), |group| group.location);
         Err(GroupCycle { group, location })
     }
 
-    /// Visits each group after all its parents and returns how many were visited: those in cycles are not.
+    /// Sets the depths in topological order and returns the number of visited groups. Groups in cycles and their
+    /// descendants are not visited.
     fn set_depths(
         &mut self,
         mut children: HashMap<String, Vec<String>>,
-        unlinked_parents: &mut HashMap<String, usize>,
+        unvisited_parents: &mut HashMap<String, usize>,
     ) -> usize {
         let mut ready = VecDeque::from([ALL.to_owned()]);
-        let mut linked = 0;
+        let mut visited = 0;
         while let Some(name) = ready.pop_front() {
-            linked += 1;
+            visited += 1;
             let depth = self.by_name.get(&name).map_or(0, |group| group.depth);
             for child in children.remove(&name).unwrap_or_default() {
                 if let Some(group) = self.by_name.get_mut(&child) {
                     group.depth = group.depth.max(depth + 1);
                 }
-                let Some(parents) = unlinked_parents.get_mut(&child) else { continue };
+                let Some(parents) = unvisited_parents.get_mut(&child) else { continue };
                 *parents -= 1;
                 if *parents == 0 {
                     ready.push_back(child);
                 }
             }
         }
-        linked
+        visited
     }
 }
--- a/src/inventory/ansible/hosts.rs
+++ b/src/inventory/ansible/hosts.rs
@@ -14,20 +14,21 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Times that a host may be named in groups, on average. It bounds inventories that grow when they are linked.
-const MAX_MENTIONS_PER_HOST: usize = 16;
-/// Sets of groups whose order is cached.
+/// Maximum number of groups that list a host, on average. It bounds inventories in which many groups list the same
+/// range of hosts.
+const MAX_ENTRIES_PER_HOST: usize = 16;
+/// Maximum number of sets of groups whose order of precedence is cached.
 const MAX_CACHED_ORDERS: usize = 256;
-/// Longest name of a host, in bytes.
+/// Maximum length of a host name, in bytes.
 const MAX_NAME_BYTES: usize = 255;
 
 #[derive(Debug)]
 struct Host {
-    /// Where it is first named.
+    /// Where the host is first listed.
     location: SourceLocation,
-    /// Its variables in inventory files, in the order of the files.
+    /// Variables that inventory files set for the host, in the order of the files.
     variables: Vec<Rc<VariableMap>>,
-    /// The groups that name it.
+    /// The groups that list the host directly.
     groups: BTreeSet<String>,
 }
 
@@ -37,12 +38,13 @@
     pub(super) bounds: Bounds,
     pub(super) groups: Groups,
     hosts: BTreeMap<Arc<str>, Host>,
-    /// Variables in files of `group_vars` and `host_vars`, in the order of the files.
+    /// Variables of the files in `group_vars` by group, in the order of the files.
     group_vars: BTreeMap<String, Vec<Rc<VariableMap>>>,
+    /// Variables of the files in `host_vars` by host, in the order of the files.
     host_vars: BTreeMap<String, Vec<Rc<VariableMap>>>,
-    /// Times that hosts were named.
-    mentions: usize,
-    /// The order of the groups of hosts, which many hosts share.
+    /// Number of times that hosts were listed, including repetitions.
+    entry_count: usize,
+    /// Groups in ascending order of precedence, by the set of groups that list a host. Many hosts share a set.
     cached_orders: RefCell<HashMap<BTreeSet<String>, Rc<Vec<String>>>>,
 }
 
@@ -54,28 +56,28 @@
             hosts: BTreeMap::new(),
             group_vars: BTreeMap::new(),
             host_vars: BTreeMap::new(),
-            mentions: 0,
+            entry_count: 0,
             cached_orders: RefCell::default(),
         }
     }
 
-    /// The names of the hosts, in order.
+    /// The names of all hosts, sorted.
     pub fn names(&self) -> Vec<Arc<str>> {
         self.hosts.keys().cloned().collect()
     }
 
-    /// Where a host is first named; `None` if there is no such host.
+    /// Where a host is first listed; `None` if there is no such host.
     pub fn location(&self, host: &str) -> Option<SourceLocation> {
         self.hosts.get(host).map(|host| host.location)
     }
 
-    /// The groups of a host from the weakest to the strongest.
+    /// The groups of a host in ascending order of precedence; empty if there is no such host.
     pub fn groups_of(&self, host: &str) -> Rc<Vec<String>> {
         let Some(host) = self.hosts.get(host) else { return Rc::default() };
         if let Some(order) = self.cached_orders.borrow().get(&host.groups) {
             return order.clone();
         }
-        let order = Rc::new(self.groups.in_order(&host.groups));
+        let order = Rc::new(self.groups.by_precedence(&host.groups));
         let mut cached_orders = self.cached_orders.borrow_mut();
         if cached_orders.len() < MAX_CACHED_ORDERS {
             cached_orders.insert(host.groups.clone(), order.clone());
@@ -83,14 +85,14 @@
         order
     }
 
-    /// The layers of a host's variables from the strongest to the weakest.
+    /// The layers of a host's variables in descending order of precedence.
     pub(super) fn layers(&self, name: &str) -> Vec<LayerVariables<'_>> {
         let mut layers = Vec::new();
         let Some(host) = self.hosts.get(name) else { return layers };
         push_layers(&mut layers, || Layer::HostVars, self.host_vars.get(name));
         push_layers(&mut layers, || Layer::Host, Some(&host.variables));
         let groups = self.groups_of(name);
-        // `group_vars/all` is weaker than all other files of `group_vars`.
+        // All other files in `group_vars` take precedence over `group_vars/all`.
         let others = groups.iter().rev().filter(|group| *group != ALL);
         let all = groups.iter().filter(|group| *group == ALL);
         for group in others.chain(all) {
@@ -103,13 +105,13 @@
         layers
     }
 
-    /// The variables of a host, for look-ups.
+    /// The effective variables of a host.
     pub(in super::super) fn variables(&self, host: &str) -> HostVariables<'_> {
         let layers = self.layers(host);
         HostVariables::new(layers.into_iter().map(|layer| layer.variables).collect())
     }
 
-    /// Adds a row of a table.
+    /// Adds the host of a CSV row.
     pub(in super::super) fn add_row(
         &mut self,
         name: &str,
@@ -119,17 +121,18 @@
         self.add_host(name, location, Some(Rc::new(variables)), None)
     }
 
-    /// Adds a file of `group_vars`.
+    /// Adds the variables of a file in `group_vars`.
     pub(super) fn add_group_vars(&mut self, group: &str, variables: Rc<VariableMap>) {
         self.group_vars.entry(group.to_owned()).or_default().push(variables);
     }
 
-    /// Adds a file of `host_vars`.
+    /// Adds the variables of a file in `host_vars`.
     pub(super) fn add_host_vars(&mut self, host: &str, variables: Rc<VariableMap>) {
         self.host_vars.entry(host.to_owned()).or_default().push(variables);
     }
 
-    /// Adds a host of a group, or the hosts of a range; a port behind the name is the variable `ansible_port`.
+    /// Adds the hosts of a pattern, which is a name or a range, to a group. A port after the name sets the variable
+    /// `ansible_port`.
     pub(super) fn add_pattern(
         &mut self,
         pattern: &str,
@@ -148,7 +151,7 @@
         Ok(())
     }
 
-    /// Adds a host, or adds variables and a group to one that was named before.
+    /// Adds a host, or adds variables and a group to an existing host.
     pub(super) fn add_host(
         &mut self,
         name: &str,
@@ -159,13 +162,13 @@
         if !is_host_name(name) {
             return Err(HostError::InvalidName);
         }
-        self.mentions += 1;
+        self.entry_count += 1;
         let is_new = !self.hosts.contains_key(name);
         if is_new && self.hosts.len() >= self.bounds.hosts {
             return Err(HostError::TooManyHosts(self.bounds.hosts));
         }
-        if self.mentions > self.bounds.hosts.saturating_mul(MAX_MENTIONS_PER_HOST) {
-            return Err(HostError::TooManyMentions(self.mentions - 1));
+        if self.entry_count > self.bounds.hosts.saturating_mul(MAX_ENTRIES_PER_HOST) {
+            return Err(HostError::TooManyEntries(self.entry_count - 1));
         }
         if is_new {
             let host = Host { location, variables: Vec::new(), groups: BTreeSet::new() };
@@ -178,17 +181,17 @@
         Ok(())
     }
 
-    /// Orders the groups, once all files are read. A group that is its own descendant is a problem.
+    /// Computes the order of the groups once all files are read, and reports a cycle of groups.
     pub(in super::super) fn link_groups(&mut self, bundle: &Bundle, problems: &mut Vec<Diagnostic>) {
         if let Err(cycle) = self.groups.link() {
             let file = bundle.file_name(cycle.location);
             let line = cycle.location.line.max(1);
-            problems.push(Diagnostic::at(file, line, cycle.group, "is a child of its own children"));
+            problems.push(Diagnostic::at(file, line, cycle.group, "is its own descendant"));
         }
     }
 }
 
-/// Adds the files of one layer; of several files the later one has precedence.
+/// Appends the files of one layer in descending order of precedence: the later file comes first.
 fn push_layers<'a>(
     layers: &mut Vec<LayerVariables<'a>>,
     layer: impl Fn() -> Layer,
@@ -199,7 +202,7 @@
     }
 }
 
-/// The name of a host in a group: one name or a range, and perhaps a port.
+/// A host entry of a group: a name or a range, with an optional port.
 struct HostPattern<'a> {
     names: &'a str,
     port: Option<&'a str>,
@@ -210,7 +213,7 @@
         let without_port = HostPattern { names: pattern, port: None };
         let Some((names, port)) = pattern.rsplit_once(':') else { return without_port };
         let is_number = !port.is_empty() && port.bytes().all(|byte| byte.is_ascii_digit());
-        // The colon may be one of a range or of an IPv6 address.
+        // The colon may belong to a range or to an IPv6 address.
         let is_in_range = names.matches('[').count() != names.matches(']').count();
         let is_ipv6 = names.contains("::");
         if !is_number || is_in_range || is_ipv6 {
@@ -220,6 +223,7 @@
     }
 }
 
+/// Sets `ansible_port` unless it is set already.
 fn with_port(variables: Option<Rc<VariableMap>>, port: &str, location: SourceLocation) -> VariableMap {
     let mut variables = variables.map(|variables| (*variables).clone()).unwrap_or_default();
     let kind = Kind::Scalar { text: port.to_owned(), is_plain: true };
--- a/src/inventory/ansible/mod.rs
+++ b/src/inventory/ansible/mod.rs
@@ -1,9 +1,9 @@
-//! Ansible's inventory: hosts in groups with nested children, and which of a host's variables has precedence.
+//! Ansible's inventory model: hosts, nested groups, and the precedence of variables.
 //!
-//! From the weakest to the strongest: group variables in inventory files, group by group; `group_vars/all`; the other
-//! `group_vars`, group by group; host variables in inventory files; `host_vars`. Groups are ordered by depth (children
-//! take precedence over parents), then by `ansible_group_priority`, then by name, and the last one has precedence. Of
-//! several files the later one has precedence.
+//! Sources of variables in ascending order of precedence: group variables in inventory files, group by group;
+//! `group_vars/all`; the other `group_vars`, group by group; host variables in inventory files; `host_vars`. Groups are
+//! ordered by depth (children override parents), then by `ansible_group_priority`, then by name; the last one takes
+//! precedence. Among several files of the same kind the later one takes precedence.
 
 mod explain;
 mod groups;
--- a/src/inventory/ansible/tree.rs
+++ b/src/inventory/ansible/tree.rs
@@ -1,5 +1,5 @@
-//! Reads YAML files of an inventory: groups with hosts, variables and children; lists of hosts as `inventory show`
-//! prints them; and files of variables.
+//! Reads the YAML files of an inventory: groups with hosts, variables and children; host lists in the format of
+//! `inventory show --format json`; and variable files.
 
 use super::super::error::HostError;
 use super::super::files::{BundleFile, Role};
@@ -12,23 +12,23 @@
 use std::fmt;
 use std::rc::Rc;
 
-/// Groups of an inventory.
+/// Maximum number of groups of an inventory.
 const MAX_GROUPS: usize = 4096;
-/// Top-level names with this prefix are no groups: they may hold anything, such as YAML anchors.
+/// Top-level entries with this prefix are ignored: they may have any content, such as YAML anchors.
 const EXTENSION_PREFIX: &str = "x-";
-/// The variable that orders groups of the same depth.
+/// The variable that sets the order of precedence of groups with the same depth.
 const GROUP_PRIORITY: &str = "ansible_group_priority";
 
 impl Hosts {
-    /// Adds the content of a YAML file; its problems are added to `problems`.
+    /// Adds the content of a YAML file and appends its problems to `problems`.
     pub(in super::super) fn add_yaml(
         &mut self,
-        number: u16,
+        file_index: u16,
         file: &BundleFile,
         tree: &Rc<Node>,
         problems: &mut Vec<Diagnostic>,
     ) {
-        let mut reader = TreeReader { hosts: self, file_number: number, file_name: &file.name, problems };
+        let mut reader = TreeReader { hosts: self, file_index, file_name: &file.name, problems };
         match &file.role {
             Role::Inventory => reader.read_inventory(tree),
             Role::GroupVars(group) => {
@@ -45,7 +45,7 @@
     }
 }
 
-/// What is wrong with the structure of a YAML inventory.
+/// An error in the structure of a YAML inventory.
 enum TreeError {
     NotGroups,
     NotGroup,
@@ -61,32 +61,32 @@
 impl fmt::Display for TreeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NotGroups => f.write_str("must be groups by name"),
-            Self::NotGroup => f.write_str("must be a group"),
-            Self::NotHosts => f.write_str("must be entries by name"),
-            Self::NotVariables => f.write_str("must be variables by name"),
+            Self::NotGroups => f.write_str("must be a map of groups"),
+            Self::NotGroup => f.write_str("must be a map with hosts, vars or children"),
+            Self::NotHosts => f.write_str("must be a map of hosts"),
+            Self::NotVariables => f.write_str("must be a map of variables"),
             Self::UnknownGroupField => f.write_str("must be hosts, vars or children"),
-            Self::TooDeep => f.write_str("lies too deep"),
-            Self::TooManyGroups => write!(f, "is one of more than {MAX_GROUPS} groups"),
+            Self::TooDeep => f.write_str("is nested too deeply"),
+            Self::TooManyGroups => write!(f, "exceeds the maximum of {MAX_GROUPS} groups"),
             Self::InvalidPriority => f.write_str("must be a whole number"),
             Self::Host(error) => write!(f, "{error}"),
         }
     }
 }
 
-/// A group in a file, and where it is.
+/// A group in a file and its position in the tree of groups.
 struct GroupNode<'a> {
     entry: &'a Entry,
-    /// The path of fields from the root of the file.
+    /// Dotted path of fields from the root of the file, such as `all.children.index`.
     path: String,
     parent: Option<&'a str>,
     depth: usize,
 }
 
-/// Reads one file.
+/// Reads one YAML file.
 struct TreeReader<'a> {
     hosts: &'a mut Hosts,
-    file_number: u16,
+    file_index: u16,
     file_name: &'a str,
     problems: &'a mut Vec<Diagnostic>,
 }
@@ -97,7 +97,7 @@
     }
 
     fn location(&self, line: u32) -> SourceLocation {
-        SourceLocation { file: self.file_number, line }
+        SourceLocation { file: self.file_index, line }
     }
 
     fn read_inventory(&mut self, tree: &Node) {
@@ -111,15 +111,15 @@
             return self.read_host_list(rows);
         }
         for entry in entries {
-            // Ansible ignores every entry that is no group. Here only marked ones are ignored, so that a misspelled
-            // group is a problem and its hosts do not vanish.
+            // Ansible ignores every entry that is not a group. Here only entries with the extension prefix are ignored,
+            // so that a malformed group is reported instead of silently losing its hosts.
             if !entry.name.starts_with(EXTENSION_PREFIX) {
                 self.read_group(&GroupNode { entry, path: entry.name.clone(), parent: None, depth: 0 });
             }
         }
     }
 
-    /// Reads the format that `inventory show --format json` prints.
+    /// Reads a host list in the format of `inventory show --format json`.
     fn read_host_list(&mut self, rows: &[Rc<Node>]) {
         let mut names = BTreeSet::new();
         for (index, row) in rows.iter().enumerate() {
@@ -226,7 +226,7 @@
         }
     }
 
-    /// The variables of a map; `None`, with a problem reported, if it is no map.
+    /// Reads the variables of a map. Reports a problem and returns `None` if the node is not a map.
     fn read_variables(&mut self, path: &str, node: &Node) -> Option<Rc<VariableMap>> {
         if node.is_null() {
             return Some(Rc::default());
@@ -243,7 +243,7 @@
     }
 }
 
-/// The hosts of a file whose only entry is the list `nodes`.
+/// Returns the hosts if the only entry of the file is the list `nodes`.
 fn host_list(entries: &[Entry]) -> Option<&[Rc<Node>]> {
     match entries {
         [only] if only.name == "nodes" => only.value.list(),
--- a/src/inventory/ansible/variables.rs
+++ b/src/inventory/ansible/variables.rs
@@ -1,4 +1,4 @@
-//! Variables, and the layers in which a host has them.
+//! Variables, and the layers that set them for a host.
 
 use crate::endpoints::SourceLocation;
 use crate::yaml::Node;
@@ -14,7 +14,7 @@
     pub location: SourceLocation,
 }
 
-/// Variables by name, as one place of a file sets them.
+/// The variables that one map or row of a file sets, by name.
 #[derive(Clone, Debug, Default)]
 pub(in super::super) struct VariableMap {
     by_name: BTreeMap<String, Variable>,
@@ -25,12 +25,12 @@
         VariableMap::default()
     }
 
-    /// Sets a variable; an earlier value is replaced.
+    /// Sets a variable and replaces an earlier value.
     pub fn insert(&mut self, name: String, value: Rc<Node>, location: SourceLocation) {
         self.by_name.insert(name, Variable { value, location });
     }
 
-    /// Sets a variable that is not set yet.
+    /// Sets a variable unless it is set already.
     pub fn insert_default(&mut self, name: &str, value: Rc<Node>, location: SourceLocation) {
         self.by_name.entry(name.to_owned()).or_insert(Variable { value, location });
     }
@@ -44,16 +44,16 @@
     }
 }
 
-/// Where a variable is set.
+/// The kind of source that sets a variable.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Layer {
-    /// A group in an inventory file.
+    /// The `vars` of the named group in an inventory file.
     Group(String),
-    /// A file of `group_vars`.
+    /// A file in `group_vars` for the named group.
     GroupVars(String),
-    /// The host in an inventory file.
+    /// The host's own entry in an inventory file.
     Host,
-    /// A file of `host_vars`.
+    /// A file in `host_vars` for the host.
     HostVars,
 }
 
@@ -68,15 +68,15 @@
     }
 }
 
-/// The variables of one layer of a host.
+/// The variables that one file sets for a host in one layer.
 pub(super) struct LayerVariables<'a> {
     pub layer: Layer,
     pub variables: &'a VariableMap,
 }
 
-/// All variables of a host, for look-ups.
+/// All variables of a host, looked up by precedence.
 pub(in super::super) struct HostVariables<'a> {
-    /// The strongest layer first.
+    /// Layers in descending order of precedence.
     layers: Vec<&'a VariableMap>,
 }
 
@@ -85,7 +85,7 @@
         HostVariables { layers }
     }
 
-    /// The variable of the strongest layer that sets it.
+    /// The value of the layer with the highest precedence that sets the variable.
     pub fn get(&self, name: &str) -> Option<&'a Variable> {
         self.layers.iter().find_map(|variables| variables.get(name))
     }
--- a/src/inventory/columns.rs
+++ b/src/inventory/columns.rs
@@ -1,6 +1,6 @@
 //! Text tables for the terminal.
 
-/// Rows as aligned columns; the first row is the header.
+/// Formats rows as columns aligned with spaces, separated by two spaces.
 pub fn columns<const N: usize>(rows: &[[String; N]]) -> String {
     let width = |column: usize| rows.iter().map(|row| row[column].chars().count()).max().unwrap_or(0);
     let widths: Vec<usize> = (0..N).map(width).collect();
--- a/src/inventory/completeness.rs
+++ b/src/inventory/completeness.rs
@@ -1,4 +1,4 @@
-//! Whether a file was read completely, by the marks that the operator's file asks for.
+//! Checks that a file was read completely, by the end marker and checksum that the operator file requires.
 
 use super::files::{Bundle, BundleFile, Role};
 use super::options::Options;
@@ -8,7 +8,7 @@
 
 const BYTE_ORDER_MARK: &[u8] = b"\xef\xbb\xbf";
 
-/// The text of a file that has the end marker and the checksum that the options ask for.
+/// Returns the text of a file after checking the end marker and the checksum that the options require.
 pub(super) fn complete_text<'a>(file: &'a BundleFile, options: &Options) -> Result<&'a str, Diagnostic> {
     let text = utf8_text(file)?;
     if file.role == Role::Inventory {
@@ -23,7 +23,7 @@
     std::str::from_utf8(bytes).map_err(|error| {
         let valid = &bytes[..error.valid_up_to()];
         let line = valid.iter().filter(|byte| **byte == b'\n').count() as u32 + 1;
-        Diagnostic::at(&file.name, line, "", "is not UTF-8")
+        Diagnostic::at(&file.name, line, "", "is not valid UTF-8")
     })
 }
 
@@ -34,7 +34,7 @@
         return Ok(());
     }
     let line = text.lines().count().max(1) as u32;
-    let message = format!("does not end with {marker:?}: it is not whole");
+    let message = format!("does not end with the end marker {marker:?}; the file is incomplete");
     Err(Diagnostic::at(&file.name, line, "", message))
 }
 
@@ -42,7 +42,7 @@
     if !options.checksum {
         return Ok(());
     }
-    // The checksum file may name the file behind the checksum, as `sha256sum` does.
+    // In the output format of `sha256sum`, the file name follows the checksum.
     let expected = file.checksum.as_deref().unwrap_or_default();
     let expected = expected.split_whitespace().next().unwrap_or_default();
     let found = hex::encode(&Sha256::digest(&file.content));
@@ -50,25 +50,25 @@
         return Ok(());
     }
     let message = match expected {
-        "" => "has no checksum file beside it".to_owned(),
-        _ => format!("is {found}, but its checksum file says {expected}: it is not whole"),
+        "" => "has no checksum file".to_owned(),
+        _ => format!("SHA-256 is {found}, but the checksum file contains {expected}; the file is incomplete"),
     };
     Err(Diagnostic::for_file(&file.name, message))
 }
 
-/// Whether an inventory file ends within a line, so that its last line may be cut short.
+/// Whether an inventory file lacks the final newline, so that its last line may be truncated.
 pub(super) fn is_truncated_mid_line(file: &BundleFile) -> bool {
     if file.role != Role::Inventory {
         return false;
     }
     let text = file.content.trim_ascii_start();
-    // A text in brackets from its start to its end is complete without a line end.
-    let ends = (text.first(), text.trim_ascii_end().last());
-    let is_bracketed = matches!(ends, (Some(b'{'), Some(b'}')) | (Some(b'['), Some(b']')));
+    // A JSON object or array with its closing bracket is complete without a final newline.
+    let first_and_last = (text.first(), text.trim_ascii_end().last());
+    let is_bracketed = matches!(first_and_last, (Some(b'{'), Some(b'}')) | (Some(b'['), Some(b']')));
     !is_bracketed && text.last().is_some_and(|byte| *byte != b'\n')
 }
 
-/// The files without the last lines of those that end within a line.
+/// A copy of the bundle in which files that are truncated mid-line lack their last line.
 pub(super) fn without_truncated_lines(bundle: &Bundle) -> Bundle {
     let without_truncated_line = |file: &BundleFile| {
         let mut file = file.clone();
--- a/src/inventory/error.rs
+++ b/src/inventory/error.rs
@@ -1,35 +1,37 @@
-//! Why a host of an inventory is rejected.
+//! Errors that reject a host of an inventory.
 
 use super::expand::RangeError;
 use std::error::Error;
 use std::fmt;
 
-/// Why a host of an inventory is rejected. The text follows the place of the host in a diagnostic.
+/// The reason why a host of an inventory is rejected. In a diagnostic, the message follows the path of the host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HostError {
-    /// It has no name.
+    /// The entry has no name.
     MissingName,
-    /// Its name is empty, too long, or has characters that no host name has.
+    /// The name is empty, longer than 255 bytes, or contains whitespace, control characters, brackets or colons.
     InvalidName,
-    /// Its name is listed twice where each may be listed once.
+    /// The name is listed more than once in a host list.
     Duplicate(String),
-    /// Its name contains an invalid range.
+    /// The name contains an invalid range.
     Range(RangeError),
-    /// There are more hosts than this bound.
+    /// The inventory has more hosts than this maximum.
     TooManyHosts(usize),
-    /// Hosts were named in groups this many times before, which is beyond the bound.
-    TooManyMentions(usize),
+    /// Too many entries list hosts; holds the number of entries before this one.
+    TooManyEntries(usize),
 }
 
 impl fmt::Display for HostError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::MissingName => f.write_str("is missing"),
-            Self::InvalidName => f.write_str("is no name for a host"),
-            Self::Duplicate(name) => write!(f, "{name} is there twice"),
+            Self::InvalidName => f.write_str("is not a valid host name"),
+            Self::Duplicate(name) => write!(f, "{name} is listed twice"),
             Self::Range(error) => write!(f, "{error}"),
-            Self::TooManyHosts(bound) => write!(f, "is one of more than {bound} hosts"),
-            Self::TooManyMentions(earlier) => write!(f, "is named after {earlier} others"),
+            Self::TooManyHosts(bound) => write!(f, "exceeds the maximum of {bound} hosts"),
+            Self::TooManyEntries(earlier) => {
+                write!(f, "exceeds the maximum number of host entries: {earlier} entries precede it")
+            }
         }
     }
 }
--- a/src/inventory/expand.rs
+++ b/src/inventory/expand.rs
@@ -1,54 +1,58 @@
-//! Ansible's host ranges: `s[01:16]`, `[a:c]`, `r[1:9:2]n[1:2]`. Both ends belong to the range.
+//! Expands Ansible's host ranges: `s[01:16]`, `[a:c]`, `r[1:9:2]n[1:2]`. Both bounds are inclusive.
 
 use std::error::Error;
 use std::fmt;
 
-/// What is wrong with a range in a host's name.
+/// An error in a range of a host pattern.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RangeError {
     /// `[` without `]`.
-    WithoutEnd,
+    Unclosed,
     /// `]` without `[`.
-    WithoutBegin,
-    /// The text in brackets is no range.
+    Unopened,
+    /// The text in brackets is not a range.
     Invalid(String),
-    /// The end is before the beginning.
-    Backwards(String),
-    /// The letters run backwards, or one is of upper and one of lower case.
-    BackwardsOrMixedCase(String),
-    /// The beginning has leading zeros, and the end has another number of digits.
+    /// The end is less than the beginning.
+    Reversed(String),
+    /// The end letter precedes the beginning, or one letter is upper case and the other lower case.
+    ReversedOrMixedCase(String),
+    /// The beginning has leading zeros, and the end has a different number of digits.
     UnequalWidths(String),
-    /// The pattern has more names than this bound.
+    /// The pattern expands to more names than this maximum.
     TooMany(usize),
 }
 
 impl fmt::Display for RangeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::WithoutEnd => f.write_str("has a range without an end"),
-            Self::WithoutBegin => f.write_str("has a range without a beginning"),
+            Self::Unclosed => f.write_str("has an unclosed range: '[' without ']'"),
+            Self::Unopened => f.write_str("has an unopened range: ']' without '['"),
             Self::Invalid(range) => {
-                write!(f, "[{range}] is no range: it is begin:end or begin:end:step")
+                write!(f, "[{range}] is not a valid range; expected begin:end or begin:end:step")
             }
-            Self::Backwards(range) => write!(f, "[{range}] runs backwards"),
-            Self::BackwardsOrMixedCase(range) => write!(f, "[{range}] runs backwards or mixes cases"),
-            Self::UnequalWidths(range) => write!(f, "[{range}] has ends of unlike widths"),
-            Self::TooMany(bound) => write!(f, "stands for more than {bound} hosts"),
+            Self::Reversed(range) => write!(f, "[{range}] has its end before its beginning"),
+            Self::ReversedOrMixedCase(range) => {
+                write!(f, "[{range}] has its end before its beginning or mixes upper and lower case")
+            }
+            Self::UnequalWidths(range) => {
+                write!(f, "[{range}] must have the same number of digits at both ends")
+            }
+            Self::TooMany(bound) => write!(f, "expands to more than {bound} hosts"),
         }
     }
 }
 
 impl Error for RangeError {}
 
-/// The names of a pattern in order; the pattern itself if it has no range. `bound` limits their number.
+/// Expands a host pattern into at most `bound` names, in order; a pattern without a range is the only name.
 ///
 /// # Errors
-/// What is wrong with a range, or that there are too many names.
+/// A range is invalid, or the pattern expands to more than `bound` names.
 pub fn expand(pattern: &str, bound: usize) -> Result<Vec<String>, RangeError> {
     let mut names = vec![String::new()];
     let mut rest = pattern;
     while let Some(open) = rest.find('[') {
-        let length = rest[open..].find(']').ok_or(RangeError::WithoutEnd)?;
+        let length = rest[open..].find(']').ok_or(RangeError::Unclosed)?;
         let close = open + length;
         let values = Range::parse(&rest[open + 1..close])?.values(bound)?;
         if names.len().saturating_mul(values.len()) > bound {
@@ -58,7 +62,7 @@
         rest = &rest[close + 1..];
     }
     if rest.contains(']') {
-        return Err(RangeError::WithoutBegin);
+        return Err(RangeError::Unopened);
     }
     for name in &mut names {
         name.push_str(rest);
@@ -66,18 +70,18 @@
     Ok(names)
 }
 
-/// Each name with the text and each of the values behind it.
+/// All combinations of a name, the text and a value, concatenated.
 fn append_each(names: &[String], text: &str, values: &[String]) -> Vec<String> {
-    let mut longer = Vec::with_capacity(names.len() * values.len());
+    let mut combined = Vec::with_capacity(names.len() * values.len());
     for name in names {
         for value in values {
-            longer.push(format!("{name}{text}{value}"));
+            combined.push(format!("{name}{text}{value}"));
         }
     }
-    longer
+    combined
 }
 
-/// The text of a range, split at its colons.
+/// A parsed range: the text in brackets and its fields.
 struct Range<'a> {
     text: &'a str,
     begin: &'a str,
@@ -111,7 +115,7 @@
 
     fn letters(&self, from: u8, to: u8) -> Result<Vec<String>, RangeError> {
         if from.is_ascii_lowercase() != to.is_ascii_lowercase() || from > to {
-            return Err(RangeError::BackwardsOrMixedCase(self.text.to_owned()));
+            return Err(RangeError::ReversedOrMixedCase(self.text.to_owned()));
         }
         let letters = (from..=to).step_by(self.step as usize);
         Ok(letters.map(|letter| char::from(letter).to_string()).collect())
@@ -120,14 +124,14 @@
     fn numbers(&self, bound: usize) -> Result<Vec<String>, RangeError> {
         let from = self.number(self.begin)?;
         let to = self.number(self.end)?;
-        // A leading zero asks for numbers of that width, at both ends.
-        let has_width = self.begin.len() > 1 && self.begin.starts_with('0');
-        let width = if has_width { self.begin.len() } else { 0 };
-        if has_width && self.end.len() != width {
+        // A leading zero pads all numbers to the width of the beginning; the end must have the same width.
+        let is_padded = self.begin.len() > 1 && self.begin.starts_with('0');
+        let width = if is_padded { self.begin.len() } else { 0 };
+        if is_padded && self.end.len() != width {
             return Err(RangeError::UnequalWidths(self.text.to_owned()));
         }
         if from > to {
-            return Err(RangeError::Backwards(self.text.to_owned()));
+            return Err(RangeError::Reversed(self.text.to_owned()));
         }
         if (to - from) / self.step >= bound as u64 {
             return Err(RangeError::TooMany(bound));
--- a/src/inventory/files/bundle.rs
+++ b/src/inventory/files/bundle.rs
@@ -1,43 +1,44 @@
-//! The content of an inventory's files.
+//! The files of an inventory, loaded into memory.
 
 use crate::endpoints::SourceLocation;
 use std::sync::Arc;
 
-/// What a file contributes to an inventory.
+/// The kind of content that a file adds to an inventory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Hosts and groups.
+    /// An inventory file: hosts, groups and their variables.
     Inventory,
-    /// Variables of the group of that name.
+    /// Variables of the named group.
     GroupVars(String),
-    /// Variables of the host of that name.
+    /// Variables of the named host.
     HostVars(String),
 }
 
 /// A file's content and its role.
 #[derive(Clone, Debug)]
 pub struct BundleFile {
-    /// Its path as operators know it, for diagnostics.
+    /// Path as it was opened, for diagnostics.
     pub name: Arc<str>,
-    /// Its path relative to the inventory's directory, which does not depend on where that lies.
+    /// Path relative to the inventory's base directory. It goes into the digest, which therefore does not depend on the
+    /// location of the inventory.
     pub relative_path: String,
-    /// What it contributes.
+    /// Whether the file has hosts and groups or variables.
     pub role: Role,
-    /// Its content.
+    /// The raw bytes of the file.
     pub content: Vec<u8>,
-    /// The content of its checksum file, if one is asked for and exists.
+    /// The content of the checksum file; `None` if no checksum is required or the file cannot be read.
     pub checksum: Option<String>,
 }
 
-/// All files of an inventory in the order in which they are read.
+/// All files of an inventory.
 #[derive(Clone, Debug, Default)]
 pub struct Bundle {
-    /// The files; a [`SourceLocation`] refers to them by their index.
+    /// The files in the order in which they are parsed; a [`SourceLocation`] refers to them by index.
     pub files: Vec<BundleFile>,
 }
 
 impl Bundle {
-    /// The name of the file of a location; empty if there is none.
+    /// The name of the file that a location refers to; empty if there is no such file.
     pub(in super::super) fn file_name(&self, location: SourceLocation) -> &str {
         self.files.get(usize::from(location.file)).map_or("", |file| &*file.name)
     }
--- a/src/inventory/files/load.rs
+++ b/src/inventory/files/load.rs
@@ -1,4 +1,4 @@
-//! Reads all files of an inventory.
+//! Loads all files of an inventory into memory.
 
 use super::super::options::{Bounds, Options};
 use super::bundle::{Bundle, BundleFile, Role};
@@ -10,27 +10,27 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Extensions that Ansible ignores in a directory.
+/// Extensions of files in a directory that are not read: those that Ansible ignores, and checksum files.
 const IGNORED_EXTENSIONS: [&str; 9] = ["orig", "bak", "ini", "cfg", "retry", "pyc", "pyo", "swp", "sha256"];
-/// Extensions that files of variables may have behind the name of their group or host.
+/// Extensions that may follow the name of the group or host in the name of a variable file.
 const VARIABLE_SUFFIXES: [&str; 3] = [".yml", ".yaml", ".json"];
 
-/// A file that is kept open, and its stamp before it was read.
+/// A file that is kept open, with its stamp from before it was read.
 struct OpenFile {
     file: File,
     stamp: FileStamp,
 }
 
 impl OpenFile {
-    /// Whether the file has not changed since it was read.
+    /// Whether the file still has this content and the stamp from before the read.
     fn is_unchanged(&mut self, content: &[u8]) -> bool {
         let has_same_stamp =
             self.file.metadata().is_ok_and(|metadata| FileStamp::new(&metadata) == self.stamp);
-        // The times of files have a granularity of some milliseconds, so the bytes decide.
-        has_same_stamp && self.read_again().is_ok_and(|bytes| bytes == content)
+        // File times have a granularity of some milliseconds, so an equal stamp does not prove equal content.
+        has_same_stamp && self.reread().is_ok_and(|bytes| bytes == content)
     }
 
-    fn read_again(&mut self) -> io::Result<Vec<u8>> {
+    fn reread(&mut self) -> io::Result<Vec<u8>> {
         self.file.seek(SeekFrom::Start(0))?;
         let mut bytes = Vec::new();
         self.file.read_to_end(&mut bytes)?;
@@ -38,22 +38,23 @@
     }
 }
 
-/// The content of an inventory. Its files stay open, so that they can be compared with it again even if their names
-/// refer to other files by then.
+/// The content of an inventory with its files held open, so that they can be read again for comparison even if their
+/// paths refer to other files by then.
 pub struct LoadedFiles {
-    /// The content.
+    /// The files and their content.
     pub bundle: Bundle,
     open_files: Vec<OpenFile>,
 }
 
 impl LoadedFiles {
-    /// Whether a file was modified less than `age` ago, so that its stamp may not show another change.
+    /// Whether a file was modified less than `age` ago. Within the granularity of file times, its stamp may not show a
+    /// further change.
     pub fn modified_within(&self, age: Duration) -> bool {
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         self.open_files.iter().any(|open| now.saturating_sub(open.stamp.modified()) < age)
     }
 
-    /// Whether all files are unchanged since they were read. A file that was renamed is unchanged.
+    /// Whether all files are unchanged since they were read. A renamed file counts as unchanged.
     pub fn is_stable(&mut self) -> bool {
         let mut files = self.open_files.iter_mut().zip(&self.bundle.files);
         files.all(|(open, file)| open.is_unchanged(&file.content))
@@ -63,11 +64,11 @@
 /// Reads all files of an inventory.
 ///
 /// # Errors
-/// A file cannot be read, or the inventory exceeds a bound.
+/// A file cannot be read, or the inventory exceeds one of its bounds.
 pub fn load_files(path: &Path, options: &Options) -> Result<LoadedFiles, Diagnostics> {
     let mut loader = FileLoader {
         base: base_directory(path),
-        has_checksums: options.checksum,
+        reads_checksums: options.checksum,
         bounds: options.bounds,
         bytes: 0,
         files: Vec::new(),
@@ -78,11 +79,11 @@
 }
 
 struct FileLoader<'a> {
-    /// The inventory's directory.
+    /// Base directory of the inventory.
     base: &'a Path,
-    has_checksums: bool,
+    reads_checksums: bool,
     bounds: Bounds,
-    /// Bytes read so far.
+    /// Number of bytes read so far.
     bytes: u64,
     files: Vec<BundleFile>,
     open_files: Vec<OpenFile>,
@@ -108,13 +109,17 @@
             if !path.is_dir() {
                 self.read_file(&path, Role::Inventory)?;
             } else if name != GROUP_VARS && name != HOST_VARS {
-                return Err(whole_file(&path, "is a directory within an inventory, which is not read"));
+                return Err(file_diagnostic(
+                    &path,
+                    "is a subdirectory; only group_vars and host_vars are supported",
+                ));
             }
         }
         Ok(())
     }
 
-    /// Reads files `NAME`, `NAME.yml`, `NAME.yaml`, `NAME.json`, or all files of a directory `NAME`, in order.
+    /// Reads the variables of each `NAME` in sorted order: from the files `NAME`, `NAME.yml`, `NAME.yaml` and
+    /// `NAME.json`, and from all files of a directory `NAME`.
     fn read_variables(&mut self, directory: &Path, role: fn(String) -> Role) -> Result<(), Diagnostic> {
         if !directory.is_dir() {
             return Ok(());
@@ -146,25 +151,25 @@
 
     fn read_file(&mut self, path: &Path, role: Role) -> Result<(), Diagnostic> {
         if self.files.len() >= self.bounds.files {
-            return Err(whole_file(path, format!("is one of more than {} files", self.bounds.files)));
+            return Err(file_diagnostic(path, format!("exceeds the maximum of {} files", self.bounds.files)));
         }
-        let unreadable = |error: io::Error| whole_file(path, error.to_string());
-        let mut file = File::open(path).map_err(unreadable)?;
-        // The stamp of before the read: a write during the read changes it.
-        let metadata = file.metadata().map_err(unreadable)?;
+        let read_error = |error: io::Error| file_diagnostic(path, error.to_string());
+        let mut file = File::open(path).map_err(read_error)?;
+        // The stamp is taken before the read, so that a write during the read changes it.
+        let metadata = file.metadata().map_err(read_error)?;
         if !metadata.is_file() {
-            return Err(whole_file(path, "is no file"));
+            return Err(file_diagnostic(path, "is not a regular file"));
         }
         let mut content = Vec::new();
         let bytes_left = self.bounds.bytes.saturating_sub(self.bytes);
-        (&mut file).take(bytes_left + 1).read_to_end(&mut content).map_err(unreadable)?;
+        (&mut file).take(bytes_left + 1).read_to_end(&mut content).map_err(read_error)?;
         self.bytes += content.len() as u64;
         if self.bytes > self.bounds.bytes {
-            let message = format!("passes {} bytes, the most for an inventory", self.bounds.bytes);
-            return Err(whole_file(path, message));
+            let message = format!("exceeds the maximum inventory size of {} bytes", self.bounds.bytes);
+            return Err(file_diagnostic(path, message));
         }
         let mut checksum = None;
-        if self.has_checksums && role == Role::Inventory {
+        if self.reads_checksums && role == Role::Inventory {
             checksum = fs::read_to_string(checksum_path(path)).ok();
         }
         self.open_files.push(OpenFile { file, stamp: FileStamp::new(&metadata) });
@@ -175,11 +180,11 @@
     }
 }
 
-fn whole_file(path: &Path, message: impl Into<String>) -> Diagnostic {
+fn file_diagnostic(path: &Path, message: impl Into<String>) -> Diagnostic {
     Diagnostic::for_file(&path.display().to_string(), message)
 }
 
-/// The name of a file; empty if it is not UTF-8.
+/// The last component of a path; empty if it is not valid UTF-8.
 fn file_name(path: &Path) -> &str {
     path.file_name().and_then(|name| name.to_str()).unwrap_or_default()
 }
@@ -188,17 +193,17 @@
     name.starts_with('.') || name.ends_with('~')
 }
 
-/// Only known extensions are ignored: what stands behind a dot may be a part of a host's name.
+/// Only known extensions are ignored, because the part after a dot may belong to a host name.
 fn has_ignored_extension(path: &Path) -> bool {
     let extension = path.extension().and_then(|extension| extension.to_str());
     extension.is_some_and(|extension| IGNORED_EXTENSIONS.contains(&extension))
 }
 
 fn sorted_entries(directory: &Path) -> Result<Vec<PathBuf>, Diagnostic> {
-    let unreadable = |error: io::Error| whole_file(directory, error.to_string());
+    let read_error = |error: io::Error| file_diagnostic(directory, error.to_string());
     let mut paths = Vec::new();
-    for entry in fs::read_dir(directory).map_err(unreadable)? {
-        paths.push(entry.map_err(unreadable)?.path());
+    for entry in fs::read_dir(directory).map_err(read_error)? {
+        paths.push(entry.map_err(read_error)?.path());
     }
     paths.sort();
     Ok(paths)
--- a/src/inventory/files/mod.rs
+++ b/src/inventory/files/mod.rs
@@ -1,5 +1,5 @@
-//! The half of the inventory that reads files: an inventory file, or a directory of them, with `group_vars` and
-//! `host_vars` beside.
+//! File access of the inventory: reads an inventory file or a directory of inventory files, and the directories
+//! `group_vars` and `host_vars` in the same base directory.
 
 mod bundle;
 mod load;
@@ -15,12 +15,12 @@
 const GROUP_VARS: &str = "group_vars";
 const HOST_VARS: &str = "host_vars";
 
-/// The directory in which an inventory and its variables lie.
+/// The directory that contains the inventory files and the variable directories.
 fn base_directory(path: &Path) -> &Path {
     if path.is_dir() { path } else { path.parent().unwrap_or(Path::new("")) }
 }
 
-/// The file with the checksum of an inventory file.
+/// The path of the checksum file of an inventory file.
 fn checksum_path(path: &Path) -> PathBuf {
     let mut name: OsString = path.as_os_str().to_owned();
     name.push(".sha256");
--- a/src/inventory/files/signature.rs
+++ b/src/inventory/files/signature.rs
@@ -1,4 +1,4 @@
-//! What tells that files changed without reading them.
+//! Detects changed files by their metadata, without reading them.
 
 use super::{GROUP_VARS, HOST_VARS, base_directory, checksum_path};
 use std::fs::{self, Metadata};
@@ -6,10 +6,11 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Levels of directories that are searched below an inventory's own.
+/// Number of directory levels that are searched, including the base directory.
 const MAX_DEPTH: usize = 3;
 
-/// A file's identity, length and time of modification: with an equal stamp and equal bytes it is unchanged.
+/// Device, inode, length and modification time of a file. A file is unchanged if both its stamp and its content are
+/// equal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct FileStamp {
     device: u64,
@@ -30,24 +31,24 @@
         }
     }
 
-    /// The time of modification since 1970.
+    /// Modification time since the Unix epoch.
     pub(super) fn modified(&self) -> Duration {
         Duration::new(self.modified_seconds.max(0) as u64, self.modified_nanoseconds.max(0) as u32)
     }
 }
 
-/// A file as [`signature`] finds it.
+/// Path and metadata of a file, for comparison with a later state.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct FileSignature {
     path: PathBuf,
     stamp: FileStamp,
-    /// When its content, name or permissions last changed.
+    /// Inode change time (ctime): the last change of content, name or permissions.
     changed_seconds: i64,
     changed_nanoseconds: i64,
 }
 
-/// All files of an inventory in the order of their paths, without reading them; `None` if the inventory does not exist.
-/// Two equal signatures mean that nothing changed, unless within the granularity of the file system's clock.
+/// Paths and metadata of all files of an inventory, sorted by path; `None` if the inventory does not exist. Equal
+/// signatures mean that nothing changed, except for changes within the granularity of the file system's clock.
 pub fn signature(path: &Path) -> Option<Vec<FileSignature>> {
     fs::metadata(path).ok()?;
     let base = base_directory(path);
--- a/src/inventory/list.rs
+++ b/src/inventory/list.rs
@@ -1,4 +1,4 @@
-//! From hosts with variables to a list of endpoint records.
+//! Converts hosts with variables into a list of endpoint records.
 
 use super::ansible::Hosts;
 use super::files::{Bundle, Role};
@@ -10,10 +10,11 @@
 use sha2::{Digest, Sha256};
 use std::sync::Arc;
 
-/// Bytes of the SHA-256 that name an inventory's content.
+/// Number of bytes of the SHA-256 that form the digest.
 const DIGEST_BYTES: usize = 8;
 
-/// A name for an inventory's content: the start of a SHA-256 of all its files, in hex. Operators confirm a list by it.
+/// Identifies the content of an inventory: the first 8 bytes of the SHA-256 of all its files, in hex. To confirm a list
+/// that is held back, operators refer to its digest.
 pub fn digest(bundle: &Bundle) -> Arc<str> {
     let mut hash = Sha256::new();
     for file in &bundle.files {
@@ -24,7 +25,7 @@
     hex::encode(&hash.finalize()[..DIGEST_BYTES]).into()
 }
 
-/// The endpoint records of all hosts, in the order of their names.
+/// The endpoint records of all hosts, sorted by name.
 pub(super) fn endpoint_list(
     hosts: &Hosts,
     bundle: &Bundle,
@@ -37,7 +38,7 @@
     if records.is_empty() && !options.partial && problems.is_empty() {
         let file = bundle.files.iter().find(|file| file.role == Role::Inventory);
         let name = file.map_or("", |file| &*file.name);
-        problems.push(Diagnostic::for_file(name, "names no leaf server"));
+        problems.push(Diagnostic::for_file(name, "contains no leaf servers"));
     }
     if !problems.is_empty() {
         return Err(Diagnostics(problems));
@@ -77,19 +78,21 @@
 fn report_shared_addresses(records: &[EndpointRecord], bundle: &Bundle, problems: &mut Vec<Diagnostic>) {
     for SharedAddress { first, second } in shared_addresses(records) {
         let address = second.address.as_ref().map_or("", |address| &*address.value);
-        let message = format!("{address} is the address of {} too", first.name);
+        let message = format!("{address} is also the address of {}", first.name);
         let file = bundle.file_name(second.location);
         let field = format!("{}.address", second.name);
         problems.push(Diagnostic::at(file, second.location.line, field, message));
     }
 }
 
-/// The endpoints of a list as they would be without other sources, in the order of their names.
+/// The endpoints that a list gives without other sources, sorted by name. Records without an address or a cell are left
+/// out.
 pub fn endpoints(list: &FileList) -> Vec<Endpoint> {
     list.records.iter().filter_map(endpoint).collect()
 }
 
-/// The endpoint of a record; `None` if it lacks an address or a cell, which another source must add.
+/// The endpoint of a record with defaults for missing fields; `None` if the record lacks an address or a cell, which
+/// another source must provide.
 fn endpoint(record: &EndpointRecord) -> Option<Endpoint> {
     Some(Endpoint {
         name: record.name.clone(),
--- a/src/inventory/mapping/address.rs
+++ b/src/inventory/mapping/address.rs
@@ -1,12 +1,12 @@
-//! Addresses as configuration tools write them.
+//! Parses addresses in the notations of configuration management tools.
 
 use super::error::FieldError;
 use std::net::Ipv6Addr;
 
-/// Longest prefix of a network, in bits.
+/// Maximum length of a network prefix, in bits (IPv6).
 const MAX_PREFIX_BITS: u8 = 128;
 
-/// How the aggregator talks to a leaf server.
+/// The protocol between the aggregator and a leaf server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Protocol {
     Frames,
@@ -23,7 +23,7 @@
     }
 }
 
-/// An address with what it says about port and protocol.
+/// A host with the port and protocol that its notation includes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Address {
     pub host: String,
@@ -32,7 +32,7 @@
 }
 
 impl Address {
-    /// Parses `h`, `h:1`, `10.0.0.1/24`, `::1`, `[::1]:1`, and each behind `grpc+tcp://` or `grpc://`.
+    /// Parses `h`, `h:1`, `10.0.0.1/24`, `::1`, `[::1]:1`, and each with the prefix `grpc+tcp://` or `grpc://`.
     pub fn parse(text: &str) -> Result<Self, FieldError> {
         Address::parse_parts(text).ok_or_else(|| FieldError::InvalidAddress(text.to_owned()))
     }
@@ -56,13 +56,13 @@
     }
 }
 
-/// A port from 1 to 65535.
+/// Parses a port from 1 to 65535.
 pub(super) fn parse_port(text: &str) -> Option<u16> {
     text.parse().ok().filter(|port| *port > 0)
 }
 
-/// The address of an interface has the length of its network's prefix behind it, as `10.0.0.1/24`; a URL may end in a
-/// slash.
+/// Removes the suffix of an interface address (its network prefix length, as in `10.0.0.1/24`) or the trailing slash of
+/// a URL. Any other suffix gives `None`.
 fn without_prefix_length(authority: &str, protocol: Protocol) -> Option<&str> {
     let Some((authority, suffix)) = authority.split_once('/') else { return Some(authority) };
     let is_prefix_length = suffix.parse::<u8>().is_ok_and(|bits| bits <= MAX_PREFIX_BITS);
--- a/src/inventory/mapping/field.rs
+++ b/src/inventory/mapping/field.rs
@@ -1,30 +1,30 @@
-//! The fields of an endpoint record as the operator's file names them.
+//! The fields of an endpoint record and their names in the operator file.
 
 /// A field of an endpoint record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Field {
-    /// The endpoint's name; a column of CSV only.
+    /// Name of the endpoint. Used for the name column of CSV files only.
     Name,
-    /// Host, with or without a port.
+    /// Host name or IP address, optionally with a port.
     Address,
-    /// Port.
+    /// Port from 1 to 65535.
     Port,
-    /// Cell.
+    /// Number of the cell, from 0.
     Cell,
-    /// Zone.
+    /// Name of the zone (failure domain).
     Zone,
     /// State: `ready`, `draining` or `absent`.
     State,
-    /// Weight.
+    /// Weight of the replica in the balancer, from 0.
     Weight,
     /// Protocol: `frames` or `flight`.
     Protocol,
-    /// Last start, in Unix milliseconds.
+    /// Time of the last start, in milliseconds since the Unix epoch.
     StartedAtMs,
 }
 
 impl Field {
-    /// All fields, in the order of their numbers.
+    /// All fields, in the order of their discriminants.
     pub const ALL: [Field; 9] = [
         Field::Name,
         Field::Address,
@@ -37,17 +37,17 @@
         Field::StartedAtMs,
     ];
 
-    /// Its name in the operator's file.
+    /// The name of the field in the operator file.
     pub fn name(self) -> &'static str {
         self.default_variables()[0]
     }
 
-    /// The field of that name.
+    /// The field with that name; `None` if there is no such field.
     pub fn from_name(name: &str) -> Option<Field> {
         Field::ALL.into_iter().find(|field| field.name() == name)
     }
 
-    /// The variables that hold the field if none is mapped; the first one is the field's own name.
+    /// The variables that are tried in order if the operator file maps none; the first one is the field's own name.
     pub(super) fn default_variables(self) -> &'static [&'static str] {
         match self {
             Field::Name => &["name"],
--- a/src/inventory/mapping/reader.rs
+++ b/src/inventory/mapping/reader.rs
@@ -1,4 +1,4 @@
-//! Reads the fields of one host.
+//! Reads the endpoint record of a host from its variables.
 
 use super::super::ansible::{HostVariables, Hosts};
 use super::address::{Address, Protocol, is_ipv6, parse_port};
@@ -8,24 +8,25 @@
 use crate::yaml::Node;
 use std::sync::Arc;
 
-/// Cells are numbered from 0 to this.
+/// Maximum cell number.
 const MAX_CELL: u32 = 65_535;
+/// Maximum weight.
 const MAX_WEIGHT: f64 = 1e6;
-/// The latest start, in Unix milliseconds.
+/// Maximum start time, in milliseconds since the Unix epoch.
 const MAX_STARTED_AT_MS: f64 = 1e15;
-/// What a template of Jinja begins with.
-const TEMPLATE_MARKS: [&str; 3] = ["{{", "{%", "{#"];
+/// The opening delimiters of Jinja templates: expressions, statements and comments.
+const TEMPLATE_DELIMITERS: [&str; 3] = ["{{", "{%", "{#"];
 
 /// Reads the fields of one host and collects their problems.
 pub(super) struct RecordReader<'a> {
     mapping: &'a Mapping,
-    /// The variables of each field, in the order of [`Field::ALL`].
+    /// The candidate variables of each field, in the order of [`Field::ALL`].
     candidates: &'a [Vec<String>; Field::ALL.len()],
     variables: HostVariables<'a>,
     host: &'a Arc<str>,
-    /// Where the host is first named.
+    /// Where the host is first listed.
     location: SourceLocation,
-    /// The record only adds to another source's: it needs no address and no cell.
+    /// Whether the record supplements that of another source, so that address and cell are optional.
     partial: bool,
     problems: Vec<FieldProblem>,
 }
@@ -49,7 +50,7 @@
         }
     }
 
-    /// The record; `None` if the host's state is `absent`.
+    /// Returns the record, or `None` if the state of the host is `absent`.
     pub fn read(mut self) -> Result<Option<EndpointRecord>, Vec<FieldProblem>> {
         let record = self.read_record();
         if self.problems.is_empty() { Ok(record) } else { Err(self.problems) }
@@ -85,7 +86,7 @@
         })
     }
 
-    /// Host, port and protocol as one address.
+    /// Combines host, port and protocol into one address.
     fn full_address(
         &mut self,
         address: Option<Sourced<Address>>,
@@ -100,12 +101,12 @@
         }
         let port_location = port.as_ref().map_or(self.location, |port| port.location);
         let location = address.as_ref().map_or(port_location, |address| address.location);
-        // A host without an address is reached by its name.
+        // Without an address, the name of the host is used.
         let address = address.map_or_else(
             || Address { host: self.host.to_string(), port: None, protocol: Protocol::Frames },
             |address| address.value,
         );
-        let port = self.agreed_port(address.port, port)?;
+        let port = self.resolve_port(address.port, port)?;
         let scheme = match protocol.unwrap_or(address.protocol) {
             Protocol::Frames => "",
             Protocol::Flight => "grpc+tcp://",
@@ -114,8 +115,8 @@
         Some(Sourced { value: format!("{scheme}{host}:{port}").into(), location })
     }
 
-    /// The port of the address or of the field; if both are set they must be equal.
-    fn agreed_port(&mut self, address_port: Option<u16>, port: Option<Sourced<u16>>) -> Option<u16> {
+    /// The port of the address or of the port field; if both are set, they must be equal.
+    fn resolve_port(&mut self, address_port: Option<u16>, port: Option<Sourced<u16>>) -> Option<u16> {
         match (address_port, port) {
             (Some(address_port), Some(port)) if address_port != port.value => {
                 let error = FieldError::PortMismatch { port: port.value, address_port };
@@ -133,14 +134,14 @@
         }
     }
 
-    /// The value of the first of a field's variables that is set, or the field's default.
+    /// Parses the value of the first candidate variable that is set, or the default of the field.
     fn field<T>(
         &mut self,
         field: Field,
         parse: impl Fn(&str) -> Result<T, FieldError>,
     ) -> Option<Sourced<T>> {
         let (text, location) = self.field_text(field)?;
-        let text = self.translated(field, text.trim());
+        let text = self.map_value(field, text.trim());
         match parse(&text) {
             Ok(value) => Some(Sourced { value, location }),
             Err(error) => {
@@ -157,10 +158,10 @@
             let default = self.mapping.defaults.get(&field)?;
             return Some((default.clone(), self.location));
         };
-        match plain_text(&variable.value) {
+        match scalar_text(&variable.value) {
             Ok(text) => Some((text, variable.location)),
             Err(error) => {
-                // Named after the variable, since that is what the operator has to change.
+                // The path contains the variable rather than the field, as the operator has to change the variable.
                 let path = format!("{}.{name}", self.host);
                 self.problems.push(FieldProblem { location: variable.location, field, path, error });
                 None
@@ -168,14 +169,15 @@
         }
     }
 
-    /// What a word stands for: as mapped, in any case, or itself.
-    fn translated(&self, field: Field, text: &str) -> String {
-        let Some(meanings) = self.mapping.values.get(&field) else { return text.to_owned() };
-        let in_any_case = || {
-            let mut meanings = meanings.iter();
-            meanings.find(|(word, _)| word.eq_ignore_ascii_case(text)).map(|(_, meaning)| meaning)
+    /// Replaces a value as the mapping configures it, preferring an exact match to one that ignores case. A value
+    /// that is not mapped is returned unchanged.
+    fn map_value(&self, field: Field, text: &str) -> String {
+        let Some(mapped_values) = self.mapping.values.get(&field) else { return text.to_owned() };
+        let ignoring_case = || {
+            let mut mapped_values = mapped_values.iter();
+            mapped_values.find(|(value, _)| value.eq_ignore_ascii_case(text)).map(|(_, mapped)| mapped)
         };
-        meanings.get(text).or_else(in_any_case).cloned().unwrap_or_else(|| text.to_owned())
+        mapped_values.get(text).or_else(ignoring_case).cloned().unwrap_or_else(|| text.to_owned())
     }
 
     fn report_missing(&mut self, field: Field) {
@@ -196,13 +198,13 @@
     }
 }
 
-/// The text of a single value that needs neither decryption nor a template engine.
-fn plain_text(value: &Node) -> Result<String, FieldError> {
+/// The text of a scalar. An encrypted value or a template is an error.
+fn scalar_text(value: &Node) -> Result<String, FieldError> {
     if value.tag == "vault" {
         return Err(FieldError::Encrypted);
     }
     let text = value.as_str().ok_or_else(|| FieldError::NotScalar(value.kind_name()))?;
-    if TEMPLATE_MARKS.iter().any(|mark| text.contains(mark)) {
+    if TEMPLATE_DELIMITERS.iter().any(|delimiter| text.contains(delimiter)) {
         return Err(FieldError::Template(text.to_owned()));
     }
     Ok(text.to_owned())
--- a/src/inventory/mod.rs
+++ b/src/inventory/mod.rs
@@ -1,11 +1,12 @@
-//! Inventory files as configuration tools keep them, CSV and Ansible's YAML, read into endpoint records.
+//! Reads inventory files of configuration management tools (CSV and Ansible's YAML) into endpoint records.
 //!
-//! The result is a complete list or all problems with their files, lines and fields, in bounded time and memory, and
-//! never a part of a list. [`load_files`] is the half that reads files; everything else works on their content. Variables
-//! without a meaning here are ignored. Templates are never evaluated: one in a variable that is needed is a problem.
+//! The result is either the complete list or all problems with their files, lines and fields, never a part of the list.
+//! Time and memory are bounded. Only [`load_files`] and [`signature()`] access the file system; everything else works
+//! on content in memory. Variables that are not mapped to a field are ignored. Templates are never evaluated: one in a
+//! variable that is mapped to a field is a problem.
 //!
-//! The inventory watcher and the operator's configuration call [`load_files`] and [`read`]; the command line prints and
-//! explains what they find.
+//! The inventory watcher and the operator configuration call [`load_files`] and [`read`]; the command line prints the
+//! resulting list and explains the variables of a host.
 
 mod ansible;
 mod columns;
--- a/src/inventory/options.rs
+++ b/src/inventory/options.rs
@@ -1,4 +1,4 @@
-//! How an inventory is read. The operator's file sets it.
+//! Options for reading an inventory, set by the operator file or the command line.
 
 use super::mapping::Mapping;
 use std::path::Path;
@@ -8,12 +8,12 @@
 pub enum Format {
     /// CSV with a header.
     Csv,
-    /// Ansible's YAML inventory; JSON is YAML too.
+    /// Ansible's YAML inventory. Includes JSON, which is a subset of YAML.
     Yaml,
 }
 
 impl Format {
-    /// The format by a file's name: `.csv` and `.tsv` are CSV, any other is YAML.
+    /// The format by file extension: `.csv` and `.tsv` are CSV, anything else is YAML.
     pub fn of(path: &str) -> Self {
         let extension = Path::new(path).extension().and_then(|extension| extension.to_str());
         match extension.unwrap_or_default().to_ascii_lowercase().as_str() {
@@ -23,18 +23,18 @@
     }
 }
 
-/// Upper bounds on an inventory, so that no file takes unbounded time or memory.
+/// Upper bounds on an inventory, which limit the time and memory that reading it takes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// Bytes of all its files.
+    /// Maximum total size of all files, in bytes; 16 MiB by default.
     pub bytes: u64,
-    /// Files, including those with variables.
+    /// Maximum number of files, including variable files; 4096 by default.
     pub files: usize,
-    /// Hosts, after ranges are expanded.
+    /// Maximum number of hosts after ranges are expanded; 50,000 by default.
     pub hosts: usize,
-    /// Depth of nested values and of nested groups.
+    /// Maximum depth of nested groups; 32 by default. YAML nodes may be nested twice as deeply.
     pub depth: usize,
-    /// Values of one YAML file, after aliases are expanded.
+    /// Maximum number of values in one YAML file after aliases are expanded; 2 million by default.
     pub values: u64,
 }
 
@@ -44,24 +44,25 @@
     }
 }
 
-/// How an inventory is read.
+/// Options for reading an inventory.
 #[derive(Clone, Debug, Default)]
 pub struct Options {
-    /// The format; by the file's name if it is not set.
+    /// Format of the inventory files; `None` chooses it by file extension.
     pub format: Option<Format>,
-    /// The delimiter of CSV; detected if it is not set.
+    /// Delimiter of CSV files; `None` detects it from the header.
     pub delimiter: Option<u8>,
-    /// Columns, variables and values as the tools name them.
+    /// Mapping of columns, variables and their values to endpoint fields.
     pub mapping: Mapping,
-    /// The inventory only adds to endpoints that another source lists: it needs no address and no cell, and may be
-    /// empty.
+    /// Whether the inventory only supplements endpoints of another source. Addresses and cells are then optional, and
+    /// the inventory may be empty.
     pub partial: bool,
-    /// The last line that each complete file has.
+    /// Last line that every inventory file must have; `None` disables the check.
     pub end_marker: Option<String>,
-    /// Whether a complete file has its SHA-256 in a file of the same name with `.sha256`.
+    /// Whether every inventory file needs a matching SHA-256 checksum in a file with the same name and the suffix
+    /// `.sha256`.
     pub checksum: bool,
-    /// Whether a complete file may lack the last line end.
+    /// Whether a file without a final newline counts as complete.
     pub accepts_missing_final_newline: bool,
-    /// Upper bounds.
+    /// Upper bounds on size, hosts and nesting.
     pub bounds: Bounds,
 }
--- a/src/inventory/print.rs
+++ b/src/inventory/print.rs
@@ -1,16 +1,16 @@
-//! A list of endpoints as text: for a terminal, or in formats that [`super::read()`] reads again.
+//! Formats a list of endpoints as a table for a terminal, or in file formats that [`super::read()`] accepts.
 
 use super::columns::columns;
 use crate::endpoints::{Endpoint, EndpointState};
 use serde_json::{Value, json};
 use std::fmt::Write;
 
-/// How a list is printed.
+/// Output format of a list of endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Format {
     /// Aligned columns for a terminal.
     Table,
-    /// One JSON object with the list `nodes`.
+    /// A JSON object with the array `nodes`.
     Json,
     /// CSV with a header.
     Csv,
@@ -18,7 +18,7 @@
     Yaml,
 }
 
-/// The columns of tables and CSV.
+/// Column names of the table and CSV formats.
 const COLUMNS: [&str; 7] = ["name", "address", "cell", "zone", "state", "weight", "started_at_ms"];
 
 /// The name of a state in inventory files.
@@ -30,7 +30,7 @@
     }
 }
 
-/// Prints endpoints.
+/// Formats endpoints as text, in the given order.
 pub fn print(endpoints: &[Endpoint], format: Format) -> String {
     match format {
         Format::Table => print_table(endpoints),
@@ -54,7 +54,7 @@
         "state": state_name(endpoint.state),
         "weight": endpoint.weight,
     });
-    // The start time is 0 if it is not known.
+    // A start time of 0 means that it is unknown.
     if let Some(fields) = object.as_object_mut().filter(|_| endpoint.started_at_unix > 0.0) {
         fields.insert("started_at_ms".to_owned(), json!(endpoint.started_at_unix));
     }
@@ -82,7 +82,7 @@
 }
 
 fn print_csv(endpoints: &[Endpoint]) -> String {
-    // Every cell is quoted, since a name may begin as a comment does.
+    // Every cell is quoted because a name may start with `#`, which would mark a comment.
     let mut writer = csv::WriterBuilder::new().quote_style(csv::QuoteStyle::Always).from_writer(Vec::new());
     let mut rows = vec![COLUMNS.map(str::to_owned)];
     rows.extend(endpoints.iter().map(cells));
--- a/src/inventory/table.rs
+++ b/src/inventory/table.rs
@@ -1,4 +1,4 @@
-//! CSV with a header: each row is a host, each column a variable.
+//! Reads CSV files with a header: each row is a host, each column a variable.
 
 use super::ansible::{Hosts, VariableMap};
 use super::error::HostError;
@@ -13,13 +13,13 @@
 use std::fmt;
 use std::rc::Rc;
 
-/// Delimiters that are detected, the preferred one first.
+/// Delimiters that are detected, in descending order of preference.
 const DELIMITERS: [u8; 4] = [b',', b';', b'\t', b'|'];
 
-/// Reads a table and adds its hosts; its problems are added to `problems`.
+/// Reads a CSV file, adds its hosts to `hosts` and appends its problems to `problems`.
 pub(super) fn read(
     hosts: &mut Hosts,
-    number: u16,
+    file_index: u16,
     file: &BundleFile,
     text: &str,
     options: &Options,
@@ -33,7 +33,7 @@
         .flexible(true)
         .has_headers(false)
         .from_reader(text.as_bytes());
-    let mut table = Table { hosts, number, options, columns: None, first_lines: HashMap::new() };
+    let mut table = Table { hosts, file_index, options, columns: None, first_lines: HashMap::new() };
     for row in reader.into_records() {
         let result = match row {
             Ok(row) => table.add(&row),
@@ -51,13 +51,13 @@
     }
 }
 
-/// A problem with a row.
+/// A problem with a row or the header.
 struct Problem {
     line: u32,
-    /// The part of the table, or empty.
+    /// `header`, `row` or `name`; empty for a CSV syntax error.
     field: &'static str,
     error: RowError,
-    /// Whether the rest of the table cannot be read.
+    /// Whether reading stops, because the following rows cannot be read or added.
     is_fatal: bool,
 }
 
@@ -75,34 +75,36 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Csv(error) => write!(f, "{error}"),
-            Self::DuplicateColumn(name) => write!(f, "column {name} is there twice"),
+            Self::DuplicateColumn(name) => write!(f, "column {name} is listed twice"),
             Self::MissingNameColumn { wanted, columns } => {
-                write!(f, "has no column {}, but {}", wanted.join(" or "), columns.join(", "))
+                write!(f, "has no column {}; its columns are {}", wanted.join(" or "), columns.join(", "))
+            }
+            Self::CellCount { cells, columns } => {
+                write!(f, "has {cells} cells, but the header has {columns} columns")
             }
-            Self::CellCount { cells, columns } => write!(f, "has {cells} cells under {columns} columns"),
             Self::MissingName => f.write_str("is missing"),
             Self::Duplicate { name, first_line } => {
-                write!(f, "{name} is there twice, first on line {first_line}")
+                write!(f, "{name} is listed twice, first on line {first_line}")
             }
             Self::Host(error) => write!(f, "{error}"),
         }
     }
 }
 
-/// A table that is being read.
+/// The state of reading a CSV file.
 struct Table<'a> {
     hosts: &'a mut Hosts,
-    /// The file's number in the bundle.
-    number: u16,
+    /// Index of the file in the bundle.
+    file_index: u16,
     options: &'a Options,
-    /// The names of the columns, once the header was read.
+    /// Column names; `None` until the header is read.
     columns: Option<Vec<String>>,
-    /// The line of each host.
+    /// The line on which each host is first listed.
     first_lines: HashMap<String, u32>,
 }
 
 impl Table<'_> {
-    /// Adds the header or a host.
+    /// Processes a row: the first one is the header, every other one a host.
     fn add(&mut self, row: &StringRecord) -> Result<(), Problem> {
         let line = row.position().map_or(1, |position| position.line() as u32);
         let Some(columns) = &self.columns else {
@@ -122,7 +124,7 @@
             error: RowError::MissingName,
             is_fatal: false,
         })?;
-        let location = SourceLocation { file: self.number, line };
+        let location = SourceLocation { file: self.file_index, line };
         let variables = row_variables(columns, row, location);
         if let Some(first_line) = self.first_lines.insert(name.clone(), line) {
             let error = RowError::Duplicate { name, first_line };
@@ -146,14 +148,14 @@
     }
 }
 
-/// The cells of a row that are not empty, by column.
+/// The non-empty cells of a row as variables, by column name.
 fn row_variables(columns: &[String], row: &StringRecord, location: SourceLocation) -> VariableMap {
     let mut variables = VariableMap::new();
     for (column, cell) in columns.iter().zip(row.iter()) {
         if cell.is_empty() {
             continue;
         }
-        // A cell is text, also where YAML would read `null`.
+        // A cell is always a string, even if YAML would read its text as `null`.
         let kind = Kind::Scalar { text: cell.to_owned(), is_plain: false };
         let value = Rc::new(Node { line: location.line, tag: String::new(), size: 1, kind });
         variables.insert(column.clone(), value, location);
@@ -161,7 +163,7 @@
     variables
 }
 
-/// The names of the columns. Names with a meaning may be written in any case.
+/// Reads the column names. Names of mapped columns are matched regardless of case.
 fn read_header(row: &StringRecord, mapping: &Mapping) -> Result<Vec<String>, RowError> {
     let mut columns: Vec<String> = row.iter().map(str::to_owned).collect();
     for wanted in Field::ALL.into_iter().flat_map(|field| mapping.candidates(field)) {
@@ -184,7 +186,7 @@
     Ok(columns)
 }
 
-/// The delimiter with which the header has most of the columns that have a meaning, and then most columns.
+/// Chooses the delimiter that gives the header the most mapped columns, and among equals the most columns.
 fn detect_delimiter(text: &str, mapping: &Mapping) -> u8 {
     let header = text.lines().find(|line| !line.trim().is_empty() && !line.starts_with('#'));
     let header = header.unwrap_or_default();
@@ -199,6 +201,6 @@
         let is_known = |column: &&str| wanted.iter().any(|name| name.eq_ignore_ascii_case(column));
         (row.iter().filter(is_known).count(), row.len())
     };
-    // `max_by_key` takes the last of equals: reversed, that is the preferred one.
+    // `max_by_key` returns the last of equal elements; the order is reversed to get the most preferred one.
     DELIMITERS.into_iter().rev().max_by_key(|delimiter| score(*delimiter)).unwrap_or(b',')
 }
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -57,8 +57,8 @@
         "{stderr}"
     );
     for (text, wanted) in [
-        ("name,host,port,cell\n", "names no leaf server"),
-        ("name,host,port,cell\na,h,1,0\nb,h,1,0\n", "n.csv:3: b.address: h:1 is the address of a too"),
+        ("name,host,port,cell\n", "contains no leaf servers"),
+        ("name,host,port,cell\na,h,1,0\nb,h,1,0\n", "n.csv:3: b.address: h:1 is also the address of a"),
         ("name,host,port,cell\na,h,70000,0\n", "n.csv:2: a.port"),
         ("name,host,port,cell\na,h,1,-3\n", "n.csv:2: a.cell"),
     ] {
--- a/tests/formats/ansible.rs
+++ b/tests/formats/ansible.rs
@@ -108,7 +108,7 @@
     for (text, expected) in [
         (
             "all:\n  hosts:\n    s0:\n      port: 1\n      cell: '{{ rack }}'\n",
-            "n.yaml:5: s0.cell: needs a template engine",
+            "n.yaml:5: s0.cell: is a template, and templates are not evaluated",
         ),
         ("all:\n  hosts:\n    s0: {port: 1, cell: !vault abc}\n", "n.yaml:3: s0.cell: is encrypted"),
         ("all:\n  hosts:\n    s0: {port: [1], cell: 0}\n", "n.yaml:3: s0.port: must be a single value"),
@@ -120,17 +120,17 @@
             "all:\n  hosts:\n    s0: {port: 1, cell: 0}\n    s0: {port: 2, cell: 0}\n",
             "n.yaml:4: s0 is there twice, first on line 3",
         ),
-        ("a:\n  children:\n    b:\nb:\n  children:\n    a:\n", "is a child of its own children"),
+        ("a:\n  children:\n    b:\nb:\n  children:\n    a:\n", "is its own descendant"),
         (
             "all:\n  hosts:\n    s[3:1]: {port: 1, cell: 0}\n",
-            "n.yaml:3: all.hosts.s[3:1]: [3:1] runs backwards",
+            "n.yaml:3: all.hosts.s[3:1]: [3:1] has its end before its beginning",
         ),
-        ("all: {hosts: {}}\n", "n.yaml: names no leaf server"),
-        ("", "n.yaml: names no leaf server"),
+        ("all: {hosts: {}}\n", "n.yaml: contains no leaf servers"),
+        ("", "n.yaml: contains no leaf servers"),
         ("all:\n  hosts:\n    s0: {port: 1, cell: 0}\n---\nall:\n", "n.yaml:4: a second document"),
         (
             "all:\n  hosts:\n    s0: {port: 1, cell: 0, address: 'a:2'}\n",
-            "s0.port: is 1, but the address says 2",
+            "s0.port: is 1, but the address has port 2",
         ),
     ] {
         let found = diagnostics(read_one("n.yaml", text));
--- a/tests/formats/csv.rs
+++ b/tests/formats/csv.rs
@@ -58,8 +58,8 @@
     let text = "name,host,port,cell,weight\ns0,h,0,0,\ns1,h,1,99999,\ns2,h,2,1,-1\ns2,h,3,1,\ns3,h,4\n,h,5,1,\ns4,h,80,1,\ns5,h,80,2,\n";
     let found = diagnostics(read_one("n.csv", text));
     for expected in [
-        "n.csv:5: name: s2 is there twice, first on line 4",
-        "n.csv:6: row: has 3 cells under 5",
+        "n.csv:5: name: s2 is listed twice, first on line 4",
+        "n.csv:6: row: has 3 cells, but the header has 5",
         "n.csv:7: name: is missing",
     ] {
         assert!(found.iter().any(|message| message.contains(expected)), "{expected}: {found:#?}");
@@ -70,7 +70,7 @@
         "n.csv:2: s0.port",
         "n.csv:3: s1.cell",
         "n.csv:4: s2.weight",
-        "n.csv:6: s5.address: h:80 is the address of s4",
+        "n.csv:6: s5.address: h:80 is also the address of s4",
     ];
     assert_eq!(found.len(), expected.len(), "{found:#?}");
     for (found, expected) in found.iter().zip(expected) {
--- a/tests/inventory.rs
+++ b/tests/inventory.rs
@@ -60,7 +60,7 @@
     let mut aggregator = Setup { operator, ..Setup::new(&[]) }.start();
     // What a reader finds between a writer's truncation and its write.
     fs::write(&path, "").expect("written");
-    aggregator.wait_for_log("names no leaf server");
+    aggregator.wait_for_log("contains no leaf servers");
     fs::write(&path, good.replace("cell: 0", "cell: no")).expect("written");
     assert!(aggregator.wait_for_log("s0.cell").contains("the previous list stays in force"));
 }
