--- a/tests/formats/ansible.rs
+++ b/tests/formats/ansible.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn host_ranges_are_expanded_and_malformed_ones_rejected() {
+fn host_ranges_are_expanded_and_malformed_ranges_rejected() {
     for (pattern, expected) in [
         ("s[01:03].tpe", "s01.tpe s02.tpe s03.tpe"),
         ("s[0:3]", "s0 s1 s2 s3"),
@@ -68,7 +68,7 @@
     assert_eq!(zones, ["zero", "index", "index", "index"]);
 }
 
-/// Files in ascending order of the precedence of their `zone`.
+/// Files in ascending order of precedence; each sets `zone` to its position.
 const LAYERS: [(&str, &str); 10] = [
     (
         "n.yaml",
@@ -86,7 +86,7 @@
 ];
 
 #[test]
-fn each_layer_of_variables_takes_precedence_over_the_one_before() {
+fn each_layer_of_variables_overrides_the_previous_one() {
     for count in 1..=LAYERS.len() {
         let list = read(&bundle(&LAYERS[..count]), &Options::default()).expect("layers");
         assert_eq!(&*endpoints(&list)[0].zone, count.to_string());
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn unusable_input_is_rejected_with_host_variable_file_and_line() {
+fn invalid_input_is_rejected_with_file_line_host_and_variable() {
     for (text, expected) in [
         (
             "all:\n  hosts:\n    s0:\n      port: 1\n      cell: '{{ rack }}'\n",
@@ -138,7 +138,7 @@
     }
 }
 
-/// Each alias names the one before nine times.
+/// Each anchored list contains nine aliases of the previous one, so the expanded size grows exponentially.
 fn alias_bomb() -> String {
     let mut text = String::from("a0: &a0 {x: 1}\n");
     for level in 1..40 {
@@ -148,7 +148,7 @@
     text
 }
 
-/// Each map merges the one before.
+/// Each map merges the previous one, so the expanded size grows quadratically.
 fn merge_chain() -> String {
     let mut text = String::from("x-0: &m0 {k0: 1}\n");
     for level in 1..4000 {
@@ -166,7 +166,7 @@
     text
 }
 
-/// Many groups with the same range of hosts.
+/// Many groups that list the same range of hosts.
 fn repeated_ranges() -> String {
     let mut text = String::from("x-h: &h {'s[0:4000]': }\n");
     for group in 0..3000 {
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn inventories_that_expand_beyond_the_bounds_are_rejected_soon() {
+fn inventories_that_expand_beyond_the_bounds_are_rejected_in_bounded_time() {
     let options = Options { bounds: Bounds { hosts: 5000, ..Bounds::default() }, ..Options::default() };
     for (case, text) in [
         ("aliases", alias_bomb()),
--- a/tests/formats/csv.rs
+++ b/tests/formats/csv.rs
@@ -5,12 +5,12 @@
 use std::collections::BTreeMap;
 
 #[test]
-fn delimiters_comments_quotes_and_line_ends_of_common_tools_are_read() {
+fn common_delimiters_comments_quotes_and_line_endings_are_accepted() {
     let expected = ["s0 10.0.0.1:80 0", "s1 10.0.0.2:81 2 draining"];
     for text in [
         "name,host,port,cell,state\ns0,10.0.0.1,80,0,\ns1,10.0.0.2,81,2,draining\n",
         "\u{feff}name;host;port;cell;state\r\ns0;10.0.0.1;80;0;\r\ns1;10.0.0.2;81;2;draining\r\n",
-        "# by hand\nName\tHost\tPort\tCell\tState\tnotes\ns0\t10.0.0.1\t80\t0\t\t\ns1\t10.0.0.2\t81\t2\tdraining\tx\n",
+        "# edited manually\nName\tHost\tPort\tCell\tState\tnotes\ns0\t10.0.0.1\t80\t0\t\t\ns1\t10.0.0.2\t81\t2\tdraining\tx\n",
         "name|address|cell|state|notes\ns0|10.0.0.1:80|0||\"two\nlines, | and more\"\n#s9|x|y|z|\ns1|10.0.0.2:81|2|draining|\n",
     ] {
         assert_eq!(summaries(&read_one("n.csv", text).expect(text)), expected, "{text}");
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn columns_and_values_of_an_export_are_mapped() {
+fn columns_and_values_of_a_tool_export_are_mapped() {
     let text = "Name,Status,Primary IPv4,Site,Rack\ns0,Active,10.0.0.1/24,tpe,1\ns1,decommissioning,10.0.0.2/24,tpe,0\ns2,Planned,10.0.0.3/24,tpe,0\n";
     let fields = [
         (Field::Address, "Primary IPv4"),
@@ -45,7 +45,7 @@
     assert_eq!(&*endpoints(&list)[0].zone, "tpe");
     let state = list.get("s1").and_then(|record| record.state.as_ref()).expect("a state");
     assert_eq!(state.location.line, 3);
-    // Without the mapping, the header's own names are shown.
+    // Without the mapping and its default for the port, the port is missing.
     assert!(
         diagnostics(read_one("export.csv", text))
             .iter()
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn every_problem_is_reported_at_once_with_its_line() {
+fn all_problems_are_reported_at_once_with_their_lines() {
     let text = "name,host,port,cell,weight\ns0,h,0,0,\ns1,h,1,99999,\ns2,h,2,1,-1\ns2,h,3,1,\ns3,h,4\n,h,5,1,\ns4,h,80,1,\ns5,h,80,2,\n";
     let found = diagnostics(read_one("n.csv", text));
     for expected in [
@@ -74,10 +74,10 @@
     ];
     assert_eq!(found.len(), expected.len(), "{found:#?}");
     for (found, expected) in found.iter().zip(expected) {
-        assert!(found.starts_with(expected), "{found}, not {expected}");
+        assert!(found.starts_with(expected), "{found} does not start with {expected}");
     }
     for text in ["", "name,host,port,cell\n", "# nothing\n"] {
-        assert!(!diagnostics(read_one("n.csv", text)).is_empty(), "{text:?} is not an empty list");
+        assert!(!diagnostics(read_one("n.csv", text)).is_empty(), "{text:?} must be rejected");
     }
     assert!(diagnostics(read_one("n.csv", "name,name,port,cell\na,b,1,0\n"))[0].contains("twice"));
 }
--- a/tests/formats/main.rs
+++ b/tests/formats/main.rs
@@ -1,5 +1,5 @@
-//! File formats of inventories and of discovery's JSON: what is read, what is rejected with its line, and what a truncated
-//! file can do.
+//! Inventory file formats and the scanner for discovery's JSON: which input is accepted, which is rejected and with
+//! which diagnostics, and the effects of truncated files.
 
 mod ansible;
 mod csv;
--- a/tests/formats/round_trip.rs
+++ b/tests/formats/round_trip.rs
@@ -1,4 +1,4 @@
-//! Properties of generated lists and of files changed at random.
+//! Property tests: printed lists read back unchanged, and mutated files are handled without a panic.
 
 use crate::ansible::GROUPS;
 use crate::support::*;
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// What is generated of one leaf server beside its name.
+/// Generated properties of a leaf server other than its name.
 #[derive(Clone, Debug)]
 struct Row {
     cell: u32,
@@ -61,12 +61,12 @@
     Insert(u8),
     Replace(u8),
     Remove,
-    /// All bytes from the index on are doubled.
+    /// Appends a copy of all bytes from the index on.
     Repeat,
 }
 
 impl Mutation {
-    /// A replacement or removal at the end is a repetition of nothing.
+    /// Replacing or removing at the end of the bytes has no effect.
     fn apply(self, bytes: &mut Vec<u8>, index: usize) {
         match self {
             Mutation::Insert(byte) => bytes.insert(index, byte),
@@ -90,22 +90,22 @@
     #![proptest_config(ProptestConfig { cases: 300, ..ProptestConfig::default() })]
 
     #[test]
-    fn a_printed_list_reads_back_equal_in_each_format(list in endpoint_lists()) {
+    fn printed_list_reads_back_equal_in_each_format(list in endpoint_lists()) {
         for (format, file) in FORMATS {
             let text = print(&list, format);
-            let again = read_one(file, &text).map_err(|e| TestCaseError::fail(format!("{e}\n{text}")))?;
-            prop_assert_eq!(&endpoints(&again), &list, "{}", text);
+            let reread = read_one(file, &text).map_err(|e| TestCaseError::fail(format!("{e}\n{text}")))?;
+            prop_assert_eq!(&endpoints(&reread), &list, "{}", text);
         }
     }
 
     #[test]
-    fn reading_a_mutated_file_neither_panics_nor_takes_long(
+    fn mutated_file_is_read_without_panic_in_bounded_time(
         yaml in any::<bool>(),
-        changes in prop::collection::vec((any::<prop::sample::Index>(), mutations()), 1..12),
+        mutations_at in prop::collection::vec((any::<prop::sample::Index>(), mutations()), 1..12),
     ) {
         let (name, text) = if yaml { ("n.yaml", GROUPS) } else { ("n.csv", CSV) };
         let mut bytes = text.as_bytes().to_vec();
-        for (index, mutation) in changes {
+        for (index, mutation) in mutations_at {
             let index = index.index(bytes.len().max(1)).min(bytes.len());
             mutation.apply(&mut bytes, index);
         }
--- a/tests/formats/support.rs
+++ b/tests/formats/support.rs
@@ -1,10 +1,10 @@
-//! Reading inventories from text, and what the tests compare of them.
+//! Helpers that read inventories from strings and summarize the results for comparison.
 
 use sailmux::diagnostic::Diagnostics;
 use sailmux::endpoints::{Endpoint, EndpointState, FileList};
 use sailmux::inventory::*;
 
-/// A bundle of files by name and text; names under `group_vars/` and `host_vars/` are Ansible's variable files.
+/// A bundle of files given by name and content; files under `group_vars/` and `host_vars/` are Ansible variable files.
 pub fn bundle(files: &[(&str, &str)]) -> Bundle {
     let mut bundle = Bundle { files: Vec::new() };
     for (name, text) in files {
@@ -39,7 +39,7 @@
     read_with(name, text, &Options::default())
 }
 
-/// Name, address, cell and, if draining, state of each leaf server.
+/// Name, address and cell of each leaf server, followed by `draining` if it is draining.
 pub fn summaries(list: &FileList) -> Vec<String> {
     endpoints(list).iter().map(summary).collect()
 }
@@ -49,14 +49,14 @@
     format!("{} {} {}{state}", server.name, server.address, server.cell)
 }
 
-/// Names of the leaf servers that a list drains, in its order.
+/// Names of the draining leaf servers, in the order of the list.
 pub fn draining_names(list: &FileList) -> Vec<String> {
     let draining = list.records.iter().filter(|record| record.is_draining());
     draining.map(|record| record.name.to_string()).collect()
 }
 
-/// The diagnostics of a list that must be rejected.
+/// The diagnostics of an inventory that must be rejected.
 pub fn diagnostics(result: Result<FileList, Diagnostics>) -> Vec<String> {
-    let diagnostics = result.expect_err("the list is rejected");
+    let diagnostics = result.expect_err("the inventory must be rejected");
     diagnostics.0.iter().map(ToString::to_string).collect()
 }
--- a/tests/formats/truncation.rs
+++ b/tests/formats/truncation.rs
@@ -1,4 +1,4 @@
-//! Files of which only a part is there.
+//! Truncated inventory files.
 
 use crate::support::*;
 use sailmux::endpoints::{Endpoint, EndpointRegistry, FileList, GuardSettings, Input, Layout};
@@ -8,20 +8,20 @@
 const MARKED: &str = "name,host,port,cell\ns0,h,1,0\ns1,h,2,1\n# end\n";
 
 #[test]
-fn with_an_end_marker_no_prefix_without_it_is_read() {
+fn prefix_without_the_required_end_marker_is_rejected() {
     let options = Options { end_marker: Some("# end".into()), ..Options::default() };
     assert!(read_with("n.csv", MARKED, &options).is_ok());
-    for cut in 0..MARKED.len() - 1 {
-        let is_read = read_with("n.csv", &MARKED[..cut], &options).is_ok();
-        assert_eq!(is_read, MARKED[..cut].ends_with("# end"), "cut at {cut}");
+    for length in 0..MARKED.len() - 1 {
+        let is_accepted = read_with("n.csv", &MARKED[..length], &options).is_ok();
+        assert_eq!(is_accepted, MARKED[..length].ends_with("# end"), "prefix of {length} bytes");
     }
 }
 
 #[test]
-fn with_a_checksum_a_file_that_lacks_it_or_differs_is_rejected() {
+fn file_with_missing_or_different_checksum_is_rejected() {
     let options = Options { checksum: true, ..Options::default() };
     let mut bundle = bundle(&[("n.csv", MARKED)]);
-    assert!(read(&bundle, &options).is_err(), "there is no checksum");
+    assert!(read(&bundle, &options).is_err(), "the checksum is missing");
     bundle.files[0].checksum = Some("d1f4  n.csv\n".into());
     let found = diagnostics(read(&bundle, &options));
     let after_is = found[0].split("is ").nth(1).expect("the file's checksum");
@@ -66,7 +66,7 @@
     endpoints
 }
 
-/// A registry that had `old` and was then given `list`.
+/// A registry that starts with `old` and then receives `list`.
 fn registry_after(old: &FileList, list: &FileList) -> EndpointRegistry {
     let mut registry = EndpointRegistry::new(Layout { cells: 3, width: 1 }, GuardSettings::default());
     let mut events = Vec::new();
@@ -76,25 +76,26 @@
     registry
 }
 
-/// How often each happened to the prefixes of a file.
+/// Number of prefixes of a file by outcome.
 #[derive(Default)]
 struct PrefixCounts {
     rejected: u32,
     held_back: u32,
-    /// Applied, and neither the old nor the new list.
+    /// Applied although they are neither the old nor the new list.
     applied_shorter: u32,
-    /// Of these, those that end within a line.
+    /// Those of `applied_shorter` that end within a line.
     applied_within_line: u32,
 }
 
-/// Reads every prefix of the new file over the old one. What takes effect is the old list, the new one, or a list that is
-/// complete by itself, which no guard can tell from a true one. Those are counted.
+/// Applies every prefix of the new file to a registry with the old list. The effective list must be the old list, the
+/// new list, or a shorter list that is valid in itself, which no guard can distinguish from an intended one. Shorter
+/// lists are counted.
 fn read_all_prefixes(name: &str, text: &str) -> PrefixCounts {
     let old = read_one(name, &without_drains(text)).expect("the old list");
     let new = read_one(name, text).expect("the new list");
     let mut counts = PrefixCounts::default();
-    for cut in 0..=text.len() {
-        let prefix = &text[..cut];
+    for length in 0..=text.len() {
+        let prefix = &text[..length];
         let Ok(list) = read_one(name, prefix) else {
             counts.rejected += 1;
             continue;
@@ -103,7 +104,7 @@
         let effective: Vec<Endpoint> = registry.endpoints().values().map(|e| e.endpoint.clone()).collect();
         if registry.held_back(0).is_some() {
             counts.held_back += 1;
-            assert_only_drains_applied(&effective, &old, &new, &format!("{name} cut at {cut}"));
+            assert_only_drains_applied(&effective, &old, &new, &format!("{name} prefix of {length} bytes"));
         } else if effective != sorted_endpoints(&new) && effective != sorted_endpoints(&old) {
             counts.applied_shorter += 1;
             counts.applied_within_line += u32::from(!prefix.ends_with('\n'));
@@ -113,18 +114,19 @@
     counts
 }
 
-/// Nothing but drains that the new list has may have taken effect over the old one.
+/// Checks that the effective list differs from the old list only by drains of the new list.
 fn assert_only_drains_applied(effective: &[Endpoint], old: &FileList, new: &FileList, case: &str) {
     let drains = draining_names(new);
-    for (now, before) in effective.iter().zip(sorted_endpoints(old)) {
-        let same_but_state = Endpoint { state: before.state, ..now.clone() } == before;
-        let state_allowed = now.state == before.state || drains.iter().any(|name| **name == *now.name);
-        assert!(same_but_state && state_allowed, "{case}: {now:?}");
+    for (current, before) in effective.iter().zip(sorted_endpoints(old)) {
+        let same_but_state = Endpoint { state: before.state, ..current.clone() } == before;
+        let state_allowed =
+            current.state == before.state || drains.iter().any(|name| **name == *current.name);
+        assert!(same_but_state && state_allowed, "{case}: {current:?}");
     }
 }
 
 #[test]
-fn no_prefix_takes_effect_but_lists_that_are_complete_by_themselves() {
+fn only_prefixes_that_are_valid_lists_are_applied() {
     for (name, text) in [("n.csv", csv_of_hosts()), ("n.yaml", yaml_of_hosts())] {
         let counts = read_all_prefixes(name, &text);
         println!(
@@ -134,16 +136,16 @@
             counts.held_back,
             counts.applied_shorter
         );
-        assert_eq!(counts.applied_within_line, 0, "{name}: a list that ends within a line was applied");
+        assert_eq!(counts.applied_within_line, 0, "{name}: a list truncated within a line was applied");
         assert!(counts.applied_shorter <= 40, "{name}: {} shorter lists applied", counts.applied_shorter);
     }
 }
 
 #[test]
-fn a_name_truncated_in_the_last_line_drains_no_server() {
+fn truncated_name_in_the_last_line_drains_no_server() {
     let text = "state,host,port,cell,name\n,h,1,0,s1\ndraining,h,2,0,s2\ndraining,h,12,0,s12\n";
     let drains = |text: &str| draining_names(&read_one("n.csv", text).expect("a list"));
     assert_eq!(drains(text), ["s12", "s2"]);
     let truncated = text.replace(",h,1,0,s1\n", "").replace("s12\n", "s1");
-    assert_eq!(drains(&truncated), ["s2"], "whether s1 or s12 was meant is not known");
+    assert_eq!(drains(&truncated), ["s2"], "the truncated name may denote s1 or s12");
 }
--- a/tests/inventory.rs
+++ b/tests/inventory.rs
@@ -1,16 +1,16 @@
-//! An inventory in YAML or CSV instead of discovery.
+//! An aggregator that reads its endpoints from an inventory file in YAML or CSV instead of discovery.
 
 mod common;
 
 use common::process::*;
 use std::fs;
 
-const FILES: [&str; 2] = ["nodes.yaml", "nodes.csv"];
+const FILE_NAMES: [&str; 2] = ["nodes.yaml", "nodes.csv"];
 
-fn inventory_text(file: &str, server: &LeafServer) -> String {
+fn inventory_content(file: &str, server: &LeafServer) -> String {
     let port = server.address.port();
     if file.ends_with("csv") {
-        return format!("name,host,port,cell,zone\n# the only one\ns0,127.0.0.1,{port},0,z\n");
+        return format!("name,host,port,cell,zone\n# the only server\ns0,127.0.0.1,{port},0,z\n");
     }
     format!(
         "all:\n  vars: {{zone: z}}\n  children:\n    index:\n      vars: {{cell: 0}}\n      hosts:\n        \
@@ -19,12 +19,12 @@
 }
 
 #[test]
-fn changed_list_is_applied_and_invalid_one_changes_nothing() {
-    for file in FILES {
+fn changed_list_is_applied_and_invalid_list_is_ignored() {
+    for file in FILE_NAMES {
         let first = LeafServer::new();
         let second = LeafServer::new();
         let path = scratch_dir("inventory").join(file);
-        fs::write(&path, inventory_text(file, &first)).expect("written");
+        fs::write(&path, inventory_content(file, &first)).expect("write succeeds");
         let operator = Some(format!("inventory:\n  file: {}\n", path.display()));
         let mut aggregator = Setup { operator, ..Setup::new(&[]) }.start();
         let mut client = Client::connect(aggregator.address);
@@ -37,12 +37,12 @@
             link
         };
         let mut link = query_through("q1", &first);
-        // The leaf server has moved: its old connection is closed, and the next part goes to the new address.
-        fs::write(&path, inventory_text(file, &second)).expect("written");
+        // With a changed address, the old connection is closed and the next part goes to the new address.
+        fs::write(&path, inventory_content(file, &second)).expect("write succeeds");
         assert_eq!(link.next_frame(), None);
         drop(query_through("q2", &second));
-        let bad = inventory_text(file, &first).replace("cell: 0", "cell: no").replace(",0,z", ",no,z");
-        fs::write(&path, bad).expect("written");
+        let invalid = inventory_content(file, &first).replace("cell: 0", "cell: no").replace(",0,z", ",no,z");
+        fs::write(&path, invalid).expect("write succeeds");
         assert!(aggregator.wait_for_log("s0.cell").contains("the previous list stays in force"), "{file}");
         query_through("q3", &second);
         assert_eq!(aggregator.counters()["lists_taken"], 2);
@@ -50,23 +50,23 @@
 }
 
 #[test]
-fn the_problem_of_a_list_rejected_soon_after_another_is_reported() {
-    // Guards against a rejection that the log never shows because another one came less than a second before.
+fn rejection_within_a_second_of_another_is_logged() {
+    // Guards against a rejection that is never logged because another one was logged less than a second before.
     let server = LeafServer::new();
     let path = scratch_dir("inventory").join("nodes.yaml");
-    let good = inventory_text("nodes.yaml", &server);
-    fs::write(&path, &good).expect("written");
+    let valid = inventory_content("nodes.yaml", &server);
+    fs::write(&path, &valid).expect("write succeeds");
     let operator = Some(format!("inventory:\n  file: {}\n", path.display()));
     let mut aggregator = Setup { operator, ..Setup::new(&[]) }.start();
-    // What a reader finds between a writer's truncation and its write.
-    fs::write(&path, "").expect("written");
+    // An empty file is what a reader sees between the truncation and the write of a writer.
+    fs::write(&path, "").expect("write succeeds");
     aggregator.wait_for_log("contains no leaf servers");
-    fs::write(&path, good.replace("cell: 0", "cell: no")).expect("written");
+    fs::write(&path, valid.replace("cell: 0", "cell: no")).expect("write succeeds");
     assert!(aggregator.wait_for_log("s0.cell").contains("the previous list stays in force"));
 }
 
 #[test]
-fn invalid_inventory_prevents_the_start_and_is_named_with_its_field() {
+fn invalid_inventory_fails_startup_and_reports_file_and_field() {
     use std::io::Read;
     for (file, text, field) in [
         ("n.yaml", "all: {hosts: {s0: {cell: 0}}}", "s0.port"),
@@ -75,12 +75,12 @@
         ("n.csv", "name,port,cell\ns0,1,0\ns0,1,0\n", "n.csv:3: name"),
     ] {
         let path = scratch_dir("inventory").join(file);
-        fs::write(&path, text).expect("written");
+        fs::write(&path, text).expect("write succeeds");
         let operator = format!("inventory:\n  file: {}\n", path.display());
         let mut child = spawn(&Setup::new(&[]).config(), Some(&operator));
         let mut stderr = String::new();
-        child.stderr.take().expect("piped").read_to_string(&mut stderr).expect("text");
-        assert!(!child.wait().expect("it ends").success());
+        child.stderr.take().expect("stderr is piped").read_to_string(&mut stderr).expect("stderr is UTF-8");
+        assert!(!child.wait().expect("process exits").success());
         assert!(stderr.contains(file) && stderr.contains(field), "{field}: {stderr}");
     }
 }
