--- a/src/inventory/ansible/hosts.rs
+++ b/src/inventory/ansible/hosts.rs
@@ -14,8 +14,8 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Maximum number of groups that list a host, on average. It bounds inventories in which many groups list the same
-/// range of hosts.
+/// Maximum number of entries per host, on average over the maximum number of hosts. It bounds inventories in which many
+/// groups list the same range of hosts.
 const MAX_ENTRIES_PER_HOST: usize = 16;
 /// Maximum number of sets of groups whose order of precedence is cached.
 const MAX_CACHED_ORDERS: usize = 256;
--- a/src/inventory/files/load.rs
+++ b/src/inventory/files/load.rs
@@ -61,7 +61,7 @@
     }
 }
 
-/// Reads all files of an inventory.
+/// Loads an inventory file or the inventory files of a directory, with `group_vars` and `host_vars`.
 ///
 /// # Errors
 /// A file cannot be read, or the inventory exceeds one of its bounds.
