--- a/src/endpoints/file_polling.rs
+++ b/src/endpoints/file_polling.rs
@@ -143,7 +143,7 @@
     }
 
     /// The digest of a found confirmation, returned once: when the list with this digest has been submitted, or when it
-    /// was not submitted within [`CONFIRMATION_TIMEOUT`].
+    /// was not submitted within `CONFIRMATION_TIMEOUT`.
     pub fn take_due_confirmation(&mut self, now: Millis) -> Option<Arc<str>> {
         let submitted = &self.submitted_digest;
         let due = self.pending_confirmation.take_if(|pending| {
