--- a/tests/soak/checks.rs
+++ b/tests/soak/checks.rs
@@ -1,4 +1,4 @@
-//! The rules, checked on what clients and leaf servers have seen.
+//! Checks of the rules on what clients and leaf servers have observed.
 
 use super::client::LATE_ANSWER;
 use super::observations::{Attempt, Observations, Request, RequestEnd};
@@ -6,34 +6,35 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The pages' allowance on sockets.
+/// Delay by sockets that the rules tolerate.
 const SOCKET_SLACK: Duration = Duration::from_millis(50);
-/// Nothing may begin this long after its client has left.
-const AFTER_CLIENT_LEFT: Duration = Duration::from_millis(100);
-/// How long after it is told something new may still go to a draining leaf server: the pages' default.
+/// Time after a client's disconnect from which no attempt of its query may start.
+const MAX_DELAY_AFTER_DISCONNECT: Duration = Duration::from_millis(100);
+/// Time after a drain is published in which a leaf server may still receive parts: the default grace period.
 const DRAIN_GRACE: Duration = Duration::from_secs(1);
 const MAX_ATTEMPTS: usize = 3;
 
 type Attempts = BTreeMap<String, Vec<Attempt>>;
 
-/// All breaks of a rule in one run.
-pub fn broken_rules(plan: &Plan, observations: &Observations) -> Vec<String> {
-    let requests = observations.requests.lock().expect("whole");
-    let attempts = observations.attempts.lock().expect("whole");
-    let slack = SOCKET_SLACK + *observations.longest_stall.lock().expect("whole") + pause_slack(plan);
-    let mut breaks: Vec<String> = observations.refused.lock().expect("whole").clone();
+/// All violations of the rules in one run.
+pub fn rule_violations(plan: &Plan, observations: &Observations) -> Vec<String> {
+    let requests = observations.requests.lock().expect("lock not poisoned");
+    let attempts = observations.attempts.lock().expect("lock not poisoned");
+    let slack =
+        SOCKET_SLACK + *observations.longest_stall.lock().expect("lock not poisoned") + pause_slack(plan);
+    let mut violations: Vec<String> = observations.refused.lock().expect("lock not poisoned").clone();
     for request in requests.iter() {
-        check_end(plan, request, &attempts, slack, &mut breaks);
-        check_nothing_after_leaving(request, &attempts, slack, &mut breaks);
+        check_end(plan, request, &attempts, slack, &mut violations);
+        check_no_attempts_after_disconnect(request, &attempts, slack, &mut violations);
     }
-    for (part, of_part) in attempts.iter() {
-        check_repeats(plan, part, of_part, slack, &mut breaks);
+    for (part, part_attempts) in attempts.iter() {
+        check_repeats(plan, part, part_attempts, slack, &mut violations);
     }
-    check_drains(observations, &attempts, slack, &mut breaks);
-    breaks
+    check_drains(observations, &attempts, slack, &mut violations);
+    violations
 }
 
-/// An aggregator that stands still is late by that.
+/// Total time of the pauses: a paused aggregator is late by that much.
 fn pause_slack(plan: &Plan) -> Duration {
     let pauses = plan.steps.iter().filter(|(_, step)| matches!(step, super::plan::Step::Pause { .. }));
     super::PAUSE * pauses.count() as u32
@@ -43,68 +44,81 @@
     request.shards.iter().any(|shard| attempts.contains_key(&format!("{}.{shard}", request.id)))
 }
 
-/// Each request has one final answer in its time, or its connection was closed unread between requests.
-fn check_end(plan: &Plan, request: &Request, attempts: &Attempts, slack: Duration, breaks: &mut Vec<String>) {
+/// Each request gets one final answer in time, or its connection was closed between requests before it was read.
+fn check_end(
+    plan: &Plan,
+    request: &Request,
+    attempts: &Attempts,
+    slack: Duration,
+    violations: &mut Vec<String>,
+) {
     let took = request.ended_at - request.sent_at;
     match &request.end {
         RequestEnd::Answered { status, body } => {
             if took > plan.deadline + LATE_ANSWER + slack {
-                breaks.push(format!("lost: answered after {took:?}: {request:?}"));
+                violations.push(format!("lost: answered after {took:?}: {request:?}"));
             }
             let is_final = matches!(status, 200 | 429 | 500..);
             if !is_final {
-                breaks.push(format!("lost: status {status} for a good request: {request:?}"));
+                violations.push(format!("lost: status {status} for a valid request: {request:?}"));
             }
             let mut parts = request.shards.iter().map(|shard| format!("value-of-{}.{shard}\"", request.id));
             if *status == 200 && !parts.all(|value| body.contains(&value)) {
-                breaks.push(format!("dishonest: a whole answer lacks a part: {request:?}"));
+                violations.push(format!("dishonest: a complete answer lacks a part: {request:?}"));
             }
         }
         RequestEnd::Closed => {
-            let may_close = request.reused_connection || plan.crowd > 0;
+            let may_close = request.reused_connection || plan.idle_connections > 0;
             if !may_close || is_forwarded(request, attempts) {
-                breaks.push(format!("lost: closed without an answer: {request:?}"));
+                violations.push(format!("lost: closed without an answer: {request:?}"));
             }
         }
-        RequestEnd::Truncated => breaks.push(format!("lost: half an answer: {request:?}")),
-        RequestEnd::Unanswered => breaks.push(format!("lost: never answered: {request:?}")),
-        RequestEnd::Left => {}
+        RequestEnd::Truncated => violations.push(format!("lost: truncated answer: {request:?}")),
+        RequestEnd::Unanswered => violations.push(format!("lost: never answered: {request:?}")),
+        RequestEnd::Disconnected => {}
     }
 }
 
-fn check_nothing_after_leaving(
+fn check_no_attempts_after_disconnect(
     request: &Request,
     attempts: &Attempts,
     slack: Duration,
-    breaks: &mut Vec<String>,
+    violations: &mut Vec<String>,
 ) {
-    if request.end != RequestEnd::Left {
+    if request.end != RequestEnd::Disconnected {
         return;
     }
     for shard in &request.shards {
-        let of_part = attempts.get(&format!("{}.{shard}", request.id));
-        for attempt in of_part.into_iter().flatten() {
+        let part_attempts = attempts.get(&format!("{}.{shard}", request.id));
+        for attempt in part_attempts.into_iter().flatten() {
             let late = attempt.arrived_at.saturating_duration_since(request.ended_at);
-            if late > AFTER_CLIENT_LEFT + slack {
-                breaks.push(format!("begun {late:?} after its client had left: {request:?}"));
+            if late > MAX_DELAY_AFTER_DISCONNECT + slack {
+                violations
+                    .push(format!("attempt started {late:?} after its client had disconnected: {request:?}"));
             }
         }
     }
 }
 
-/// Nothing runs more often than its class allows, and no second copy while one is out.
-fn check_repeats(plan: &Plan, part: &str, of_part: &[Attempt], slack: Duration, breaks: &mut Vec<String>) {
-    if of_part.len() > MAX_ATTEMPTS {
-        breaks.push(format!("{} attempts of {part}", of_part.len()));
+/// A part is repeated only as its class allows, and never while another attempt is in flight.
+fn check_repeats(
+    plan: &Plan,
+    part: &str,
+    part_attempts: &[Attempt],
+    slack: Duration,
+    violations: &mut Vec<String>,
+) {
+    if part_attempts.len() > MAX_ATTEMPTS {
+        violations.push(format!("{} attempts of {part}", part_attempts.len()));
     }
-    for pair in of_part.windows(2) {
+    for pair in part_attempts.windows(2) {
         let [earlier, later] = pair else { continue };
         if earlier.ended_at.is_none_or(|ended_at| ended_at > later.arrived_at + slack) {
-            breaks.push(format!("second copy of {part}: {earlier:?}, {later:?}"));
+            violations.push(format!("concurrent attempts of {part}: {earlier:?}, {later:?}"));
         }
     }
-    let Some(first) = of_part.iter().find(|attempt| !attempt.rejected) else { return };
-    for later in of_part.iter().filter(|attempt| attempt.arrived_at > first.arrived_at) {
+    let Some(first) = part_attempts.iter().find(|attempt| !attempt.rejected) else { return };
+    for later in part_attempts.iter().filter(|attempt| attempt.arrived_at > first.arrived_at) {
         let age = later.arrived_at - first.arrived_at;
         let is_duplicate = match plan.effect {
             Effect::Retryable => false,
@@ -112,18 +126,25 @@
             Effect::Fragile => true,
         };
         if is_duplicate {
-            breaks.push(format!("duplicate: {part} again after {age:?}, effect {:?}", plan.effect));
+            violations.push(format!("duplicate: {part} repeated after {age:?}, effect {:?}", plan.effect));
         }
     }
 }
 
-fn check_drains(observations: &Observations, attempts: &Attempts, slack: Duration, breaks: &mut Vec<String>) {
-    for (leaf, told_at) in observations.drains.lock().expect("whole").iter() {
-        for (part, of_part) in attempts {
-            for attempt in of_part.iter().filter(|attempt| attempt.leaf == *leaf) {
-                let late = attempt.arrived_at.saturating_duration_since(*told_at);
+fn check_drains(
+    observations: &Observations,
+    attempts: &Attempts,
+    slack: Duration,
+    violations: &mut Vec<String>,
+) {
+    for (leaf, sent_at) in observations.drains.lock().expect("lock not poisoned").iter() {
+        for (part, part_attempts) in attempts {
+            for attempt in part_attempts.iter().filter(|attempt| attempt.leaf == *leaf) {
+                let late = attempt.arrived_at.saturating_duration_since(*sent_at);
                 if late > DRAIN_GRACE + slack {
-                    breaks.push(format!("drain: {part} to leaf server {leaf} {late:?} after it was told"));
+                    violations.push(format!(
+                        "drain: {part} to leaf server {leaf} {late:?} after its drain was published"
+                    ));
                 }
             }
         }
--- a/tests/soak/client.rs
+++ b/tests/soak/client.rs
@@ -1,20 +1,20 @@
-//! Clients that keep their connections and use them as long as they stay open.
+//! Clients that keep their connections open and reuse them.
 
 use super::common::process::query;
 use super::observations::{Observations, Request, RequestEnd};
-use super::plan::Draws;
+use super::plan::SeededRng;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// For how long after SIGTERM new connections come.
+/// Time after SIGTERM in which clients still open new connections.
 pub const NEW_CONNECTIONS_AFTER_SIGTERM: Duration = Duration::from_millis(400);
-/// A request that is answered this long after its deadline earns nothing; later it is lost.
+/// An answer up to this time after the deadline has no value; after it, the request counts as lost.
 pub const LATE_ANSWER: Duration = Duration::from_millis(500);
 
-/// An aggregator as clients know it.
+/// An aggregator that clients connect to.
 #[derive(Clone, Copy, Debug)]
 pub struct Target {
     pub address: SocketAddr,
@@ -22,28 +22,28 @@
 }
 
 impl Target {
-    fn takes_new_connections(&self) -> bool {
+    fn accepts_new_connections(&self) -> bool {
         self.terminated_at.is_none_or(|at| at.elapsed() < NEW_CONNECTIONS_AFTER_SIGTERM)
     }
 }
 
-/// One client.
+/// A client that sends one request at a time.
 pub struct SoakClient {
     pub number: usize,
-    pub draws: Draws,
+    pub rng: SeededRng,
     pub deadline: Duration,
     pub targets: Arc<Mutex<Vec<Target>>>,
     pub observations: Arc<Observations>,
 }
 
-/// An open connection.
+/// An open connection and the number of requests sent on it.
 struct Connection {
     stream: TcpStream,
     requests: u32,
 }
 
 impl SoakClient {
-    /// Sends one request after the other until it is told to end.
+    /// Sends requests one after another while `is_running` returns true.
     pub fn run(mut self, is_running: impl Fn() -> bool) {
         let mut connection = None;
         let mut count = 0;
@@ -57,14 +57,14 @@
             if matches!(end, RequestEnd::Answered { .. }) {
                 connection = Some(open);
             }
-            thread::sleep(self.draws.millis(1, 40));
+            thread::sleep(self.rng.millis(1, 40));
         }
     }
 
     fn connect(&mut self) -> Option<Connection> {
-        let targets = self.targets.lock().expect("whole").clone();
-        let target = targets[self.draws.below(targets.len() as u64) as usize];
-        if !target.takes_new_connections() {
+        let targets = self.targets.lock().expect("lock not poisoned").clone();
+        let target = targets[self.rng.below(targets.len() as u64) as usize];
+        if !target.accepts_new_connections() {
             return None;
         }
         let began_at = Instant::now();
@@ -72,29 +72,29 @@
             Ok(stream) => Some(Connection { stream, requests: 0 }),
             Err(error) => {
                 let since = self.observations.started_at.elapsed();
-                let problem = format!("{since:?}: connection to {target:?} begun at {began_at:?}: {error}");
-                self.observations.refused.lock().expect("whole").push(problem);
+                let problem = format!("{since:?}: connection to {target:?} started at {began_at:?}: {error}");
+                self.observations.refused.lock().expect("lock not poisoned").push(problem);
                 None
             }
         }
     }
 
-    /// Sends a request and waits for its end.
+    /// Sends a request, waits for its end and records it.
     fn request(&mut self, connection: &mut Connection, count: u32) -> RequestEnd {
         let id = format!("c{}-{count}", self.number);
-        let first = self.draws.below(3) as u32;
-        let shards: Vec<u32> = (0..=self.draws.below(3) as u32).map(|next| (first + next) % 3).collect();
+        let first = self.rng.below(3) as u32;
+        let shards: Vec<u32> = (0..=self.rng.below(3) as u32).map(|next| (first + next) % 3).collect();
         let text = query(&id, &format!("{}m", self.deadline.as_millis()), &shards);
-        let leaves_after = self.draws.one_in(12).then(|| self.draws.millis(1, 60));
-        let in_pieces = self.draws.one_in(10);
+        let disconnect_after = self.rng.one_in(12).then(|| self.rng.millis(1, 60));
+        let in_pieces = self.rng.one_in(10);
         let written = write(&mut connection.stream, text.as_bytes(), in_pieces);
         let sent_at = Instant::now();
-        let end = match (written, leaves_after) {
+        let end = match (written, disconnect_after) {
             (Err(_), _) => RequestEnd::Closed,
             (Ok(()), Some(time)) => {
                 thread::sleep(time);
                 let _ = connection.stream.shutdown(std::net::Shutdown::Both);
-                RequestEnd::Left
+                RequestEnd::Disconnected
             }
             (Ok(()), None) => read_answer(&mut connection.stream, sent_at + self.deadline + 4 * LATE_ANSWER),
         };
@@ -102,7 +102,7 @@
         connection.requests += 1;
         let request =
             Request { id, shards, sent_at, ended_at: Instant::now(), end: end.clone(), reused_connection };
-        self.observations.requests.lock().expect("whole").push(request);
+        self.observations.requests.lock().expect("lock not poisoned").push(request);
         end
     }
 }
@@ -118,11 +118,11 @@
     Ok(())
 }
 
-fn read_answer(stream: &mut TcpStream, give_up_at: Instant) -> RequestEnd {
+fn read_answer(stream: &mut TcpStream, timeout_at: Instant) -> RequestEnd {
     let mut answer = Vec::new();
     let mut chunk = [0; 4096];
     loop {
-        let time_left = give_up_at.saturating_duration_since(Instant::now()).max(Duration::from_millis(1));
+        let time_left = timeout_at.saturating_duration_since(Instant::now()).max(Duration::from_millis(1));
         stream.set_read_timeout(Some(time_left)).expect("set");
         match stream.read(&mut chunk) {
             Ok(count) if count > 0 => answer.extend_from_slice(&chunk[..count]),
@@ -138,7 +138,7 @@
     }
 }
 
-/// The answer, once it is whole.
+/// The answer, once it is complete.
 fn parse_answer(answer: &[u8]) -> Option<RequestEnd> {
     let text = String::from_utf8_lossy(answer);
     let (head, body) = text.split_once("\r\n\r\n")?;
--- a/tests/soak/discovery.rs
+++ b/tests/soak/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: a watch for each aggregator, with pushed lists and lines that say that nothing changed; it can fall silent.
+//! Fake discovery service: a watch for each aggregator, with pushed lists and keep-alive lines; it can stop responding.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -10,24 +10,24 @@
 
 #[derive(Default)]
 struct State {
-    /// The whole list, sent first on each watch.
+    /// The complete list, sent first on each watch.
     list: String,
     watches: Vec<TcpStream>,
-    silent_until: Option<Instant>,
+    unresponsive_until: Option<Instant>,
 }
 
 impl State {
-    fn is_silent(&self) -> bool {
-        self.silent_until.is_some_and(|until| Instant::now() < until)
+    fn is_unresponsive(&self) -> bool {
+        self.unresponsive_until.is_some_and(|until| Instant::now() < until)
     }
 
-    /// Sends a line on all watches; those that have ended are forgotten.
+    /// Sends a line on all watches and removes those that have ended.
     fn send(&mut self, line: &str) {
         self.watches.retain_mut(|watch| write_line(watch, line));
     }
 }
 
-/// A stand-in of discovery.
+/// A fake discovery service.
 #[derive(Clone)]
 pub struct SoakDiscovery {
     pub address: SocketAddr,
@@ -44,19 +44,19 @@
         let address = listener.local_addr().expect("bound");
         let state = Arc::new(Mutex::new(State { list, ..State::default() }));
         let discovery = SoakDiscovery { address, state };
-        let accepting = discovery.clone();
+        let acceptor = discovery.clone();
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                let accepting = accepting.clone();
-                thread::spawn(move || accepting.open_watch(stream));
+                let acceptor = acceptor.clone();
+                thread::spawn(move || acceptor.open_watch(stream));
             }
         });
-        let beating = discovery.clone();
+        let keep_alive = discovery.clone();
         thread::spawn(move || {
             loop {
                 thread::sleep(KEEP_ALIVE_INTERVAL);
-                let mut state = beating.state.lock().expect("whole");
-                if !state.is_silent() {
+                let mut state = keep_alive.state.lock().expect("lock not poisoned");
+                if !state.is_unresponsive() {
                     state.send("");
                 }
             }
@@ -73,9 +73,9 @@
             }
             request.push(byte[0]);
         }
-        let mut state = self.state.lock().expect("whole");
-        if state.is_silent() {
-            // Kept open, without a word.
+        let mut state = self.state.lock().expect("lock not poisoned");
+        if state.is_unresponsive() {
+            // The connection stays open, without a response.
             state.watches.push(stream);
             return;
         }
@@ -86,28 +86,28 @@
         }
     }
 
-    /// Says nothing for a while, on open watches and on new ones, and ends those that it left without a word.
-    pub fn fall_silent(&self, length: Duration) {
-        let mut state = self.state.lock().expect("whole");
-        state.silent_until = Some(Instant::now() + length);
-        let silent = self.state.clone();
+    /// Sends nothing for `length`, on open and on new watches, and then closes all watches.
+    pub fn stop_responding(&self, length: Duration) {
+        let mut state = self.state.lock().expect("lock not poisoned");
+        state.unresponsive_until = Some(Instant::now() + length);
+        let state = self.state.clone();
         thread::spawn(move || {
             thread::sleep(length);
-            silent.lock().expect("whole").watches.clear();
+            state.lock().expect("lock not poisoned").watches.clear();
         });
     }
 
-    /// Tells a new list; when it counts as told to all that watch.
-    pub fn tell(&self, list: String) -> Instant {
-        const TOLD_AT_THE_LATEST: Duration = Duration::from_secs(6);
-        let mut state = self.state.lock().expect("whole");
+    /// Publishes a new list and returns the time by which all watching aggregators should have received it.
+    pub fn publish(&self, list: String) -> Instant {
+        const MAX_RECONNECT_TIME: Duration = Duration::from_secs(6);
+        let mut state = self.state.lock().expect("lock not poisoned");
         state.list.clone_from(&list);
         let now = Instant::now();
-        if let Some(until) = state.silent_until.filter(|until| now < *until) {
-            return until + TOLD_AT_THE_LATEST;
+        if let Some(until) = state.unresponsive_until.filter(|until| now < *until) {
+            return until + MAX_RECONNECT_TIME;
         }
         state.send(&list);
-        // A process that has just lost its watch, or starts, hears of it with its next call.
+        // A process that has just lost its watch, or is starting, receives the list with its next call.
         now + Duration::from_millis(600)
     }
 }
--- a/tests/soak/leaf.rs
+++ b/tests/soak/leaf.rs
@@ -1,4 +1,4 @@
-//! A leaf server that answers parts after a while, and does wrong what it is told to.
+//! A fake leaf server that answers each part after a delay and injects faults on request.
 
 use super::common::process::LeafConnection;
 use super::observations::Observations;
@@ -9,10 +9,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long a part takes.
-const WORK: Duration = Duration::from_millis(15);
+/// Processing time of a part.
+const PART_PROCESSING_TIME: Duration = Duration::from_millis(15);
 
-/// A leaf server.
+/// A fake leaf server.
 #[derive(Clone)]
 pub struct SoakLeaf {
     number: usize,
@@ -22,7 +22,7 @@
     observations: Arc<Observations>,
 }
 
-/// The parts of one connection that have no end yet: the index of the attempt by the part's id.
+/// The parts in flight on one connection: the index of the attempt by the part's id.
 type OpenParts = Arc<Mutex<BTreeMap<String, usize>>>;
 
 impl SoakLeaf {
@@ -38,7 +38,11 @@
         let server = leaf.clone();
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                server.connections.lock().expect("whole").push(stream.try_clone().expect("a handle"));
+                server
+                    .connections
+                    .lock()
+                    .expect("lock not poisoned")
+                    .push(stream.try_clone().expect("a handle"));
                 let server = server.clone();
                 thread::spawn(move || server.serve(stream));
             }
@@ -46,18 +50,18 @@
         leaf
     }
 
-    /// Does something wrong for a while.
-    pub fn misbehave(&self, fault: LeafFault, length: Duration) {
-        *self.fault.lock().expect("whole") = Some((fault, Instant::now() + length));
+    /// Injects a fault for `length`.
+    pub fn inject_fault(&self, fault: LeafFault, length: Duration) {
+        *self.fault.lock().expect("lock not poisoned") = Some((fault, Instant::now() + length));
         if fault == LeafFault::ResetsConnections {
-            for stream in self.connections.lock().expect("whole").drain(..) {
+            for stream in self.connections.lock().expect("lock not poisoned").drain(..) {
                 let _ = stream.shutdown(std::net::Shutdown::Both);
             }
         }
     }
 
     fn current_fault(&self) -> Option<LeafFault> {
-        let fault = *self.fault.lock().expect("whole");
+        let fault = *self.fault.lock().expect("lock not poisoned");
         fault.filter(|(_, until)| Instant::now() < *until).map(|(fault, _)| fault)
     }
 
@@ -68,47 +72,47 @@
         while let Some((letter, rest)) = reader.next_frame() {
             let sent = match letter {
                 'm' => {
-                    self.take_part(&rest, &writer, &open_parts);
+                    self.receive_part(&rest, &writer, &open_parts);
                     Ok(())
                 }
                 'n' => {
-                    self.end(&rest, &open_parts, false);
+                    self.end_part(&rest, &open_parts, false);
                     Ok(())
                 }
-                'o' => writer.lock().expect("whole").try_send_frame('o', "good"),
-                'p' => writer.lock().expect("whole").try_send_frame('p', "-"),
-                other => panic!("no frame of an aggregator: {other}"),
+                'o' => writer.lock().expect("lock not poisoned").try_send_frame('o', "good"),
+                'p' => writer.lock().expect("lock not poisoned").try_send_frame('p', "-"),
+                other => panic!("unexpected frame from an aggregator: {other}"),
             };
             if sent.is_err() {
                 break;
             }
         }
-        let parts: Vec<String> = open_parts.lock().expect("whole").keys().cloned().collect();
+        let parts: Vec<String> = open_parts.lock().expect("lock not poisoned").keys().cloned().collect();
         for part in parts {
-            self.end(&part, &open_parts, false);
+            self.end_part(&part, &open_parts, false);
         }
     }
 
-    fn take_part(&self, rest: &str, writer: &Arc<Mutex<LeafConnection>>, open_parts: &OpenParts) {
+    fn receive_part(&self, rest: &str, writer: &Arc<Mutex<LeafConnection>>, open_parts: &OpenParts) {
         let part = rest.split(' ').next().expect("an id").to_owned();
         let index = self.observations.begin_attempt(&part, self.number, Instant::now());
-        open_parts.lock().expect("whole").insert(part.clone(), index);
+        open_parts.lock().expect("lock not poisoned").insert(part.clone(), index);
         let fault = self.current_fault();
         if fault == Some(LeafFault::Hangs) {
             return;
         }
         let (leaf, writer, open_parts) = (self.clone(), writer.clone(), open_parts.clone());
         thread::spawn(move || {
-            thread::sleep(WORK);
-            let mut writer = writer.lock().expect("whole");
+            thread::sleep(PART_PROCESSING_TIME);
+            let mut writer = writer.lock().expect("lock not poisoned");
             let outcome = if fault == Some(LeafFault::Rejects) { "later" } else { "good" };
-            let is_open = open_parts.lock().expect("whole").contains_key(&part);
+            let is_open = open_parts.lock().expect("lock not poisoned").contains_key(&part);
             if !is_open {
                 return;
             }
-            // It ends before the answer leaves: the aggregator may act on the answer at once.
-            leaf.end(&part, &open_parts, outcome == "later");
-            if fault == Some(LeafFault::AnswersHalf) {
+            // The end is recorded before the answer is sent: the aggregator may act on the answer at once.
+            leaf.end_part(&part, &open_parts, outcome == "later");
+            if fault == Some(LeafFault::TruncatesAnswer) {
                 writer.send_truncated_frame('q', &format!("{part} good 17 -\nv"));
                 let _ = writer.stream.shutdown(std::net::Shutdown::Both);
                 return;
@@ -117,8 +121,8 @@
         });
     }
 
-    fn end(&self, part: &str, open_parts: &OpenParts, rejected: bool) {
-        if let Some(index) = open_parts.lock().expect("whole").remove(part) {
+    fn end_part(&self, part: &str, open_parts: &OpenParts, rejected: bool) {
+        if let Some(index) = open_parts.lock().expect("lock not poisoned").remove(part) {
             self.observations.end_attempt(part, index, rejected);
         }
     }
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -1,5 +1,6 @@
-//! A seeded soak of real processes. One seed draws the settings, the faults and their times; clients and leaf servers
-//! write down what they see, and the rules are checked on that alone. `SEED=7` plays one seed, `SEEDS=1..51` many.
+//! A seeded soak test of real processes. Each seed determines the settings, the faults and their times; clients and leaf
+//! servers record what they observe, and the rules are checked on these records alone. `SEED=7` runs one seed,
+//! `SEEDS=1..51` a range.
 
 mod checks;
 mod client;
@@ -15,40 +16,41 @@
 use discovery::SoakDiscovery;
 use leaf::SoakLeaf;
 use observations::Observations;
-use plan::{Draws, Effect, LEAF_SERVERS, LOAD_TIME, Plan, Step};
+use plan::{Effect, LEAF_SERVERS, LOAD_TIME, Plan, SeededRng, Step};
 use std::net::TcpStream;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Seeds that CI plays.
+/// Seeds that CI runs.
 const CI_SEEDS: std::ops::Range<u64> = 1..9;
-/// For how long a paused process stands still: less than the pages' 0.15 s.
+/// Duration of a pause of a process: below the 0.15 s that the specification tolerates.
 const PAUSE: Duration = Duration::from_millis(120);
-/// After SIGTERM the kill comes this long after the longest deadline, which counts as `SHORTEST_KILL_DEADLINE` at least.
+/// A process that still runs after SIGTERM is killed once the deadline, or `SHORTEST_KILL_DEADLINE` if that is longer, and
+/// this time have passed.
 const KILL_AFTER_DEADLINE: Duration = Duration::from_millis(700);
 const SHORTEST_KILL_DEADLINE: Duration = Duration::from_secs(3);
 const READY_WITHIN: Duration = Duration::from_secs(10);
 const LEAF_NAMES: [&str; LEAF_SERVERS] = ["s0", "s1", "s2", "s3", "s4", "s5"];
-/// Growth of a process's memory that a run of some seconds may leave.
+/// Maximum resident memory of a process after a run of some seconds.
 const MAX_MEMORY_KB: u64 = 64 * 1024;
 
-/// What one seed runs.
+/// The processes and records of the run of one seed.
 struct Soak {
     plan: Plan,
     observations: Arc<Observations>,
     leaves: Vec<SoakLeaf>,
     draining: Vec<usize>,
     discovery: SoakDiscovery,
-    /// What the first aggregator and its successor are started with, and the port that they share.
+    /// The setup of the first aggregator and its successor, with the port that they share.
     shared: Setup,
     _shared_port: tokio::net::TcpSocket,
     aggregators: Vec<Aggregator>,
-    /// Processes that no client knows, and when they were told to end.
+    /// Processes that no client connects to, and when they received SIGTERM.
     short_lived: Vec<(Aggregator, Instant)>,
     targets: Arc<Mutex<Vec<Target>>>,
-    breaks: Vec<String>,
+    violations: Vec<String>,
 }
 
 impl Soak {
@@ -71,7 +73,7 @@
             aggregators: Vec::new(),
             short_lived: Vec::new(),
             targets: Arc::default(),
-            breaks: Vec::new(),
+            violations: Vec::new(),
         };
         let Setup { listen, has_admin_address, tmp_dir, .. } = soak.shared.clone();
         soak.shared = Setup { listen, has_admin_address, tmp_dir, ..soak.setup() };
@@ -87,10 +89,10 @@
         let aggregator = self.spawn(setup);
         wait_until("an aggregator is ready", || aggregator.healthz() == 200);
         if started_at.elapsed() > READY_WITHIN {
-            self.breaks.push(format!("ready after {:?}", started_at.elapsed()));
+            self.violations.push(format!("ready after {:?}", started_at.elapsed()));
         }
         let target = Target { address: aggregator.address, terminated_at: None };
-        self.targets.lock().expect("whole").push(target);
+        self.targets.lock().expect("lock not poisoned").push(target);
         self.aggregators.push(aggregator);
     }
 
@@ -113,9 +115,9 @@
         Aggregator::start_in(&config, None, setup.tmp_dir.as_deref())
     }
 
-    /// Replaces the first aggregator, unless it was told to end already.
+    /// Replaces the first aggregator, unless it has already received SIGTERM.
     fn hot_restart(&mut self) {
-        if self.targets.lock().expect("whole")[0].terminated_at.is_some() {
+        if self.targets.lock().expect("lock not poisoned")[0].terminated_at.is_some() {
             return;
         }
         let shared = self.shared.clone();
@@ -123,47 +125,50 @@
         successor.wait_for_log("to=\"ready\"");
         self.send_signal(0, "-TERM");
         let target = Target { address: successor.address, terminated_at: None };
-        self.targets.lock().expect("whole").push(target);
+        self.targets.lock().expect("lock not poisoned").push(target);
         self.aggregators.push(successor);
     }
 
-    /// Plays the plan under load; gives the breaks of the rules.
-    fn play(mut self, seed: u64) -> Vec<String> {
+    /// Runs the plan under load and returns the violations of the rules.
+    fn run(mut self, seed: u64) -> Vec<String> {
         let running = Arc::new(AtomicBool::new(true));
-        let crowd: Vec<TcpStream> = (0..self.plan.crowd)
+        let idle_connections: Vec<TcpStream> = (0..self.plan.idle_connections)
             .filter_map(|_| TcpStream::connect(self.aggregators[0].address).ok())
             .collect();
         let clients = self.start_clients(seed, &running);
         let began_at = Instant::now();
         for (at, step) in self.plan.steps.clone() {
             thread::sleep((began_at + at).saturating_duration_since(Instant::now()));
-            self.carry_out(step);
+            self.execute(step);
         }
         thread::sleep((began_at + LOAD_TIME).saturating_duration_since(Instant::now()));
-        self.terminate_the_others();
-        let terminated = self.targets.lock().expect("whole").clone();
+        self.terminate_remaining();
+        let terminated = self.targets.lock().expect("lock not poisoned").clone();
         for (number, target) in terminated.iter().enumerate() {
-            let kill_at = self.kill_at(target.terminated_at.expect("told to end"));
+            let kill_at = self.kill_at(target.terminated_at.expect("SIGTERM was sent"));
             if !exits_by(&mut self.aggregators[number], kill_at) {
-                self.breaks.push(format!("aggregator {number} has not ended by itself before the kill"));
+                self.violations
+                    .push(format!("aggregator {number} did not exit by itself before it was killed"));
             }
         }
         for (mut aggregator, terminated_at) in std::mem::take(&mut self.short_lived) {
             if !exits_by(&mut aggregator, self.kill_at(terminated_at)) {
-                self.breaks.push("a process told to end as it started has not ended by itself".to_owned());
+                self.violations.push(
+                    "a process that received SIGTERM during its start did not exit by itself".to_owned(),
+                );
             }
         }
         running.store(false, Ordering::SeqCst);
         for client in clients {
-            client.join().expect("a client fails a request, never itself");
+            client.join().expect("client threads do not panic");
         }
-        drop(crowd);
-        let stall = *self.observations.longest_stall.lock().expect("whole");
-        let requests = self.observations.requests.lock().expect("whole").len();
-        let parts = self.observations.attempts.lock().expect("whole").len();
+        drop(idle_connections);
+        let stall = *self.observations.longest_stall.lock().expect("lock not poisoned");
+        let requests = self.observations.requests.lock().expect("lock not poisoned").len();
+        let parts = self.observations.attempts.lock().expect("lock not poisoned").len();
         println!("seed {seed}: {requests} requests, {parts} parts, longest stall {stall:?}");
-        self.breaks.extend(checks::broken_rules(&self.plan, &self.observations));
-        self.breaks
+        self.violations.extend(checks::rule_violations(&self.plan, &self.observations));
+        self.violations
     }
 
     fn start_clients(&self, seed: u64, running: &Arc<AtomicBool>) -> Vec<thread::JoinHandle<()>> {
@@ -171,7 +176,7 @@
         for number in 0..self.plan.clients {
             let client = SoakClient {
                 number,
-                draws: Draws::new(seed * 1000 + number as u64),
+                rng: SeededRng::new(seed * 1000 + number as u64),
                 deadline: self.plan.deadline,
                 targets: self.targets.clone(),
                 observations: self.observations.clone(),
@@ -182,20 +187,20 @@
         let observations = self.observations.clone();
         let running = running.clone();
         threads.push(thread::spawn(move || {
-            observations.watch_for_stalls(|| running.load(Ordering::SeqCst));
+            observations.measure_stalls(|| running.load(Ordering::SeqCst));
         }));
         threads
     }
 
-    fn carry_out(&mut self, step: Step) {
+    fn execute(&mut self, step: Step) {
         match step {
-            Step::LeafFault { leaf, fault, length } => self.leaves[leaf].misbehave(fault, length),
+            Step::LeafFault { leaf, fault, length } => self.leaves[leaf].inject_fault(fault, length),
             Step::Drain { leaf } => {
                 self.draining.push(leaf);
-                let told_at = self.discovery.tell(endpoint_list(2, &self.leaves, &self.draining));
-                self.observations.drains.lock().expect("whole").insert(leaf, told_at);
+                let sent_at = self.discovery.publish(endpoint_list(2, &self.leaves, &self.draining));
+                self.observations.drains.lock().expect("lock not poisoned").insert(leaf, sent_at);
             }
-            Step::DiscoverySilent { length } => self.discovery.fall_silent(length),
+            Step::DiscoveryUnresponsive { length } => self.discovery.stop_responding(length),
             Step::Pause { aggregator } => {
                 if self.aggregators[aggregator].is_running() {
                     self.aggregators[aggregator].signal("-STOP");
@@ -214,25 +219,25 @@
         }
     }
 
-    /// Sends a signal to an aggregator that runs. The clients know of a shutdown from before its signal.
+    /// Sends a signal to an aggregator if it runs. Before SIGTERM, the time is recorded for the clients.
     fn send_signal(&mut self, aggregator: usize, signal: &str) {
         if !self.aggregators[aggregator].is_running() {
             return;
         }
         if signal == "-TERM" {
-            let mut targets = self.targets.lock().expect("whole");
+            let mut targets = self.targets.lock().expect("lock not poisoned");
             targets[aggregator].terminated_at.get_or_insert_with(Instant::now);
         }
         self.aggregators[aggregator].signal(signal);
     }
 
-    /// Tells the aggregators to end that still run; before that, that they hold no more than they should.
-    fn terminate_the_others(&mut self) {
+    /// Sends SIGTERM to the aggregators that still run, after a check of their memory.
+    fn terminate_remaining(&mut self) {
         for number in 0..self.aggregators.len() {
-            if self.targets.lock().expect("whole")[number].terminated_at.is_none() {
+            if self.targets.lock().expect("lock not poisoned")[number].terminated_at.is_none() {
                 let memory = self.aggregators[number].memory_kb();
                 if memory > MAX_MEMORY_KB {
-                    self.breaks.push(format!("memory: {memory} KB"));
+                    self.violations.push(format!("memory: {memory} KB"));
                 }
                 self.send_signal(number, "-TERM");
             }
@@ -244,16 +249,16 @@
     }
 }
 
-/// Whether an aggregator ends by itself until the kill; else it is killed.
+/// Whether an aggregator exits by itself before `kill_at`; otherwise it is killed.
 fn exits_by(aggregator: &mut Aggregator, kill_at: Instant) -> bool {
     while Instant::now() < kill_at && aggregator.is_running() {
         thread::sleep(Duration::from_millis(5));
     }
-    let has_ended = !aggregator.is_running();
-    if !has_ended {
+    let has_exited = !aggregator.is_running();
+    if !has_exited {
         aggregator.kill();
     }
-    has_ended
+    has_exited
 }
 
 /// The endpoint list: two leaf servers for each cell.
@@ -266,7 +271,7 @@
     list(generation, true, &entries)
 }
 
-/// The seeds to play: those of the environment, or CI's.
+/// The seeds to run: from the environment, or those of CI.
 fn seeds() -> Vec<u64> {
     let number = |text: &str| text.parse::<u64>().expect("a number");
     if let Ok(seed) = std::env::var("SEED") {
@@ -279,15 +284,16 @@
     CI_SEEDS.collect()
 }
 
-/// Guards the rules that callers rely on through restarts, reloads, drains and faults of leaf servers in any order.
+/// Guards against violations of the rules that clients rely on during restarts, reloads, drains and leaf server faults in
+/// any order.
 #[test]
 fn no_rule_is_broken_under_seeded_faults() {
     let mut failed = Vec::new();
     for seed in seeds() {
-        let breaks = Soak::start(seed).play(seed);
-        println!("seed {seed}: {} breaks", breaks.len());
-        if !breaks.is_empty() {
-            failed.push(format!("SEED={seed}: {breaks:#?}"));
+        let violations = Soak::start(seed).run(seed);
+        println!("seed {seed}: {} violations", violations.len());
+        if !violations.is_empty() {
+            failed.push(format!("SEED={seed}: {violations:#?}"));
         }
     }
     assert!(failed.is_empty(), "{}", failed.join("\n"));
--- a/tests/soak/observations.rs
+++ b/tests/soak/observations.rs
@@ -1,4 +1,4 @@
-//! What clients and leaf servers have seen, on one clock.
+//! What clients and leaf servers have observed, on one clock.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -15,13 +15,13 @@
     Closed,
     /// The connection ended within the answer.
     Truncated,
-    /// Nothing came in its time.
+    /// No byte or no complete answer arrived before the timeout.
     Unanswered,
-    /// The client left.
-    Left,
+    /// The client disconnected without waiting for the answer.
+    Disconnected,
 }
 
-/// One request as its client saw it.
+/// A request as observed by its client.
 #[derive(Clone, Debug)]
 pub struct Request {
     pub id: String,
@@ -34,28 +34,28 @@
     pub reused_connection: bool,
 }
 
-/// One attempt as its leaf server saw it.
+/// An attempt as observed by its leaf server.
 #[derive(Clone, Debug)]
 pub struct Attempt {
     pub leaf: usize,
     pub arrived_at: Instant,
-    /// Answered, cancelled, or its connection ended.
+    /// When it was answered or cancelled, or its connection ended; `None` while in flight.
     pub ended_at: Option<Instant>,
-    /// The leaf server told that it did not run.
+    /// The leaf server answered that it did not run the part.
     pub rejected: bool,
 }
 
-/// All that was seen in one run.
+/// Everything observed in one run.
 pub struct Observations {
     pub started_at: Instant,
     pub requests: Mutex<Vec<Request>>,
     /// By the id of the part, in the order of arrival.
     pub attempts: Mutex<BTreeMap<String, Vec<Attempt>>>,
-    /// Connections refused within the time in which new ones still come.
+    /// Refused connections at aggregators that should still accept new ones.
     pub refused: Mutex<Vec<String>>,
-    /// By leaf server: when the last aggregator was told that it drains.
+    /// By leaf server: when the last aggregator should have received its drain.
     pub drains: Mutex<BTreeMap<usize, Instant>>,
-    /// The longest time by which a sleeping thread of the test was late: what the machine does to everyone.
+    /// Longest delay with which a sleeping thread of the test woke up: a stall of the machine, which affects all processes.
     pub longest_stall: Mutex<Duration>,
 }
 
@@ -71,32 +71,35 @@
         }
     }
 
-    /// Records an attempt; its index among those of its part.
+    /// Records an attempt and returns its index among those of its part.
     pub fn begin_attempt(&self, part: &str, leaf: usize, arrived_at: Instant) -> usize {
-        let mut attempts = self.attempts.lock().expect("whole");
-        let of_part = attempts.entry(part.to_owned()).or_default();
-        of_part.push(Attempt { leaf, arrived_at, ended_at: None, rejected: false });
-        of_part.len() - 1
+        let mut attempts = self.attempts.lock().expect("lock not poisoned");
+        let part_attempts = attempts.entry(part.to_owned()).or_default();
+        part_attempts.push(Attempt { leaf, arrived_at, ended_at: None, rejected: false });
+        part_attempts.len() - 1
     }
 
     /// Records the end of an attempt, unless it has ended.
     pub fn end_attempt(&self, part: &str, index: usize, rejected: bool) {
-        let mut attempts = self.attempts.lock().expect("whole");
-        let Some(attempt) = attempts.get_mut(part).and_then(|of_part| of_part.get_mut(index)) else { return };
+        let mut attempts = self.attempts.lock().expect("lock not poisoned");
+        let Some(attempt) = attempts.get_mut(part).and_then(|part_attempts| part_attempts.get_mut(index))
+        else {
+            return;
+        };
         if attempt.ended_at.is_none() {
             attempt.ended_at = Some(Instant::now());
             attempt.rejected = rejected;
         }
     }
 
-    /// Measures how late a sleeping thread wakes, until it is told to end.
-    pub fn watch_for_stalls(&self, is_running: impl Fn() -> bool) {
-        const NAP: Duration = Duration::from_millis(5);
+    /// Measures how late a sleeping thread wakes up, while `is_running` returns true.
+    pub fn measure_stalls(&self, is_running: impl Fn() -> bool) {
+        const SLEEP_INTERVAL: Duration = Duration::from_millis(5);
         while is_running() {
             let slept_at = Instant::now();
-            std::thread::sleep(NAP);
-            let late = slept_at.elapsed().saturating_sub(NAP);
-            let mut longest = self.longest_stall.lock().expect("whole");
+            std::thread::sleep(SLEEP_INTERVAL);
+            let late = slept_at.elapsed().saturating_sub(SLEEP_INTERVAL);
+            let mut longest = self.longest_stall.lock().expect("lock not poisoned");
             *longest = (*longest).max(late);
         }
     }
--- a/tests/soak/plan.rs
+++ b/tests/soak/plan.rs
@@ -1,4 +1,4 @@
-//! What one seed draws: the settings, the faults and their times.
+//! The plan that a seed determines: the settings, the faults and their times.
 
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
@@ -6,10 +6,10 @@
 
 /// Leaf servers: two for each of the three cells.
 pub const LEAF_SERVERS: usize = 6;
-/// How long clients send requests.
+/// Time for which clients send requests.
 pub const LOAD_TIME: Duration = Duration::from_secs(5);
 
-/// What a repeated part does.
+/// The effect of a repeated part, by the setting `effect`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Effect {
     Retryable,
@@ -17,16 +17,16 @@
     Fragile,
 }
 
-/// What a leaf server does wrong for a while.
+/// A temporary fault of a leaf server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LeafFault {
     Hangs,
     ResetsConnections,
-    AnswersHalf,
+    TruncatesAnswer,
     Rejects,
 }
 
-/// One thing that happens, `at` a time since the start of the load.
+/// An event of the plan.
 #[derive(Clone, Copy, Debug)]
 pub enum Step {
     LeafFault {
@@ -37,10 +37,10 @@
     Drain {
         leaf: usize,
     },
-    DiscoverySilent {
+    DiscoveryUnresponsive {
         length: Duration,
     },
-    /// A process stands still for less than the pages allow.
+    /// Stops a process for less than the tolerated pause.
     Pause {
         aggregator: usize,
     },
@@ -48,32 +48,33 @@
         aggregator: usize,
         signal: &'static str,
     },
-    /// The first aggregator's successor starts at its address; the first one is told to end once that is ready.
+    /// Starts a successor of the first aggregator at its address; the first one receives SIGTERM once that is ready.
     HotRestart,
-    /// One more process, which clients use once it is ready.
+    /// Starts another process, which clients use once it is ready.
     Start,
-    /// One more process, told to end as soon as it listens.
+    /// Starts another process, which receives SIGTERM as soon as it listens.
     StartAndTerminate,
 }
 
-/// All that one seed draws.
+/// The settings and events of one seed.
 #[derive(Debug)]
 pub struct Plan {
     pub effect: Effect,
     pub deadline: Duration,
     pub aggregators: usize,
     pub clients: usize,
-    /// Idle connections that a crowd of clients opens to the first aggregator.
-    pub crowd: usize,
+    /// Number of idle connections to the first aggregator.
+    pub idle_connections: usize,
+    /// The events by time since the start of the load.
     pub steps: Vec<(Duration, Step)>,
 }
 
-/// Seeded draws.
-pub struct Draws(Pcg64Mcg);
+/// A seeded random number generator.
+pub struct SeededRng(Pcg64Mcg);
 
-impl Draws {
+impl SeededRng {
     pub fn new(seed: u64) -> Self {
-        Draws(Pcg64Mcg::seed_from_u64(seed))
+        SeededRng(Pcg64Mcg::seed_from_u64(seed))
     }
 
     pub fn below(&mut self, bound: u64) -> u64 {
@@ -91,73 +92,73 @@
 
 impl Plan {
     pub fn draw(seed: u64) -> Self {
-        let mut draws = Draws::new(seed);
-        let effect = match draws.below(3) {
+        let mut rng = SeededRng::new(seed);
+        let effect = match rng.below(3) {
             0 => Effect::Retryable,
-            1 => Effect::Dedup { window: draws.millis(300, 900) },
+            1 => Effect::Dedup { window: rng.millis(300, 900) },
             _ => Effect::Fragile,
         };
-        let aggregators = 2 + draws.below(2) as usize;
+        let aggregators = 2 + rng.below(2) as usize;
         let mut plan = Plan {
             effect,
-            deadline: draws.millis(500, 2500),
+            deadline: rng.millis(500, 2500),
             aggregators,
-            clients: 4 + draws.below(5) as usize,
-            crowd: if draws.one_in(3) { 700 } else { 0 },
+            clients: 4 + rng.below(5) as usize,
+            idle_connections: if rng.one_in(3) { 700 } else { 0 },
             steps: Vec::new(),
         };
-        plan.draw_faults(&mut draws);
-        plan.draw_signals(&mut draws);
+        plan.draw_faults(&mut rng);
+        plan.draw_signals(&mut rng);
         for step in [Step::HotRestart, Step::Start, Step::StartAndTerminate] {
-            if draws.one_in(2) {
-                plan.steps.push((draws.millis(500, 4000), step));
+            if rng.one_in(2) {
+                plan.steps.push((rng.millis(500, 4000), step));
             }
         }
         plan.steps.sort_by_key(|(at, _)| *at);
         plan
     }
 
-    fn draw_faults(&mut self, draws: &mut Draws) {
-        for _ in 0..2 + draws.below(3) {
-            let fault = match draws.below(4) {
+    fn draw_faults(&mut self, rng: &mut SeededRng) {
+        for _ in 0..2 + rng.below(3) {
+            let fault = match rng.below(4) {
                 0 => LeafFault::Hangs,
                 1 => LeafFault::ResetsConnections,
-                2 => LeafFault::AnswersHalf,
+                2 => LeafFault::TruncatesAnswer,
                 _ => LeafFault::Rejects,
             };
-            let leaf = draws.below(LEAF_SERVERS as u64) as usize;
-            let length = draws.millis(200, 2000);
-            self.steps.push((draws.millis(300, 4000), Step::LeafFault { leaf, fault, length }));
+            let leaf = rng.below(LEAF_SERVERS as u64) as usize;
+            let length = rng.millis(200, 2000);
+            self.steps.push((rng.millis(300, 4000), Step::LeafFault { leaf, fault, length }));
         }
-        if draws.one_in(2) {
-            let leaf = draws.below(LEAF_SERVERS as u64) as usize;
-            self.steps.push((draws.millis(500, 2500), Step::Drain { leaf }));
+        if rng.one_in(2) {
+            let leaf = rng.below(LEAF_SERVERS as u64) as usize;
+            self.steps.push((rng.millis(500, 2500), Step::Drain { leaf }));
         }
-        if draws.one_in(3) {
-            let length = draws.millis(500, 3000);
-            self.steps.push((draws.millis(200, 2000), Step::DiscoverySilent { length }));
+        if rng.one_in(3) {
+            let length = rng.millis(500, 3000);
+            self.steps.push((rng.millis(200, 2000), Step::DiscoveryUnresponsive { length }));
         }
-        if draws.one_in(3) {
-            let aggregator = draws.below(self.aggregators as u64) as usize;
-            self.steps.push((draws.millis(500, 4000), Step::Pause { aggregator }));
+        if rng.one_in(3) {
+            let aggregator = rng.below(self.aggregators as u64) as usize;
+            self.steps.push((rng.millis(500, 4000), Step::Pause { aggregator }));
         }
     }
 
-    /// Signals in series: reloads at any time, a shutdown for all aggregators but the last, and more signals into it.
-    fn draw_signals(&mut self, draws: &mut Draws) {
+    /// Series of signals: reloads at any time, a shutdown of all aggregators but the last, and more signals during it.
+    fn draw_signals(&mut self, rng: &mut SeededRng) {
         for aggregator in 0..self.aggregators {
             let mut signal = |at, signal| self.steps.push((at, Step::Signal { aggregator, signal }));
-            for _ in 0..draws.below(3) {
-                signal(draws.millis(0, 4500), "-HUP");
+            for _ in 0..rng.below(3) {
+                signal(rng.millis(0, 4500), "-HUP");
             }
             if aggregator + 1 == self.aggregators {
                 continue;
             }
-            let shutdown_at = draws.millis(500, 3500);
+            let shutdown_at = rng.millis(500, 3500);
             signal(shutdown_at, "-TERM");
-            for _ in 0..draws.below(3) {
-                let next = if draws.one_in(2) { "-HUP" } else { "-TERM" };
-                signal(shutdown_at + draws.millis(0, 700), next);
+            for _ in 0..rng.below(3) {
+                let next = if rng.one_in(2) { "-HUP" } else { "-TERM" };
+                signal(shutdown_at + rng.millis(0, 700), next);
             }
         }
     }
