--- a/tests/common/event_rate.rs
+++ b/tests/common/event_rate.rs
@@ -1,7 +1,8 @@
-//! How many events happen within a span of time.
+//! Event rates over a sliding window.
 
-/// The largest number of events in any window; times in ascending order, in the unit of the window.
+/// The largest number of events in any window. `times` are in ascending order and in the unit of `window`.
 pub fn most_within(times: &[f64], window: f64) -> usize {
-    let from = |i: usize| times[i..].iter().take_while(|t| **t <= times[i] + window).count();
-    (0..times.len()).map(from).max().unwrap_or(0)
+    let count_from =
+        |start: usize| times[start..].iter().take_while(|time| **time <= times[start] + window).count();
+    (0..times.len()).map(count_from).max().unwrap_or(0)
 }
--- a/tests/common/faulty.rs
+++ b/tests/common/faulty.rs
@@ -1,4 +1,5 @@
-//! A ledger's disk in memory with faults: it crashes at any step, loses what was not synced, or fails with an error.
+//! An in-memory disk for the ledger with fault injection: it crashes at a given step, loses unsynced data, or fails with
+//! an error.
 
 use sailmux::ledger::Disk;
 use std::cell::RefCell;
@@ -9,9 +10,9 @@
 /// How a machine crashes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Down {
-    /// The process is killed: what was written stays.
+    /// The process is killed: all written data remains.
     Kill,
-    /// Power is lost: only what was synced stays, and so many bytes of what was not.
+    /// Power is lost: only synced data remains, plus this number of bytes of the unsynced data.
     Power(usize),
 }
 
@@ -26,30 +27,30 @@
     files: Vec<File>,
     /// Indices into `files`.
     names: BTreeMap<String, usize>,
-    /// Names as a loss of power leaves them.
+    /// The names that remain after a power loss.
     synced_names: BTreeMap<String, usize>,
-    /// Steps taken: each change and each sync is one.
+    /// Number of operations so far: each change and each sync is one step.
     steps: usize,
     /// The step at which the machine crashes.
     crash_step: Option<usize>,
     has_crashed: bool,
-    /// The error of every step, if any.
+    /// The error with which every step fails; `None` if steps succeed.
     failing: Option<ErrorKind>,
 }
 
-/// A handle to a disk; clones share it.
+/// A handle to a disk; clones share the same disk.
 #[derive(Clone, Default)]
 pub struct FaultyDisk(Rc<RefCell<DiskState>>);
 
 impl FaultyDisk {
-    /// The machine crashes at this step, counted from now.
+    /// Sets the step, counted from now, at which the machine crashes.
     pub fn stop_at(&self, step: usize) {
         let mut state = self.0.borrow_mut();
         state.steps = 0;
         state.crash_step = Some(step);
     }
 
-    /// Steps taken since the last [`FaultyDisk::stop_at`].
+    /// Number of steps since the last [`FaultyDisk::stop_at`].
     pub fn steps(&self) -> usize {
         self.0.borrow().steps
     }
@@ -59,12 +60,12 @@
         self.0.borrow().has_crashed
     }
 
-    /// Every step fails with this error from now on, or none does.
+    /// Makes every later step fail with this error, or succeed if `None`.
     pub fn fail(&self, kind: Option<ErrorKind>) {
         self.0.borrow_mut().failing = kind;
     }
 
-    /// The disk as the next process finds it after a crash.
+    /// The disk as the next process finds it after a crash of this kind.
     pub fn after(&self, down: Down) -> FaultyDisk {
         let state = self.0.borrow();
         let names = if down == Down::Kill { &state.names } else { &state.synced_names };
@@ -86,7 +87,7 @@
         FaultyDisk(Rc::new(RefCell::new(recovered)))
     }
 
-    /// Flips a bit of a byte of a file.
+    /// Flips one bit of the byte at `offset` of a file.
     pub fn rot(&self, name: &str, offset: usize) {
         let mut state = self.0.borrow_mut();
         let index = state.names[name];
@@ -100,7 +101,7 @@
             state.has_crashed = true;
         }
         match state.failing {
-            _ if state.has_crashed => Err(io::Error::other("the machine is down")),
+            _ if state.has_crashed => Err(io::Error::other("simulated crash")),
             Some(kind) => Err(kind.into()),
             None => Ok(()),
         }
@@ -129,7 +130,7 @@
             state.names.insert(name.to_owned(), index);
             index
         };
-        // A write that fails may have been done in part.
+        // A failed write may have been partial.
         let written = if step.is_ok() { bytes.len() } else { bytes.len() / 2 };
         state.files[index].written.extend(&bytes[..written]);
         step
--- a/tests/common/fleet/inventory_run.rs
+++ b/tests/common/fleet/inventory_run.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-/// An aggregator with a fleet of leaf servers and an inventory that is written by one method, under load.
+/// An aggregator under load, with a fleet of leaf servers and an inventory that is written by one method.
 pub struct InventoryRun {
     pub fleet: LeafFleet,
     pub writer: InventoryWriter,
@@ -18,7 +18,7 @@
 }
 
 impl InventoryRun {
-    /// `more_settings` are lines under `inventory` in the operator's file.
+    /// `more_settings` are lines under `inventory` in the operator file.
     pub fn start(
         method: WriteMethod,
         file: &str,
@@ -36,12 +36,12 @@
         InventoryRun { fleet, writer, aggregator, load, draining, file: file.to_owned() }
     }
 
-    /// The inventory as it should be now.
+    /// The inventory in its current state.
     pub fn text(&self) -> String {
         self.fleet.inventory(&self.file, &self.draining)
     }
 
-    /// Drains a leaf server and waits until the aggregator says so; the time that took from the last byte written.
+    /// Drains a leaf server, waits until the aggregator logs it, and returns the time since the last byte was written.
     pub fn drain(&mut self, name: &str) -> Duration {
         self.draining.insert(name.to_owned());
         let text = self.text();
@@ -58,21 +58,21 @@
         self.fleet.record_ready(name);
         let text = self.text();
         self.writer.write(&text);
-        // Where the half-written drain was held back and the rest never read, the list has not changed.
+        // If the half-written drain was held back and the rest was not read before this write, the list has not changed.
         self.aggregator.wait_for_either_log("readied=1", "held-back list withdrawn");
     }
 
-    /// Ends the load and checks that no rule was broken; the numbers of queries and of parts.
+    /// Stops the load, checks that no rule was violated, and returns the numbers of queries and of parts.
     pub fn finish(self) -> (u64, u64) {
         let (answered, wrong) = self.load.stop();
         assert!(
             wrong.is_empty(),
-            "{} of {answered} queries: {:#?}",
+            "{} of {answered} queries without a complete answer: {:#?}",
             wrong.len(),
             &wrong[..wrong.len().min(5)]
         );
         let broken = self.fleet.broken_rules();
-        assert!(broken.is_empty(), "{} rules broken: {:#?}", broken.len(), &broken[..broken.len().min(5)]);
+        assert!(broken.is_empty(), "{} rule violations: {:#?}", broken.len(), &broken[..broken.len().min(5)]);
         (answered, self.fleet.parts())
     }
 }
--- a/tests/common/fleet/inventory_writer.rs
+++ b/tests/common/fleet/inventory_writer.rs
@@ -1,4 +1,4 @@
-//! Writes an inventory file in every way that tools do.
+//! Writes an inventory file in the ways that common tools do.
 
 use super::super::process::scratch_dir;
 use std::fs::{self, OpenOptions};
@@ -11,21 +11,21 @@
 /// How a tool writes an inventory.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum WriteMethod {
-    /// A new file that is renamed over the old one.
+    /// A new file is renamed over the old one.
     Rename,
-    /// The same file, emptied and written anew.
+    /// The existing file is truncated and rewritten.
     InPlace,
-    /// The same file: half of it, a pause, and the rest.
+    /// The existing file is truncated and rewritten in two halves with a pause in between.
     Paused,
-    /// A symbolic link to a directory that is swapped, as Kubernetes' `..data` links are.
+    /// A symbolic link to the directory is replaced, as Kubernetes does with `..data`.
     SymlinkSwap,
     /// The whole directory is replaced.
     DirectorySwap,
-    /// The file is removed, and written a while later.
+    /// The file is removed and written again after a delay.
     RemoveAndRewrite,
 }
 
-/// All of them.
+/// All methods.
 pub const WRITE_METHODS: [WriteMethod; 6] = [
     WriteMethod::Rename,
     WriteMethod::InPlace,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Writes a version; it is complete and in place when this returns.
+    /// Writes a new version, which is complete and in place when this returns.
     pub fn write(&mut self, text: &str) {
         self.versions += 1;
         let fresh = self.base.join(format!("fresh{}", self.versions));
@@ -69,7 +69,7 @@
             WriteMethod::Paused => {
                 let open = OpenOptions::new().write(true).create(true).truncate(true).open(self.path());
                 let mut file = open.expect("opened");
-                // In the middle of a line, and not at the very end of the list.
+                // The split is in the middle of a line and not at the very end of the list.
                 let (half, rest) = text.as_bytes().split_at(text.len() / 2);
                 file.write_all(half).expect("written");
                 thread::sleep(Duration::from_millis(150));
--- a/tests/common/fleet/leaf_fleet.rs
+++ b/tests/common/fleet/leaf_fleet.rs
@@ -1,5 +1,5 @@
-//! Stand-in leaf servers that check the rules from their side: no part long after a drain, none of another cell's shard,
-//! none that is in flight already.
+//! Fake leaf servers that check the rules on the parts they receive: none after the grace period of a drain, none for a
+//! shard of another cell, none that is already in flight.
 
 use super::super::process::{LeafConnection, LeafServer, Listed};
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,13 +8,13 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The number of cells, and of shards: a shard is held by the cell of its number.
+/// Number of cells and of shards; the cell with the number of a shard holds it.
 pub const CELLS: u32 = 3;
 
-/// For how long after its drain was written a leaf server may still get parts.
+/// Time after its drain was written in which a leaf server may still receive parts.
 const DRAIN_GRACE_PERIOD: Duration = Duration::from_secs(1);
 
-/// What the leaf servers have seen, and which rules were broken.
+/// What the leaf servers have observed, and the violations of the rules.
 #[derive(Default)]
 pub struct Observations {
     parts: u64,
@@ -25,21 +25,21 @@
     broken_rules: Vec<String>,
 }
 
-/// Stand-in leaf servers by name, which check the rules together.
+/// Fake leaf servers by name, which share their observations.
 pub struct LeafFleet {
     pub addresses: BTreeMap<String, SocketAddr>,
     observations: Arc<Mutex<Observations>>,
 }
 
 impl LeafFleet {
-    /// This many leaf servers, over the cells in turn; each answers a part after a few milliseconds.
+    /// Starts `count` leaf servers, assigned to the cells in turn; each answers a part after a few milliseconds.
     pub fn new(count: u32) -> Self {
         let observations = Arc::new(Mutex::new(Observations::default()));
         let mut addresses = BTreeMap::new();
-        for i in 0..count {
-            let name = format!("s{i:02}");
+        for number in 0..count {
+            let name = format!("s{number:02}");
             let server = LeafServer::new();
-            lock(&observations).cells.insert(name.clone(), i % CELLS);
+            lock(&observations).cells.insert(name.clone(), number % CELLS);
             addresses.insert(name.clone(), server.address);
             let observations = observations.clone();
             thread::spawn(move || {
@@ -53,7 +53,7 @@
         LeafFleet { addresses, observations }
     }
 
-    /// The leaf servers as discovery lists them.
+    /// The endpoints as discovery lists them.
     pub fn listed(&self) -> Vec<Listed> {
         let row = |(name, address): (&String, &SocketAddr)| Listed {
             name: name.clone().leak(),
@@ -65,27 +65,27 @@
         self.addresses.iter().map(row).collect()
     }
 
-    /// The drain of a leaf server has just been written.
+    /// Records that the drain of a leaf server has just been written.
     pub fn record_drain(&self, name: &str) {
         lock(&self.observations).drained_at.insert(name.to_owned(), Instant::now());
     }
 
-    /// The drain of a leaf server is about to be cancelled.
+    /// Records that the drain of a leaf server is about to be cancelled.
     pub fn record_ready(&self, name: &str) {
         lock(&self.observations).drained_at.remove(name);
     }
 
-    /// A leaf server is about to be listed in another cell.
+    /// Records that a leaf server is about to be listed in another cell.
     pub fn record_move(&self, name: &str, cell: u32) {
         lock(&self.observations).cells.insert(name.to_owned(), cell);
     }
 
-    /// The cell that a leaf server is listed in.
+    /// The cell in which a leaf server is listed.
     pub fn cell(&self, name: &str) -> u32 {
         lock(&self.observations).cells[name]
     }
 
-    /// The inventory as CSV or YAML by the file's name, with some leaf servers draining.
+    /// The inventory as CSV or YAML, depending on the file name, with some leaf servers draining.
     pub fn inventory(&self, file: &str, draining: &BTreeSet<String>) -> String {
         let state = |name: &str| if draining.contains(name) { "draining" } else { "ready" };
         let mut text = if file.ends_with("csv") {
@@ -109,32 +109,33 @@
         lock(&self.observations).broken_rules.clone()
     }
 
-    /// The number of parts that were received.
+    /// Number of received parts.
     pub fn parts(&self) -> u64 {
         lock(&self.observations).parts
     }
 }
 
 impl Observations {
-    /// Checks a part on its arrival at a leaf server.
+    /// Checks a part that has arrived at a leaf server.
     fn part_arrived(&mut self, server: &str, part: &str, shard: u32) {
         self.parts += 1;
         let since_drain = self.drained_at.get(server).map(Instant::elapsed);
         if let Some(late) = since_drain.filter(|elapsed| *elapsed > DRAIN_GRACE_PERIOD) {
             self.broken_rules
-                .push(format!("{server}: part {part} came {late:?} after its drain was written"));
+                .push(format!("{server}: part {part} arrived {late:?} after the drain was written"));
         }
         if self.cells[server] != shard % CELLS {
-            self.broken_rules.push(format!("{server}: part {part} came, whose shard it does not hold"));
+            self.broken_rules
+                .push(format!("{server}: part {part} is for a shard that the server does not hold"));
         }
         if !self.in_flight.insert(part.to_owned()) {
-            self.broken_rules.push(format!("{server}: part {part} is in flight already"));
+            self.broken_rules.push(format!("{server}: part {part} is already in flight"));
         }
     }
 }
 
 fn lock(observations: &Mutex<Observations>) -> MutexGuard<'_, Observations> {
-    observations.lock().expect("no thread has panicked")
+    observations.lock().expect("lock not poisoned")
 }
 
 /// Answers the parts of one connection until it ends.
--- a/tests/common/fleet/load.rs
+++ b/tests/common/fleet/load.rs
@@ -1,4 +1,4 @@
-//! A steady load of queries whose every answer is checked.
+//! A steady load of queries that checks every answer.
 
 use super::super::process::{Client, query};
 use std::net::SocketAddr;
@@ -7,14 +7,14 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// Clients that send queries one after the other until they are stopped; each query must get one answer, a complete one.
+/// Clients that send queries one after another until they are stopped; each query must get one complete answer.
 pub struct Load {
     stop: Arc<AtomicBool>,
     clients: Vec<JoinHandle<(u64, Vec<String>)>>,
 }
 
 impl Load {
-    /// Starts this many clients, a connection each.
+    /// Starts `clients` clients with one connection each.
     pub fn start(address: SocketAddr, clients: usize) -> Self {
         static NEXT: AtomicU64 = AtomicU64::new(0);
         let stop = Arc::new(AtomicBool::new(false));
@@ -39,7 +39,7 @@
         Load { clients: (0..clients).map(client).collect(), stop }
     }
 
-    /// Stops the clients; the number of queries answered, and those that were not answered completely.
+    /// Stops the clients and returns the number of answered queries and a description of each incomplete answer.
     pub fn stop(self) -> (u64, Vec<String>) {
         self.stop.store(true, Ordering::Relaxed);
         let mut all_answered = 0;
--- a/tests/common/fleet/mod.rs
+++ b/tests/common/fleet/mod.rs
@@ -1,6 +1,6 @@
 //! Load tests with leaf servers that check the rules, clients that check their answers, and an inventory that is rewritten.
 
-// Each test program uses a part of this.
+// Each test program uses only some of these items.
 #![allow(unused_imports)]
 
 mod inventory_run;
--- a/tests/common/flight.rs
+++ b/tests/common/flight.rs
@@ -1,4 +1,4 @@
-//! Flight stand-ins: a leaf server and a gateway, each on a thread with a runtime of its own.
+//! Fake Flight peers: a leaf server and a gateway, each with its own runtime thread.
 
 use super::process::{Listed, PATIENCE, listed};
 use arrow_array::cast::AsArray;
@@ -26,13 +26,13 @@
 
 /// How a leaf server responds to a part.
 pub enum LeafResponse {
-    /// It answers with a row.
+    /// Answers with one row that has this value.
     Served(&'static str),
     Failed,
     Rejected,
-    /// It sends what cannot be read.
+    /// Sends data that cannot be decoded.
     Unreadable,
-    /// It sends a row and closes the whole connection before the answer ends.
+    /// Sends one row with this value and no end of the answer; the test then closes the connection.
     Cut(&'static str),
 }
 
@@ -40,7 +40,7 @@
 pub struct FlightPart {
     pub ticket: String,
     response: oneshot::Sender<LeafResponse>,
-    /// Receives once the aggregator has cancelled the part.
+    /// Receives a message once the aggregator has cancelled the part.
     pub cancelled: Receiver<()>,
 }
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// A leaf server that answers by Flight; the test decides how it responds to each part.
+/// A fake Flight leaf server; the test decides how it responds to each part.
 pub struct FlightLeaf {
     pub address: SocketAddr,
     parts: Receiver<FlightPart>,
@@ -82,7 +82,7 @@
 
     /// Closes all connections at once.
     pub fn close_connections(&mut self) {
-        self.runtime.take().expect("it ran").shutdown_background();
+        self.runtime.take().expect("the runtime is running").shutdown_background();
     }
 }
 
@@ -90,7 +90,7 @@
     part_sender: Sender<FlightPart>,
 }
 
-/// Sends when it is dropped.
+/// Sends a message when it is dropped.
 struct NotifyOnDrop(Sender<()>);
 
 impl Drop for NotifyOnDrop {
@@ -120,10 +120,10 @@
         let (response, decided) = oneshot::channel();
         let (cancel_sender, cancelled) = channel();
         let notify = NotifyOnDrop(cancel_sender);
-        let ticket = String::from_utf8(request.into_inner().ticket.to_vec()).expect("text");
+        let ticket = String::from_utf8(request.into_inner().ticket.to_vec()).expect("valid UTF-8");
         let _ = self.part_sender.send(FlightPart { ticket, response, cancelled });
         let encode = |batches: ResultStream<RecordBatch>| {
-            let batches = batches.map_err(|s| FlightError::Tonic(Box::new(s)));
+            let batches = batches.map_err(|status| FlightError::Tonic(Box::new(status)));
             FlightDataEncoderBuilder::new().build(batches).map_err(Status::from).boxed()
         };
         match decided.await {
@@ -135,8 +135,8 @@
                 Ok(Response::new(encode(stream::iter([Ok(row(text))]).chain(more).boxed())))
             }
             Ok(LeafResponse::Unreadable) => {
-                let noise = FlightData { data_header: "noise".into(), ..FlightData::default() };
-                Ok(Response::new(stream::iter([Ok(noise)]).boxed()))
+                let malformed = FlightData { data_header: "noise".into(), ..FlightData::default() };
+                Ok(Response::new(stream::iter([Ok(malformed)]).boxed()))
             }
             Ok(LeafResponse::Rejected) => Err(Status::resource_exhausted("full")),
             Ok(LeafResponse::Failed) => Err(Status::internal("broken")),
@@ -191,7 +191,7 @@
 pub struct GatewayAnswer {
     /// The schema's metadata `total`.
     pub complete: String,
-    /// Shards and values.
+    /// Shard and value of each row.
     pub rows: Vec<(u32, String)>,
 }
 
@@ -202,7 +202,7 @@
 }
 
 pub fn ticket(id: &str, shards: &[u32]) -> String {
-    let range = |s: &u32| format!(r#"{{"range":{s},"portion":{}}}"#, 1.0 / shards.len() as f64);
+    let range = |shard: &u32| format!(r#"{{"range":{shard},"portion":{}}}"#, 1.0 / shards.len() as f64);
     let ranges: Vec<String> = shards.iter().map(range).collect();
     format!(r#"{{"id":"{id}","kind":"c","owner":"acme","ranges":[{}],"predicate":"p"}}"#, ranges.join(","))
 }
@@ -215,14 +215,14 @@
         Gateway { runtime, client }
     }
 
-    /// Pulls an answer in the background; it is awaited or cancelled later.
+    /// Requests an answer in the background, which can be awaited or cancelled.
     pub fn pull(&self, ticket: String, deadline: Duration) -> Pull {
         let mut client = self.client.clone();
         let (sender, result) = channel();
         let task = self.runtime.spawn(async move {
             let mut request = Request::new(Ticket { ticket: ticket.into() });
             request.set_timeout(deadline);
-            let _ = sender.send(pull(&mut client, request).await);
+            let _ = sender.send(fetch_answer(&mut client, request).await);
         });
         Pull { task, result }
     }
@@ -234,7 +234,7 @@
     }
 }
 
-/// A pull in flight.
+/// A request in flight.
 pub struct Pull {
     task: tokio::task::JoinHandle<()>,
     result: Receiver<Result<GatewayAnswer, Status>>,
@@ -242,7 +242,7 @@
 
 impl Pull {
     pub fn result(&self) -> Result<GatewayAnswer, Status> {
-        self.result.recv_timeout(PATIENCE).expect("an end in time")
+        self.result.recv_timeout(PATIENCE).expect("a result before the timeout")
     }
 
     pub fn cancel(self) {
@@ -250,20 +250,20 @@
     }
 }
 
-async fn pull(
+async fn fetch_answer(
     client: &mut FlightServiceClient<Channel>,
     request: Request<Ticket>,
 ) -> Result<GatewayAnswer, Status> {
     let stream = client.do_get(request).await?.into_inner();
-    let stream = stream.map_err(|s| FlightError::Tonic(Box::new(s)));
+    let stream = stream.map_err(|status| FlightError::Tonic(Box::new(status)));
     let mut batches = FlightRecordBatchStream::new_from_flight_data(stream);
     let mut rows = Vec::new();
     while let Some(batch) = batches.try_next().await.map_err(Status::from)? {
         let ranges = batch.column(0).as_primitive::<UInt32Type>().values().to_vec();
-        let blobs = batch.column(1).as_string::<i32>().iter().map(|b| b.unwrap_or_default().to_owned());
+        let blobs = batch.column(1).as_string::<i32>().iter().map(|blob| blob.unwrap_or_default().to_owned());
         rows.extend(ranges.into_iter().zip(blobs));
     }
     let schema = batches.schema().expect("a schema");
-    let complete = schema.metadata().get("total").expect("in the metadata").clone();
+    let complete = schema.metadata().get("total").expect("`total` in the metadata").clone();
     Ok(GatewayAnswer { complete, rows })
 }
--- a/tests/common/leaf_setups.rs
+++ b/tests/common/leaf_setups.rs
@@ -1,8 +1,8 @@
-//! Set-ups of an aggregator with a few leaf servers that the test plays.
+//! Setups of an aggregator with a few leaf servers that the test controls.
 
 use super::process::{LeafServer, Listed, Setup, listed};
 
-/// An aggregator with one leaf server for each of the three cells, or fewer.
+/// An aggregator with one leaf server per cell, for the first cells of three.
 pub fn with_leaves(leaves: &[&LeafServer]) -> Setup {
     const NAMES: [&str; 3] = ["s0", "s1", "s2"];
     let mut entries: Vec<Listed> = Vec::new();
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Helpers that several test programs share.
+//! Helpers shared by several test programs.
 #![allow(dead_code)]
 
 pub mod event_rate;
--- a/tests/common/process/client.rs
+++ b/tests/common/process/client.rs
@@ -1,4 +1,4 @@
-//! Stand-in clients of the HTTP API, one connection at a time or as a steady load.
+//! Clients of the HTTP API: a single connection, or a steady load.
 
 use super::waiting::{PATIENCE, wait_until};
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
@@ -55,7 +55,7 @@
         self.response()
     }
 
-    /// The response; none where the connection ends before it begins.
+    /// Returns the response, or `None` if the connection ends before its first byte.
     pub fn try_request(&mut self, bytes: impl AsRef<[u8]>) -> Option<Response> {
         self.stream.get_mut().write_all(bytes.as_ref()).ok()?;
         let ended = self.stream.fill_buf().ok()?.is_empty();
@@ -66,9 +66,9 @@
         let mut head = String::new();
         while !head.ends_with("\r\n\r\n") {
             assert_ne!(
-                self.stream.read_line(&mut head).expect("a reply in time"),
+                self.stream.read_line(&mut head).expect("a response before the timeout"),
                 0,
-                "cut off after {head:?}"
+                "connection closed after {head:?}"
             );
         }
         let status = head.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status");
@@ -79,26 +79,27 @@
             .and_then(|length| length.parse().ok())
             .unwrap_or(0);
         let mut body = vec![0; length];
-        self.stream.read_exact(&mut body).expect("the whole body");
-        response.body = String::from_utf8(body).expect("text");
+        self.stream.read_exact(&mut body).expect("the complete body");
+        response.body = String::from_utf8(body).expect("valid UTF-8");
         response
     }
 
-    /// Closes the connection and waits until the aggregator's kernel knows, whatever the aggregator itself has read.
+    /// Closes the connection and waits until the kernel has closed the aggregator's side too, whether or not the aggregator
+    /// has read the end of the stream.
     pub fn disconnect(self) {
         let ports = |stream: &TcpStream| {
             (stream.peer_addr().expect("open").port(), stream.local_addr().expect("open").port())
         };
         let (remote, local) = ports(self.stream.get_ref());
         drop(self);
-        // `sl local remote state ...`, all in hex; 01 is the state of one that neither side has closed.
+        // `sl local remote state ...`, all in hex; state 01 is ESTABLISHED: neither side has closed the connection.
         let open = |line: &str| {
             let port =
                 |i: usize| u16::from_str_radix(line.split_whitespace().nth(i)?.rsplit(':').next()?, 16).ok();
             let open = line.split_whitespace().nth(3) == Some("01");
             Some(port(1)? == remote && port(2)? == local && open)
         };
-        wait_until("the aggregator's kernel knows that a client has disconnected", || {
+        wait_until("the kernel has registered a client's disconnect", || {
             let table = std::fs::read_to_string("/proc/net/tcp").expect("readable");
             !table.lines().any(|line| open(line) == Some(true))
         });
@@ -108,7 +109,11 @@
     pub fn wait_until_closed(&mut self) {
         let mut rest = Vec::new();
         let end = self.stream.read_to_end(&mut rest);
-        assert!(rest.is_empty(), "{:?} before the end", String::from_utf8_lossy(&rest));
+        assert!(
+            rest.is_empty(),
+            "received {:?} before the connection closed",
+            String::from_utf8_lossy(&rest)
+        );
         assert!(end.is_ok() || end.is_err_and(|e| e.kind() == ErrorKind::ConnectionReset));
     }
 }
@@ -123,14 +128,14 @@
     let client = |number: usize| {
         let running = running.clone();
         thread::spawn(move || {
-            let mut asked = 0;
+            let mut sent = 0;
             let mut failed = 0;
             let mut open_connection = None;
             while running.load(Ordering::SeqCst) {
-                asked += 1;
+                sent += 1;
                 let reuses_connection = number.is_multiple_of(2);
                 let mut client = open_connection.take().unwrap_or_else(|| Client::connect(address));
-                match client.try_request(query(&format!("c{number}-{asked}"), "5000m", &[0])) {
+                match client.try_request(query(&format!("c{number}-{sent}"), "5000m", &[0])) {
                     Some(reply) => {
                         failed += u64::from(reply.status != 200);
                         let closes = reply.header("Connection") == Some("close");
@@ -139,7 +144,7 @@
                     // A request may cross the close of an idle connection: it is retried once on a new one.
                     None if reuses_connection => {
                         let reply = Client::connect(address).try_request(query(
-                            &format!("d{number}-{asked}"),
+                            &format!("d{number}-{sent}"),
                             "5000m",
                             &[0],
                         ));
@@ -148,7 +153,7 @@
                     None => failed += 1,
                 }
             }
-            (asked, failed)
+            (sent, failed)
         })
     };
     (0..clients).map(client).collect()
--- a/tests/common/process/discovery.rs
+++ b/tests/common/process/discovery.rs
@@ -1,11 +1,11 @@
-//! A stand-in discovery service whose watches a test plays.
+//! A fake discovery service whose watches the test controls.
 
 use super::leaf_server::accept;
 use super::waiting::PATIENCE;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
 
-/// Discovery's listener; the test plays the service.
+/// The listener of a fake discovery service; the test sends its responses.
 pub struct Discovery {
     pub listener: TcpListener,
 }
@@ -13,7 +13,7 @@
 /// An open watch of the aggregator.
 pub struct Watch {
     stream: BufReader<TcpStream>,
-    /// The request's first line.
+    /// The first line of the request.
     pub request: String,
 }
 
@@ -26,26 +26,26 @@
         self.listener.local_addr().expect("bound").to_string()
     }
 
-    /// The next connection, of which nothing has been read.
+    /// Accepts the next connection without reading from it.
     pub fn accept_raw(&self) -> TcpStream {
         accept(&[&self.listener])
     }
 
-    /// The next watch, its request read and its response begun.
+    /// Accepts the next watch, reads its request and sends the response headers.
     pub fn accept(&self) -> Watch {
         let mut stream = BufReader::new(self.accept_raw());
         let mut head = String::new();
         while !head.ends_with("\r\n\r\n") {
             stream.read_line(&mut head).expect("a request");
         }
-        let head_of_answer = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-        stream.get_mut().write_all(head_of_answer.as_bytes()).expect("the aggregator reads");
+        let response_head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+        stream.get_mut().write_all(response_head.as_bytes()).expect("the aggregator reads");
         Watch { stream, request: head.lines().next().unwrap_or_default().to_owned() }
     }
 }
 
 impl Watch {
-    /// Sends a line of the watch.
+    /// Sends a line as one chunk of the watch's response.
     pub fn send_event(&mut self, line: &str) {
         let chunk = format!("{:x}\r\n{line}\n\r\n", line.len() + 1);
         self.stream.get_mut().write_all(chunk.as_bytes()).expect("the aggregator reads");
--- a/tests/common/process/leaf_server.rs
+++ b/tests/common/process/leaf_server.rs
@@ -1,4 +1,5 @@
-//! Stand-in leaf servers in the platform's frames: played step by step by a test, unreachable, or answering at once.
+//! Fake leaf servers that speak the platform's frame protocol: controlled step by step by a test, unreachable, or answering
+//! immediately.
 
 use super::waiting::PATIENCE;
 use std::io::{self, Read, Write};
@@ -9,7 +10,7 @@
 use std::time::{Duration, Instant};
 use tokio::net::TcpSocket;
 
-/// A leaf server's listener; the test plays the server.
+/// The listener of a fake leaf server; the test sends its responses.
 pub struct LeafServer {
     pub listener: TcpListener,
     pub address: SocketAddr,
@@ -31,23 +32,23 @@
         accept_first(&[self])
     }
 
-    /// One whose listen queue is full until [`BackloggedLeafServer::clear`]: a dial to it hangs.
+    /// A leaf server whose listen queue is full until [`BackloggedLeafServer::clear`]: connecting to it hangs.
     pub fn backlogged() -> BackloggedLeafServer {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-        let _inside = runtime.enter();
+        let _guard = runtime.enter();
         let socket = TcpSocket::new_v4().expect("a socket");
         socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
         let listener = socket.listen(0).expect("listens").into_std().expect("open");
         let address = listener.local_addr().expect("bound");
         let mut filler = Vec::new();
-        // The queue holds one more than it is told to; a dial that is not through at once never will be.
+        // The queue holds one connection more than the backlog; a connect that does not succeed at once never will.
         while let Ok(stream) = TcpStream::connect_timeout(&address, Duration::from_millis(100)) {
             filler.push(stream);
         }
         BackloggedLeafServer { server: LeafServer { listener, address }, filler }
     }
 
-    /// A connection that has been made, if any.
+    /// Accepts a connection if one is pending.
     pub fn try_accept(&self) -> Option<LeafConnection> {
         self.listener.set_nonblocking(true).expect("set");
         let (stream, _) = self.listener.accept().ok()?;
@@ -64,7 +65,7 @@
 }
 
 impl BackloggedLeafServer {
-    /// Empties the queue: dials succeed when the kernel next retries them, within a second.
+    /// Empties the queue: pending connects succeed when the kernel next retries them, within a second.
     pub fn clear(&mut self) {
         for _ in self.filler.drain(..) {
             drop(self.server.accept());
@@ -72,15 +73,15 @@
     }
 }
 
-/// The next connection to any of some leaf servers.
+/// Accepts the next connection to any of these leaf servers.
 pub fn accept_first(leaf_servers: &[&LeafServer]) -> LeafConnection {
     let listeners: Vec<&TcpListener> = leaf_servers.iter().map(|server| &server.listener).collect();
     LeafConnection { stream: accept(&listeners) }
 }
 
-/// The next connection to any of some listeners.
+/// Accepts the next connection to any of these listeners.
 pub(super) fn accept(listeners: &[&TcpListener]) -> TcpStream {
-    let give_up_at = Instant::now() + PATIENCE;
+    let timeout_at = Instant::now() + PATIENCE;
     for listener in listeners {
         listener.set_nonblocking(true).expect("set");
     }
@@ -90,23 +91,23 @@
             stream.set_read_timeout(Some(PATIENCE)).expect("set");
             return stream;
         }
-        assert!(Instant::now() < give_up_at, "the aggregator never connects");
+        assert!(Instant::now() < timeout_at, "the aggregator did not connect before the timeout");
         thread::sleep(Duration::from_millis(1));
     }
 }
 
 impl LeafConnection {
-    /// The next frame, letter and rest; none at the end of the connection.
+    /// Reads the next frame as its letter and the rest; `None` at the end of the connection.
     pub fn next_frame(&mut self) -> Option<(char, String)> {
         let mut length = [0; 4];
         self.stream.read_exact(&mut length).ok()?;
         let mut frame = vec![0; u32::from_be_bytes(length) as usize];
         self.stream.read_exact(&mut frame).ok()?;
-        let rest = String::from_utf8(frame.split_off(1)).expect("text");
+        let rest = String::from_utf8(frame.split_off(1)).expect("valid UTF-8");
         Some((char::from(frame[0]), rest))
     }
 
-    /// Whether anything can be read.
+    /// Whether data is available to read.
     pub fn has_frame(&self) -> bool {
         self.stream.set_nonblocking(true).expect("set");
         let readable = matches!(self.stream.peek(&mut [0]), Ok(1));
@@ -122,9 +123,9 @@
         self.stream.write_all(&frame).expect("the aggregator reads");
     }
 
-    /// The id of the part that the next frame brings.
+    /// Reads the next frame, which must be a part, and returns the part's id.
     pub fn next_part(&mut self) -> String {
-        let (letter, rest) = self.next_frame().expect("a call");
+        let (letter, rest) = self.next_frame().expect("a frame");
         assert_eq!(letter, 'm', "{rest}");
         rest.split(' ').next().expect("an id").to_owned()
     }
@@ -142,13 +143,13 @@
         self.stream.write_all(&frame)
     }
 
-    /// Answers a part: `good`, `bad` for an error, `later` for a rejection.
+    /// Answers a part; `outcome` is `good`, `bad` for an error, or `later` for a rejection.
     pub fn answer(&mut self, part: &str, outcome: &str, value: &str) {
         self.send_frame('q', &format!("{part} {outcome} 17 -\n{value}"));
     }
 }
 
-/// A leaf server that answers every part at once and counts them.
+/// A leaf server that answers every part immediately and counts them.
 pub struct AnsweringLeafServer {
     pub address: SocketAddr,
     parts: Arc<AtomicU64>,
@@ -159,16 +160,16 @@
         let server = LeafServer::new();
         let address = server.address;
         let parts = Arc::new(AtomicU64::new(0));
-        let counted = parts.clone();
+        let counter = parts.clone();
         thread::spawn(move || {
             for stream in server.listener.incoming().map_while(Result::ok) {
-                let counted = counted.clone();
+                let counter = counter.clone();
                 let mut connection = LeafConnection { stream };
                 thread::spawn(move || {
                     while let Some((letter, rest)) = connection.next_frame() {
                         match letter {
                             'm' => {
-                                counted.fetch_add(1, Ordering::SeqCst);
+                                counter.fetch_add(1, Ordering::SeqCst);
                                 connection.answer(rest.split(' ').next().expect("an id"), "good", "v");
                             }
                             'p' => connection.send_frame('p', "-"),
--- a/tests/common/process/mod.rs
+++ b/tests/common/process/mod.rs
@@ -1,6 +1,6 @@
-//! The real program as a process, and what it talks to: clients, leaf servers and discovery, each as small as the tests
-//! allow. Waits are for events; ports are the system's choice.
-// Each test program uses a part of this.
+//! Runs the real program as a process with minimal fake peers: clients, leaf servers and discovery. Tests wait for events
+//! rather than fixed times, and the operating system assigns the ports.
+// Each test program uses only some of these items.
 #![allow(unused_imports)]
 
 mod client;
--- a/tests/common/process/program.rs
+++ b/tests/common/process/program.rs
@@ -13,7 +13,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A new directory for one test, or one process of it.
+/// Creates a new directory for a test or for one of its processes.
 pub fn scratch_dir(name: &str) -> PathBuf {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let unique = format!("{name}-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
@@ -22,25 +22,25 @@
     dir
 }
 
-/// A running aggregator; killed when dropped.
+/// A running aggregator process, which is killed on drop.
 pub struct Aggregator {
     child: Child,
-    /// Its configuration's file.
+    /// The path of its configuration file.
     pub config: PathBuf,
-    /// Where clients connect.
+    /// The address for clients.
     pub address: SocketAddr,
     log_lines: Receiver<String>,
-    /// The lines of the log that have been read so far.
+    /// The log lines read so far.
     seen: Vec<String>,
 }
 
-/// The program; an example finds it beside its own directory.
+/// Path of the program. An example, which has no path from Cargo, finds it in the parent of its own directory.
 pub fn binary() -> PathBuf {
-    let beside = || std::env::current_exe().expect("a path").with_file_name("../sailmux");
-    option_env!("CARGO_BIN_EXE_sailmux").map_or_else(beside, PathBuf::from)
+    let next_to_example = || std::env::current_exe().expect("a path").with_file_name("../sailmux");
+    option_env!("CARGO_BIN_EXE_sailmux").map_or_else(next_to_example, PathBuf::from)
 }
 
-/// Starts the program with a configuration, and an operator's file if there is one.
+/// Starts the program with a configuration and, if given, an operator file.
 pub fn spawn(config: &str, operator: Option<&str>) -> Child {
     spawn_in(&scratch_dir("aggregator"), config, operator, None)
 }
@@ -73,21 +73,22 @@
         let (sender, log_lines) = channel();
         let stderr = BufReader::new(child.stderr.take().expect("piped"));
         thread::spawn(move || stderr.lines().map_while(Result::ok).try_for_each(|line| sender.send(line)));
-        let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
+        let unknown_address = SocketAddr::from(([127, 0, 0, 1], 0));
         let config = dir.join("config.json");
-        let mut aggregator = Aggregator { child, config, address: nowhere, log_lines, seen: Vec::new() };
+        let mut aggregator =
+            Aggregator { child, config, address: unknown_address, log_lines, seen: Vec::new() };
         let address = aggregator.wait_for_log("serving on ");
         aggregator.address = address.parse().expect("an address");
         aggregator
     }
 
-    /// A start that fails; its exit status.
+    /// Starts the program, expects it to exit, and returns its exit status.
     pub fn start_expecting_failure(config: &str, setup: &Setup) -> ExitStatus {
         let mut child = spawn_in(&scratch_dir("aggregator"), config, None, setup.tmp_dir.as_deref());
-        child.wait().expect("it ended")
+        child.wait().expect("the process has exited")
     }
 
-    /// Waits for a line of the log that contains the words and returns what follows them; lines already seen count too.
+    /// Waits for a log line that contains `words` and returns what follows them; lines already read count too.
     pub fn wait_for_log(&mut self, words: &str) -> String {
         let after = |line: &String| line.split_once(words).map(|(_, after)| after.to_owned());
         if let Some(found) = self.seen.iter().find_map(after) {
@@ -95,7 +96,7 @@
         }
         loop {
             let line = self.log_lines.recv_timeout(PATIENCE);
-            let line = line.unwrap_or_else(|_| panic!("the log never said {words:?}: {:#?}", self.seen));
+            let line = line.unwrap_or_else(|_| panic!("no log line contains {words:?}: {:#?}", self.seen));
             self.seen.push(line.clone());
             if let Some(found) = after(&line) {
                 return found;
@@ -103,32 +104,33 @@
         }
     }
 
-    /// Waits for a line that comes from now on, past all that has been waited for before.
+    /// Waits for a log line with `words` that has not been read before.
     pub fn wait_for_new_log(&mut self, words: &str) -> String {
         self.wait_for_either_log(words, words)
     }
 
-    /// The same for a line with either words.
+    /// Waits for a log line with `words` or `others` that has not been read before.
     pub fn wait_for_either_log(&mut self, words: &str, others: &str) -> String {
-        let give_up_at = Instant::now() + PATIENCE;
-        while Instant::now() < give_up_at {
+        let timeout_at = Instant::now() + PATIENCE;
+        while Instant::now() < timeout_at {
             let line = self.log_lines.recv_timeout(PATIENCE);
-            let line = line.unwrap_or_else(|_| panic!("the log never said {words:?} anew: {:#?}", self.seen));
+            let line =
+                line.unwrap_or_else(|_| panic!("no new log line contains {words:?}: {:#?}", self.seen));
             self.seen.push(line.clone());
             if line.contains(words) || line.contains(others) {
                 return line;
             }
         }
-        panic!("the log never said {words:?} anew: {:#?}", self.seen)
+        panic!("no new log line contains {words:?}: {:#?}", self.seen)
     }
 
-    /// All lines of the log up to now.
+    /// All log lines so far.
     pub fn log(&mut self) -> &[String] {
         self.seen.extend(self.log_lines.try_iter());
         &self.seen
     }
 
-    /// An admin command on the admin address; the status of its response.
+    /// Sends a command to the admin address and returns the status of the response.
     pub fn send_admin_command(&mut self, call: &str) -> u16 {
         let admin: SocketAddr = self.wait_for_log("admin interface on ").parse().expect("an address");
         Client::connect(admin)
@@ -141,12 +143,12 @@
         Client::connect(self.address).request("GET /healthz HTTP/1.1\r\n\r\n").status
     }
 
-    /// Where the aggregator serves Flight.
+    /// The address of the aggregator's Flight server.
     pub fn flight_address(&mut self) -> String {
         self.wait_for_log("Flight server on ")
     }
 
-    /// The counters as they stand.
+    /// The current counters, without the prefix `sailmux_`.
     pub fn counters(&self) -> HashMap<String, u64> {
         let reply = Client::connect(self.address).request("GET /metrics HTTP/1.1\r\n\r\n");
         let lines = reply.body.lines().filter(|line| !line.starts_with('#'));
@@ -157,18 +159,18 @@
         lines.filter_map(pair).collect()
     }
 
-    /// Waits until a counter has reached a number.
+    /// Waits until a counter is at least `number`.
     pub fn wait_for_counter(&self, counter: &str, number: u64) {
-        let give_up_at = Instant::now() + PATIENCE;
+        let timeout_at = Instant::now() + PATIENCE;
         while self.counters()[counter] < number {
-            assert!(Instant::now() < give_up_at, "{counter} never reached {number}: {:#?}", self.counters());
+            assert!(Instant::now() < timeout_at, "{counter} did not reach {number}: {:#?}", self.counters());
             thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// Waits until all clients are known to have disconnected, except the one that asks.
+    /// Waits until the counters show that all clients have disconnected, except the one that requests the counters.
     pub fn wait_until_clients_disconnected(&self) {
-        wait_until("all other clients are known to have disconnected", || {
+        wait_until("the aggregator has registered the disconnects of all other clients", || {
             let counters = self.counters();
             counters["clients_opened"] - counters["clients_closed"] == 1
         });
@@ -179,14 +181,14 @@
         assert!(Command::new("kill").args([signal, &id]).status().expect("kill runs").success());
     }
 
-    /// Stops the whole process until [`Self::resume`]; what arrives meanwhile waits in the kernel.
+    /// Stops the process until [`Self::resume`]; the kernel buffers what arrives meanwhile.
     pub fn pause(&self) {
         self.signal("-STOP");
         let status = format!("/proc/{}/status", self.child.id());
         let state = || std::fs::read_to_string(&status).unwrap_or_default();
-        let give_up_at = Instant::now() + PATIENCE;
+        let timeout_at = Instant::now() + PATIENCE;
         while !state().contains("State:\tT") {
-            assert!(Instant::now() < give_up_at, "the aggregator does not stop: {}", state());
+            assert!(Instant::now() < timeout_at, "the aggregator did not stop: {}", state());
             thread::sleep(Duration::from_millis(1));
         }
     }
@@ -196,7 +198,7 @@
         self.signal("-CONT");
     }
 
-    /// The memory that the process holds, in KB.
+    /// Resident memory of the process in KB.
     pub fn memory_kb(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap_or_default();
         let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).unwrap_or("0 kB");
@@ -204,21 +206,21 @@
     }
 
     pub fn is_running(&mut self) -> bool {
-        self.child.try_wait().expect("it can be waited for").is_none()
+        self.child.try_wait().expect("the process can be waited for").is_none()
     }
 
     pub fn kill(&mut self) {
-        self.child.kill().expect("it ran");
-        self.child.wait().expect("it ended");
+        self.child.kill().expect("the process was running");
+        self.child.wait().expect("the process has exited");
     }
 
-    /// Waits for the end of the process; the log is complete by then.
+    /// Waits for the process to exit; its log is complete by then.
     pub fn wait_for_exit(&mut self) -> ExitStatus {
-        let give_up_at = Instant::now() + PATIENCE;
+        let timeout_at = Instant::now() + PATIENCE;
         loop {
-            match self.child.try_wait().expect("it can be waited for") {
+            match self.child.try_wait().expect("the process can be waited for") {
                 Some(status) => return status,
-                None => assert!(Instant::now() < give_up_at, "the aggregator never ended"),
+                None => assert!(Instant::now() < timeout_at, "the aggregator did not exit"),
             }
             thread::sleep(Duration::from_millis(5));
         }
--- a/tests/common/process/setup.rs
+++ b/tests/common/process/setup.rs
@@ -1,4 +1,4 @@
-//! What an aggregator is started with: the endpoint list, the platform's configuration, and addresses.
+//! The setup of an aggregator: the endpoint list, the platform's configuration, and addresses.
 
 use super::program::{Aggregator, scratch_dir};
 use std::net::SocketAddr;
@@ -6,23 +6,23 @@
 use std::sync::OnceLock;
 use tokio::net::TcpSocket;
 
-/// One leaf server of discovery's list.
+/// An endpoint of discovery's list.
 #[derive(Clone)]
 pub struct Listed {
     pub name: &'static str,
     pub address: String,
     pub cell: u32,
     pub lifecycle: &'static str,
-    /// Unix time in milliseconds; 0 where it is not known.
+    /// Start time as Unix time in milliseconds; 0 if unknown.
     pub started: u64,
 }
 
-/// A leaf server that is ready, of unknown age.
+/// An endpoint with the lifecycle `Ready` and an unknown start time.
 pub fn listed(name: &'static str, address: impl ToString, cell: u32) -> Listed {
     Listed { name, address: address.to_string(), cell, lifecycle: "Ready", started: 0 }
 }
 
-/// An endpoint list as discovery sends it; `reset` says that it is complete.
+/// An endpoint list as discovery sends it; `reset` marks it as complete.
 pub fn list(generation: u64, reset: bool, leaf_servers: &[Listed]) -> String {
     let row = |listed: &Listed| {
         format!(
@@ -34,8 +34,8 @@
     format!(r#"{{"generation":{generation},"reset":{reset},"instances":[{}]}}"#, rows.join(","))
 }
 
-/// An address that refuses connections as long as this process runs: bound, and never listened at. A port that was
-/// only given back goes to the next aggregator here, which would then count calls that were meant for discovery.
+/// An address that refuses connections while this process runs: the socket is bound but never listens. A released port
+/// could be assigned to the next aggregator here, which would then count calls that were meant for discovery.
 pub fn unreachable_address() -> SocketAddr {
     static BOUND: OnceLock<TcpSocket> = OnceLock::new();
     let bind = || {
@@ -46,7 +46,7 @@
     BOUND.get_or_init(bind).local_addr().expect("bound")
 }
 
-/// A port that several processes of one aggregator may listen at: bound, and never listened at here.
+/// A port on which several processes of one aggregator can listen: the socket is bound but never listens here.
 pub fn shared_port() -> TcpSocket {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.set_reuseport(true).expect("set");
@@ -54,7 +54,7 @@
     socket
 }
 
-/// What an aggregator is started with.
+/// The setup of an aggregator.
 #[derive(Clone)]
 pub struct Setup {
     pub known_list: String,
@@ -66,14 +66,14 @@
     pub health_checks: bool,
     pub operator: Option<String>,
     pub listen: SocketAddr,
-    /// With an admin address.
+    /// Whether the configuration has an admin address.
     pub has_admin_address: bool,
-    /// The directory for temporary files, where processes of one aggregator share it; else each has its own.
+    /// The directory for temporary files that processes of one aggregator share; `None` gives each process its own.
     pub tmp_dir: Option<PathBuf>,
 }
 
 impl Setup {
-    /// One aggregator that knows these leaf servers and has no discovery.
+    /// An aggregator with these leaf servers in its configuration and an unreachable discovery service.
     pub fn new(leaf_servers: &[Listed]) -> Self {
         Setup {
             known_list: list(1, true, leaf_servers),
@@ -90,7 +90,8 @@
         }
     }
 
-    /// One that several processes can be started with: one address, one directory, an admin address each.
+    /// A setup for several processes of one aggregator: they share the address and the directory, and each has its own admin
+    /// address.
     pub fn shared(self, port: &TcpSocket) -> Self {
         let listen = port.local_addr().expect("bound");
         Setup { listen, has_admin_address: true, tmp_dir: Some(scratch_dir("tmp")), ..self }
@@ -127,7 +128,7 @@
         )
     }
 
-    /// Starts a process and waits until it serves.
+    /// Starts a process and waits until it accepts clients.
     pub fn start(&self) -> Aggregator {
         Aggregator::start_in(&self.config(), self.operator.as_deref(), self.tmp_dir.as_deref())
     }
--- a/tests/common/process/waiting.rs
+++ b/tests/common/process/waiting.rs
@@ -1,24 +1,24 @@
-//! Waiting for what happens in other threads and processes, with one bound for all waits.
+//! Waits for events in other threads and processes, with one timeout for all waits.
 
 use std::sync::mpsc::{Sender, channel};
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The longest wait for anything: whatever takes longer has failed.
+/// Timeout of every wait of a test.
 pub const PATIENCE: Duration = Duration::from_secs(15);
 
 /// Polls until the condition holds; panics with its description after [`PATIENCE`].
 pub fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
-    let give_up_at = Instant::now() + PATIENCE;
+    let timeout_at = Instant::now() + PATIENCE;
     while !condition() {
-        assert!(Instant::now() < give_up_at, "never: {description}");
+        assert!(Instant::now() < timeout_at, "timed out waiting until {description}");
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// Runs work on a thread of its own; the returned function waits for its result for [`PATIENCE`].
+/// Runs work on a new thread; the returned function waits up to [`PATIENCE`] for its result.
 pub fn background<T: Send + 'static>(work: impl FnOnce() -> T + Send + 'static) -> impl FnOnce() -> T {
     let (sender, receiver): (Sender<T>, _) = channel();
     thread::spawn(move || sender.send(work()));
-    move || receiver.recv_timeout(PATIENCE).expect("done in time")
+    move || receiver.recv_timeout(PATIENCE).expect("a result before the timeout")
 }
--- a/tests/common/timeline.rs
+++ b/tests/common/timeline.rs
@@ -1,8 +1,8 @@
-//! Events of several processes as text: a column a process, a row an event, on one clock.
+//! Events of several processes as a text table on one clock: one column per process, one row per event.
 
 use std::fmt;
 
-/// One event.
+/// An event of a process.
 #[derive(Clone, Debug)]
 struct Row {
     at_ms: f64,
@@ -10,7 +10,7 @@
     text: String,
 }
 
-/// What happened, where and when.
+/// Events of several processes, in order of insertion.
 #[derive(Clone, Debug, Default)]
 pub struct Timeline {
     names: Vec<&'static str>,
