--- a/examples/ledger_cost.rs
+++ b/examples/ledger_cost.rs
@@ -102,7 +102,7 @@
 /// The latencies of complete answers to three clients, in ms, in ascending order.
 fn answer_latencies(ledger: Option<&str>, seconds: f64) -> Vec<f64> {
     let fleet = LeafFleet::new(6);
-    let endpoints = fleet.listed();
+    let endpoints = fleet.listed_endpoints();
     let operator =
         ledger.map(|mode| format!("ledger: {{dir: {}, mode: {mode}}}\n", scratch_dir("answers").display()));
     let aggregator = Setup { operator, ..Setup::new(&endpoints) }.start();
--- a/tests/aggregator_process.rs
+++ b/tests/aggregator_process.rs
@@ -10,11 +10,11 @@
 fn draining_leaf_gets_no_new_parts() {
     let (a, b) = (LeafServer::new(), LeafServer::new());
     let discovery = Discovery::new();
-    let setup = Setup { discovery: discovery.address(), ..with_two_holders(&a, &b) };
+    let setup = Setup { discovery: discovery.address(), ..with_two_replicas(&a, &b) };
     let aggregator = setup.start();
     let mut watch = discovery.accept();
     assert_eq!(watch.request, "GET /v1/servers?watch=1&after=1 HTTP/1.1");
-    let draining = Listed { lifecycle: "Terminating", ..listed("a", a.address, 0) };
+    let draining = ListedEndpoint { lifecycle: "Terminating", ..listed_endpoint("a", a.address, 0) };
     watch.send_event("");
     watch.send_event(&list(2, false, &[draining]));
     aggregator.wait_for_counter("lists_taken", 2);
@@ -47,7 +47,7 @@
     drop(second);
     let mut third = discovery.accept();
     // The list is complete, so leaf server a is removed; b holds its shard.
-    third.send_event(&list(3, true, &[listed("b", b.address, 0)]));
+    third.send_event(&list(3, true, &[listed_endpoint("b", b.address, 0)]));
     aggregator.wait_for_counter("lists_taken", 3);
     let mut client = Client::connect(aggregator.address);
     client.send(query("q1", "9000m", &[0]));
@@ -71,7 +71,7 @@
     let aggregator = Aggregator::start(&config, None);
     let mut watch = discovery.accept();
     for (i, name) in ["b", "c"].into_iter().enumerate() {
-        watch.send_event(&list(i as u64 + 2, true, &[listed(name, leaves[i + 1].address, 0)]));
+        watch.send_event(&list(i as u64 + 2, true, &[listed_endpoint(name, leaves[i + 1].address, 0)]));
         aggregator.wait_for_counter("lists_taken", i as u64 + 2);
         std::thread::sleep(Duration::from_millis(50));
         watch.send_event(&list(i as u64 + 2, false, &[]));
@@ -162,7 +162,7 @@
     let mut second = new.accept();
     assert!(second.request.contains("after=7"), "{}", second.request);
     // Started long ago: a leaf server that is warming up is drawn only occasionally, which may take longer than the test.
-    let warm = Listed { started: 1, ..listed("b", b.address, 1) };
+    let warm = ListedEndpoint { started: 1, ..listed_endpoint("b", b.address, 1) };
     second.send_event(&list(8, false, &[warm]));
     aggregator.wait_for_counter("lists_taken", 3);
     connection.answer(&part, "good", "v");
--- a/tests/client_connections.rs
+++ b/tests/client_connections.rs
@@ -36,7 +36,7 @@
 #[test]
 fn idempotency_key_is_sent_with_every_attempt() {
     let (a, b) = (LeafServer::new(), LeafServer::new());
-    let aggregator = with_two_holders(&a, &b).start();
+    let aggregator = with_two_replicas(&a, &b).start();
     let keyed = |id: &str, key: &str| {
         query(id, "9000m", &[0]).replace("Req-Owner", &format!("Idempotency-Key: {key}\r\nReq-Owner"))
     };
--- a/tests/common/faulty.rs
+++ b/tests/common/faulty.rs
@@ -9,7 +9,7 @@
 
 /// How a machine crashes.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Down {
+pub enum Crash {
     /// The process is killed: all written data remains.
     Kill,
     /// Power is lost: only synced data remains, plus this number of bytes of the unsynced data.
@@ -44,19 +44,19 @@
 
 impl FaultyDisk {
     /// Sets the step, counted from now, at which the machine crashes.
-    pub fn stop_at(&self, step: usize) {
+    pub fn crash_at(&self, step: usize) {
         let mut state = self.0.borrow_mut();
         state.steps = 0;
         state.crash_step = Some(step);
     }
 
-    /// Number of steps since the last [`FaultyDisk::stop_at`].
+    /// Number of steps since the last [`FaultyDisk::crash_at`].
     pub fn steps(&self) -> usize {
         self.0.borrow().steps
     }
 
     /// Whether the machine has crashed.
-    pub fn stopped(&self) -> bool {
+    pub fn has_crashed(&self) -> bool {
         self.0.borrow().has_crashed
     }
 
@@ -66,19 +66,19 @@
     }
 
     /// The disk as the next process finds it after a crash of this kind.
-    pub fn after(&self, down: Down) -> FaultyDisk {
+    pub fn after(&self, crash: Crash) -> FaultyDisk {
         let state = self.0.borrow();
-        let names = if down == Down::Kill { &state.names } else { &state.synced_names };
+        let names = if crash == Crash::Kill { &state.names } else { &state.synced_names };
         let mut recovered = DiskState::default();
         for (name, index) in names {
             let file = &state.files[*index];
-            let content = match down {
-                Down::Kill => file.written.clone(),
-                Down::Power(unsynced_bytes) if file.written.starts_with(&file.synced) => {
+            let content = match crash {
+                Crash::Kill => file.written.clone(),
+                Crash::Power(unsynced_bytes) if file.written.starts_with(&file.synced) => {
                     let torn_bytes = (file.written.len() - file.synced.len()).min(unsynced_bytes);
                     file.written[..file.synced.len() + torn_bytes].to_vec()
                 }
-                Down::Power(_) => file.synced.clone(),
+                Crash::Power(_) => file.synced.clone(),
             };
             recovered.names.insert(name.clone(), recovered.files.len());
             recovered.files.push(File { written: content.clone(), synced: content });
@@ -88,7 +88,7 @@
     }
 
     /// Flips one bit of the byte at `offset` of a file.
-    pub fn rot(&self, name: &str, offset: usize) {
+    pub fn flip_bit(&self, name: &str, offset: usize) {
         let mut state = self.0.borrow_mut();
         let index = state.names[name];
         state.files[index].written[offset] ^= 0x40;
--- a/tests/common/fleet/leaf_fleet.rs
+++ b/tests/common/fleet/leaf_fleet.rs
@@ -1,7 +1,7 @@
 //! Fake leaf servers that check the rules on the parts they receive: none after the grace period of a drain, none for a
 //! shard of another cell, none that is already in flight.
 
-use super::super::process::{LeafConnection, LeafServer, Listed};
+use super::super::process::{LeafConnection, LeafServer, ListedEndpoint};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -54,8 +54,8 @@
     }
 
     /// The endpoints as discovery lists them.
-    pub fn listed(&self) -> Vec<Listed> {
-        let row = |(name, address): (&String, &SocketAddr)| Listed {
+    pub fn listed_endpoints(&self) -> Vec<ListedEndpoint> {
+        let row = |(name, address): (&String, &SocketAddr)| ListedEndpoint {
             name: name.clone().leak(),
             address: address.to_string(),
             cell: self.cell(name),
--- a/tests/common/flight.rs
+++ b/tests/common/flight.rs
@@ -1,6 +1,6 @@
 //! Fake Flight peers: a leaf server and a gateway, each with its own runtime thread.
 
-use super::process::{Listed, PATIENCE, listed};
+use super::process::{ListedEndpoint, WAIT_TIMEOUT, listed_endpoint};
 use arrow_array::cast::AsArray;
 use arrow_array::types::UInt32Type;
 use arrow_array::{ArrayRef, RecordBatch, StringArray};
@@ -31,9 +31,9 @@
     Failed,
     Rejected,
     /// Sends data that cannot be decoded.
-    Unreadable,
+    Malformed,
     /// Sends one row with this value and no end of the answer; the test then closes the connection.
-    Cut(&'static str),
+    Truncated(&'static str),
 }
 
 /// A part that a leaf server has received.
@@ -72,8 +72,8 @@
         FlightLeaf { address, parts, runtime: Some(runtime) }
     }
 
-    pub fn listed(&self, name: &'static str, cell: u32) -> Listed {
-        listed(name, format!("grpc+tcp://{}", self.address), cell)
+    pub fn listed_endpoint(&self, name: &'static str, cell: u32) -> ListedEndpoint {
+        listed_endpoint(name, format!("grpc+tcp://{}", self.address), cell)
     }
 
     pub fn try_part(&self) -> Option<FlightPart> {
@@ -130,11 +130,11 @@
             Ok(LeafResponse::Served(text)) => {
                 Ok(Response::new(encode(stream::iter([Ok(row(text))]).boxed())))
             }
-            Ok(LeafResponse::Cut(text)) => {
+            Ok(LeafResponse::Truncated(text)) => {
                 let more = stream::pending().inspect(move |_| assert!(notify.0.send(()).is_ok()));
                 Ok(Response::new(encode(stream::iter([Ok(row(text))]).chain(more).boxed())))
             }
-            Ok(LeafResponse::Unreadable) => {
+            Ok(LeafResponse::Malformed) => {
                 let malformed = FlightData { data_header: "noise".into(), ..FlightData::default() };
                 Ok(Response::new(stream::iter([Ok(malformed)]).boxed()))
             }
@@ -216,7 +216,7 @@
     }
 
     /// Requests an answer in the background, which can be awaited or cancelled.
-    pub fn pull(&self, ticket: String, deadline: Duration) -> Pull {
+    pub fn start_query(&self, ticket: String, deadline: Duration) -> PendingAnswer {
         let mut client = self.client.clone();
         let (sender, result) = channel();
         let task = self.runtime.spawn(async move {
@@ -224,7 +224,7 @@
             request.set_timeout(deadline);
             let _ = sender.send(fetch_answer(&mut client, request).await);
         });
-        Pull { task, result }
+        PendingAnswer { task, result }
     }
 
     pub fn info(&self, ticket: &str) -> Result<FlightInfo, Status> {
@@ -235,14 +235,14 @@
 }
 
 /// A request in flight.
-pub struct Pull {
+pub struct PendingAnswer {
     task: tokio::task::JoinHandle<()>,
     result: Receiver<Result<GatewayAnswer, Status>>,
 }
 
-impl Pull {
+impl PendingAnswer {
     pub fn result(&self) -> Result<GatewayAnswer, Status> {
-        self.result.recv_timeout(PATIENCE).expect("a result before the timeout")
+        self.result.recv_timeout(WAIT_TIMEOUT).expect("a result before the timeout")
     }
 
     pub fn cancel(self) {
--- a/tests/common/process/client.rs
+++ b/tests/common/process/client.rs
@@ -1,6 +1,6 @@
 //! Clients of the HTTP API: a single connection, or a steady load.
 
-use super::waiting::{PATIENCE, wait_until};
+use super::waiting::{WAIT_TIMEOUT, wait_until};
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
@@ -42,7 +42,7 @@
 impl Client {
     pub fn connect(address: SocketAddr) -> Self {
         let stream = TcpStream::connect(address).expect("the aggregator accepts");
-        stream.set_read_timeout(Some(PATIENCE)).expect("set");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set");
         Client { stream: BufReader::new(stream) }
     }
 
--- a/tests/common/process/discovery.rs
+++ b/tests/common/process/discovery.rs
@@ -1,7 +1,7 @@
 //! A fake discovery service whose watches the test controls.
 
 use super::leaf_server::accept;
-use super::waiting::PATIENCE;
+use super::waiting::WAIT_TIMEOUT;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
 
@@ -53,7 +53,7 @@
 
     /// Waits until the aggregator closes the watch.
     pub fn wait_until_closed(&mut self) {
-        self.stream.get_mut().set_read_timeout(Some(PATIENCE)).expect("set");
+        self.stream.get_mut().set_read_timeout(Some(WAIT_TIMEOUT)).expect("set");
         assert_eq!(self.stream.read(&mut [0; 16]).unwrap_or(0), 0);
     }
 }
--- a/tests/common/process/leaf_server.rs
+++ b/tests/common/process/leaf_server.rs
@@ -1,7 +1,7 @@
 //! Fake leaf servers that speak the platform's frame protocol: controlled step by step by a test, unreachable, or answering
 //! immediately.
 
-use super::waiting::PATIENCE;
+use super::waiting::WAIT_TIMEOUT;
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
@@ -53,7 +53,7 @@
         self.listener.set_nonblocking(true).expect("set");
         let (stream, _) = self.listener.accept().ok()?;
         stream.set_nonblocking(false).expect("set");
-        stream.set_read_timeout(Some(PATIENCE)).expect("set");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set");
         Some(LeafConnection { stream })
     }
 }
@@ -81,14 +81,14 @@
 
 /// Accepts the next connection to any of these listeners.
 pub(super) fn accept(listeners: &[&TcpListener]) -> TcpStream {
-    let timeout_at = Instant::now() + PATIENCE;
+    let timeout_at = Instant::now() + WAIT_TIMEOUT;
     for listener in listeners {
         listener.set_nonblocking(true).expect("set");
     }
     loop {
         if let Some((stream, _)) = listeners.iter().find_map(|listener| listener.accept().ok()) {
             stream.set_nonblocking(false).expect("set");
-            stream.set_read_timeout(Some(PATIENCE)).expect("set");
+            stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set");
             return stream;
         }
         assert!(Instant::now() < timeout_at, "the aggregator did not connect before the timeout");
--- a/tests/common/process/program.rs
+++ b/tests/common/process/program.rs
@@ -2,7 +2,7 @@
 
 use super::client::Client;
 use super::setup::Setup;
-use super::waiting::{PATIENCE, wait_until};
+use super::waiting::{WAIT_TIMEOUT, wait_until};
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -95,7 +95,7 @@
             return found;
         }
         loop {
-            let line = self.log_lines.recv_timeout(PATIENCE);
+            let line = self.log_lines.recv_timeout(WAIT_TIMEOUT);
             let line = line.unwrap_or_else(|_| panic!("no log line contains {words:?}: {:#?}", self.seen));
             self.seen.push(line.clone());
             if let Some(found) = after(&line) {
@@ -111,9 +111,9 @@
 
     /// Waits for a log line with `words` or `others` that has not been read before.
     pub fn wait_for_either_log(&mut self, words: &str, others: &str) -> String {
-        let timeout_at = Instant::now() + PATIENCE;
+        let timeout_at = Instant::now() + WAIT_TIMEOUT;
         while Instant::now() < timeout_at {
-            let line = self.log_lines.recv_timeout(PATIENCE);
+            let line = self.log_lines.recv_timeout(WAIT_TIMEOUT);
             let line =
                 line.unwrap_or_else(|_| panic!("no new log line contains {words:?}: {:#?}", self.seen));
             self.seen.push(line.clone());
@@ -161,7 +161,7 @@
 
     /// Waits until a counter is at least `number`.
     pub fn wait_for_counter(&self, counter: &str, number: u64) {
-        let timeout_at = Instant::now() + PATIENCE;
+        let timeout_at = Instant::now() + WAIT_TIMEOUT;
         while self.counters()[counter] < number {
             assert!(Instant::now() < timeout_at, "{counter} did not reach {number}: {:#?}", self.counters());
             thread::sleep(Duration::from_millis(5));
@@ -186,7 +186,7 @@
         self.signal("-STOP");
         let status = format!("/proc/{}/status", self.child.id());
         let state = || std::fs::read_to_string(&status).unwrap_or_default();
-        let timeout_at = Instant::now() + PATIENCE;
+        let timeout_at = Instant::now() + WAIT_TIMEOUT;
         while !state().contains("State:\tT") {
             assert!(Instant::now() < timeout_at, "the aggregator did not stop: {}", state());
             thread::sleep(Duration::from_millis(1));
@@ -216,7 +216,7 @@
 
     /// Waits for the process to exit; its log is complete by then.
     pub fn wait_for_exit(&mut self) -> ExitStatus {
-        let timeout_at = Instant::now() + PATIENCE;
+        let timeout_at = Instant::now() + WAIT_TIMEOUT;
         loop {
             match self.child.try_wait().expect("the process can be waited for") {
                 Some(status) => return status,
--- a/tests/common/process/setup.rs
+++ b/tests/common/process/setup.rs
@@ -8,7 +8,7 @@
 
 /// An endpoint of discovery's list.
 #[derive(Clone)]
-pub struct Listed {
+pub struct ListedEndpoint {
     pub name: &'static str,
     pub address: String,
     pub cell: u32,
@@ -18,13 +18,13 @@
 }
 
 /// An endpoint with the lifecycle `Ready` and an unknown start time.
-pub fn listed(name: &'static str, address: impl ToString, cell: u32) -> Listed {
-    Listed { name, address: address.to_string(), cell, lifecycle: "Ready", started: 0 }
+pub fn listed_endpoint(name: &'static str, address: impl ToString, cell: u32) -> ListedEndpoint {
+    ListedEndpoint { name, address: address.to_string(), cell, lifecycle: "Ready", started: 0 }
 }
 
 /// An endpoint list as discovery sends it; `reset` marks it as complete.
-pub fn list(generation: u64, reset: bool, leaf_servers: &[Listed]) -> String {
-    let row = |listed: &Listed| {
+pub fn list(generation: u64, reset: bool, leaf_servers: &[ListedEndpoint]) -> String {
+    let row = |listed: &ListedEndpoint| {
         format!(
             r#"{{"instanceId":"{}","hostPort":"{}","zone":"z","machineType":"k","cell":{},"lifecycle":"{}","weight":1.0,"startedAtMs":{}}}"#,
             listed.name, listed.address, listed.cell, listed.lifecycle, listed.started
@@ -74,7 +74,7 @@
 
 impl Setup {
     /// An aggregator with these leaf servers in its configuration and an unreachable discovery service.
-    pub fn new(leaf_servers: &[Listed]) -> Self {
+    pub fn new(leaf_servers: &[ListedEndpoint]) -> Self {
         Setup {
             known_list: list(1, true, leaf_servers),
             discovery: unreachable_address().to_string(),
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -26,7 +26,7 @@
 
 /// Answers the next part that any of the leaf servers receives, and all health checks until then.
 fn answer_next_part(leaf_servers: &[&LeafServer], connections: &mut Vec<LeafConnection>, load_report: &str) {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while Instant::now() < deadline {
         connections.extend(leaf_servers.iter().filter_map(|leaf_server| leaf_server.try_accept()));
         for connection in connections.iter_mut().filter(|connection| connection.has_frame()) {
@@ -63,11 +63,11 @@
 fn an_indented_list_is_applied() {
     let (a, b) = (LeafServer::new(), LeafServer::new());
     let discovery = Discovery::new();
-    let known = Setup::new(&[listed("a", a.address, 0)]);
+    let known = Setup::new(&[listed_endpoint("a", a.address, 0)]);
     let aggregator = Setup { discovery: discovery.address(), ..known }.start();
     let mut watch = discovery.accept();
     watch.send_event("");
-    let update = list(9, false, &[Listed { started: 1, ..listed("b", b.address, 1) }]);
+    let update = list(9, false, &[ListedEndpoint { started: 1, ..listed_endpoint("b", b.address, 1) }]);
     watch.send_event(&update.replace(',', ",\n    ").replace('{', "{\n  "));
     aggregator.wait_for_counter("lists_taken", 2);
     assert_query_answered_by(&aggregator, &b, "q1", 1);
@@ -80,10 +80,10 @@
 fn the_known_list_stays_in_force_until_discovery_sends_a_valid_one() {
     let (a, b) = (LeafServer::new(), LeafServer::new());
     let discovery = Discovery::new();
-    let known = Setup::new(&[listed("a", a.address, 0)]);
+    let known = Setup::new(&[listed_endpoint("a", a.address, 0)]);
     let mut aggregator = Setup { discovery: discovery.address(), ..known }.start();
     // Started long ago: a leaf server in slow start is selected by chance only, which may take longer than the test.
-    let update = list(9, false, &[Listed { started: 1, ..listed("b", b.address, 1) }]);
+    let update = list(9, false, &[ListedEndpoint { started: 1, ..listed_endpoint("b", b.address, 1) }]);
     let chunk = |line: &str| format!("{RESPONSE_HEAD}{:x}\r\n{line}\n\r\n", line.len() + 1);
     for response in [
         "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n".to_owned(),
@@ -131,14 +131,14 @@
 fn a_new_leaf_server_at_the_address_of_a_removed_one_gets_parts() {
     let leaf_server = LeafServer::new();
     let discovery = Discovery::new();
-    let old = listed("old", leaf_server.address, 0);
+    let old = listed_endpoint("old", leaf_server.address, 0);
     let aggregator =
         Setup { discovery: discovery.address(), ..Setup::new(std::slice::from_ref(&old)) }.start();
     let mut watch = discovery.accept();
     let first_connection = assert_query_answered_by(&aggregator, &leaf_server, "q1", 0);
-    let gone = Listed { lifecycle: "Gone", ..old };
+    let gone = ListedEndpoint { lifecycle: "Gone", ..old };
     // Started long ago: a leaf server in slow start is selected by chance only, which may take longer than the test.
-    let new = Listed { started: 1, ..listed("new", leaf_server.address, 0) };
+    let new = ListedEndpoint { started: 1, ..listed_endpoint("new", leaf_server.address, 0) };
     watch.send_event(&list(2, false, &[gone, new]));
     aggregator.wait_for_counter("lists_taken", 2);
     drop(first_connection);
@@ -151,16 +151,16 @@
 fn attempts_at_leaf_servers_in_slow_start_are_counted() {
     let (warm, cold) = (LeafServer::new(), LeafServer::new());
     let discovery = Discovery::new();
-    let known = Setup::new(&[listed("warm", warm.address, 0)]);
+    let known = Setup::new(&[listed_endpoint("warm", warm.address, 0)]);
     let aggregator = Setup { discovery: discovery.address(), ..known }.start();
     let mut watch = discovery.accept();
     let mut client = Client::connect(aggregator.address);
     let mut connections = Vec::new();
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     for i in 0.. {
         if i == 20 {
             assert_eq!(aggregator.counters()["attempts_cold"], 0, "all are warm");
-            watch.send_event(&list(2, false, &[listed("cold", cold.address, 0)]));
+            watch.send_event(&list(2, false, &[listed_endpoint("cold", cold.address, 0)]));
             aggregator.wait_for_counter("lists_taken", 2);
         }
         client.send(query(&format!("q{i}"), "9000m", &[0]));
@@ -181,7 +181,8 @@
     {
         let leaf_server = LeafServer::new();
         let aggregator =
-            Setup { health_checks: true, ..Setup::new(&[listed("a", leaf_server.address, 0)]) }.start();
+            Setup { health_checks: true, ..Setup::new(&[listed_endpoint("a", leaf_server.address, 0)]) }
+                .start();
         let mut client = Client::connect(aggregator.address);
         let mut connections = Vec::new();
         for i in 0.. {
--- a/tests/endings/attempts.rs
+++ b/tests/endings/attempts.rs
@@ -26,8 +26,12 @@
     let mut connection = a.accept();
     assert_eq!(connection.next_part(), "q.0");
     let sent_at = Instant::now();
-    let gone = Listed { lifecycle: "Gone", ..listed("a", a.address, 0) };
-    watch.send_event(&list(2, false, &[gone, Listed { started: 1, ..listed("b", b.server.address, 0) }]));
+    let gone = ListedEndpoint { lifecycle: "Gone", ..listed_endpoint("a", a.address, 0) };
+    watch.send_event(&list(
+        2,
+        false,
+        &[gone, ListedEndpoint { started: 1, ..listed_endpoint("b", b.server.address, 0) }],
+    ));
     aggregator.wait_for_counter("lists_taken", 2);
     connection.answer("q.0", "bad", "");
     aggregator.wait_for_counter("connections_dialled", 2);
--- a/tests/endings/client_disconnects.rs
+++ b/tests/endings/client_disconnects.rs
@@ -63,7 +63,8 @@
     for outcome in ["good", "bad", "later"] {
         for _ in 0..5 {
             let (a, b) = (LeafServer::new(), LeafServer::new());
-            let aggregator = Setup::new(&[listed("a", a.address, 0), listed("b", b.address, 0)]).start();
+            let aggregator =
+                Setup::new(&[listed_endpoint("a", a.address, 0), listed_endpoint("b", b.address, 0)]).start();
             let client = send_query(&aggregator, "q");
             let mut connection = accept_first(&[&a, &b]);
             assert_eq!(connection.next_part(), "q.0");
@@ -117,7 +118,7 @@
 #[test]
 fn a_disconnect_as_the_attempt_times_out_leaves_nothing_in_flight() {
     let (a, b) = (LeafServer::new(), LeafServer::new());
-    let leaf_servers = [listed("a", a.address, 0), listed("b", b.address, 0)];
+    let leaf_servers = [listed_endpoint("a", a.address, 0), listed_endpoint("b", b.address, 0)];
     let aggregator = Setup { deadline_ms: 2400, ..Setup::new(&leaf_servers) }.start();
     let mut client = Client::connect(aggregator.address);
     client.send(query("q", "2400m", &[0]));
--- a/tests/endings/discovery.rs
+++ b/tests/endings/discovery.rs
@@ -71,7 +71,8 @@
                     kept_open.push(stream);
                 }
             }
-            let draining = Listed { lifecycle: "Terminating", ..listed("a", leaf_server.address, 0) };
+            let draining =
+                ListedEndpoint { lifecycle: "Terminating", ..listed_endpoint("a", leaf_server.address, 0) };
             discovery.accept().send_event(&list(3, false, &[draining]));
             aggregator.wait_for_counter("lists_taken", 3);
             (responses, unresponsive_since.elapsed())
@@ -121,11 +122,15 @@
     std::fs::write(&aggregator.config, Setup { discovery: new.address(), ..setup }.config())
         .expect("the configuration can be written");
     aggregator.pause();
-    first.send_event(&list(71, false, &[Listed { started: 1, ..listed("a", a.address, 0) }]));
+    first.send_event(&list(
+        71,
+        false,
+        &[ListedEndpoint { started: 1, ..listed_endpoint("a", a.address, 0) }],
+    ));
     aggregator.signal("-HUP");
     aggregator.resume();
     let mut second = new.accept();
-    second.send_event(&list(5, true, &[Listed { started: 1, ..listed("b", b.address, 0) }]));
+    second.send_event(&list(5, true, &[ListedEndpoint { started: 1, ..listed_endpoint("b", b.address, 0) }]));
     aggregator.wait_for_counter("reloads", 1);
     // Parts are sent only to b from now on.
     let mut client = Client::connect(aggregator.address);
--- a/tests/endings/leaf_connections.rs
+++ b/tests/endings/leaf_connections.rs
@@ -37,11 +37,11 @@
         let mut watch = discovery.accept();
         let mut client = send_query(&aggregator, "q");
         aggregator.wait_for_counter("connections_dialled", 1);
-        let draining = Listed { lifecycle, ..listed("a", slow.server.address, 0) };
+        let draining = ListedEndpoint { lifecycle, ..listed_endpoint("a", slow.server.address, 0) };
         watch.send_event(&list(
             2,
             false,
-            &[draining, Listed { started: 1, ..listed("b", other.address, 0) }],
+            &[draining, ListedEndpoint { started: 1, ..listed_endpoint("b", other.address, 0) }],
         ));
         aggregator.wait_for_counter("lists_taken", 2);
         let draining_since = Instant::now();
--- a/tests/endings/main.rs
+++ b/tests/endings/main.rs
@@ -15,7 +15,7 @@
 
 /// An aggregator with one leaf server, which holds all queried shards.
 fn with_leaf_server(leaf_server: &LeafServer) -> Setup {
-    Setup::new(&[listed("a", leaf_server.address, 0)])
+    Setup::new(&[listed_endpoint("a", leaf_server.address, 0)])
 }
 
 /// Sends and serves a query. The aggregator has handled all earlier input by then.
--- a/tests/http_and_flight.rs
+++ b/tests/http_and_flight.rs
@@ -76,8 +76,8 @@
             LeafResponse::Served(value) => leaf_connection.answer(name, "good", value),
             LeafResponse::Failed => leaf_connection.answer(name, "bad", ""),
             LeafResponse::Rejected => leaf_connection.answer(name, "later", ""),
-            LeafResponse::Unreadable => leaf_connection.send_frame('q', "noise"),
-            LeafResponse::Cut(value) => {
+            LeafResponse::Malformed => leaf_connection.send_frame('q', "noise"),
+            LeafResponse::Truncated(value) => {
                 leaf_connection.send_truncated_frame('q', &format!("{name} good 1 -\n{value}"));
                 self.connections.remove(connection);
             }
@@ -99,10 +99,10 @@
         }
     }
 
-    fn listed(&self, name: &'static str, cell: u32) -> Listed {
+    fn listed_endpoint(&self, name: &'static str, cell: u32) -> ListedEndpoint {
         match self {
-            AnyLeaf::Platform(frames) => listed(name, frames.leaf.address, cell),
-            AnyLeaf::Flight(leaf) => leaf.listed(name, cell),
+            AnyLeaf::Platform(frames) => listed_endpoint(name, frames.leaf.address, cell),
+            AnyLeaf::Flight(leaf) => leaf.listed_endpoint(name, cell),
         }
     }
 
@@ -119,7 +119,7 @@
                 frames.respond(connection, &name, response);
             }
             (AnyLeaf::Flight(leaf), Part::Flight(part)) => {
-                let is_truncated = matches!(response, LeafResponse::Cut(_));
+                let is_truncated = matches!(response, LeafResponse::Truncated(_));
                 part.respond(response);
                 if is_truncated {
                     // Gives the row time to be sent before the connection is closed.
@@ -137,7 +137,7 @@
             (AnyLeaf::Platform(frames), Part::Platform { connection, name }) => {
                 frames.await_cancellation(connection, name);
             }
-            (_, Part::Flight(part)) => part.cancelled.recv_timeout(PATIENCE).expect("not cancelled"),
+            (_, Part::Flight(part)) => part.cancelled.recv_timeout(WAIT_TIMEOUT).expect("not cancelled"),
             _ => unreachable!("a leaf server gets parts of its own protocol"),
         }
     }
@@ -145,7 +145,7 @@
 
 /// Waits for the next part at any of the leaf servers; returns the leaf server's index and the part.
 fn next_part(leaves: &mut [AnyLeaf]) -> (usize, Part) {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     loop {
         for (index, leaf) in leaves.iter_mut().enumerate() {
             if let Some(part) = leaf.try_part() {
@@ -167,7 +167,7 @@
 enum PendingQuery {
     Platform(Client),
     /// The gateway is kept because its connection must outlive the pull.
-    Flight(Box<Gateway>, Pull),
+    Flight(Box<Gateway>, PendingAnswer),
 }
 
 fn send_query(
@@ -185,7 +185,7 @@
         }
         Protocol::Flight => {
             let gateway = Gateway::connect(&aggregator.flight_address());
-            let pull = gateway.pull(ticket(name, shards), Duration::from_millis(deadline_ms));
+            let pull = gateway.start_query(ticket(name, shards), Duration::from_millis(deadline_ms));
             PendingQuery::Flight(Box::new(gateway), pull)
         }
     }
@@ -262,7 +262,7 @@
     ] {
         // Both leaf servers hold shard 0.
         let mut leaves = [AnyLeaf::new(leaf_protocol), AnyLeaf::new(leaf_protocol)];
-        let listed = [leaves[0].listed("a", 0), leaves[1].listed("b", 0)];
+        let listed = [leaves[0].listed_endpoint("a", 0), leaves[1].listed_endpoint("b", 0)];
         let setup = Setup { operator: flight_enabled(), deadline_ms: hard_limit_ms, ..Setup::new(&listed) };
         let mut aggregator = setup.start();
         let outcomes = scenario(&mut aggregator, client_protocol, &mut leaves);
@@ -329,7 +329,7 @@
 fn truncated_answer_counts_as_a_reset() {
     for_all_protocol_pairs(10_000, |aggregator, protocol, leaves| {
         let pending = send_query(aggregator, protocol, "q1", &[0], 9000);
-        respond_next(leaves, LeafResponse::Cut("half"));
+        respond_next(leaves, LeafResponse::Truncated("half"));
         respond_next(leaves, LeafResponse::Served("whole"));
         let outcome = pending.outcome();
         assert_eq!(outcome, answered("whole"));
@@ -343,7 +343,7 @@
 fn malformed_answer_is_a_failed_attempt() {
     for_all_protocol_pairs(10_000, |aggregator, protocol, leaves| {
         let pending = send_query(aggregator, protocol, "q1", &[0], 9000);
-        respond_next(leaves, LeafResponse::Unreadable);
+        respond_next(leaves, LeafResponse::Malformed);
         respond_next(leaves, LeafResponse::Served("whole"));
         let outcome = pending.outcome();
         assert_eq!(outcome, answered("whole"));
@@ -409,14 +409,14 @@
 #[test]
 fn flight_info_contains_the_ticket_and_invalid_tickets_are_rejected() {
     let leaf = LeafServer::new();
-    let setup = Setup { operator: flight_enabled(), ..Setup::new(&[listed("a", leaf.address, 0)]) };
+    let setup = Setup { operator: flight_enabled(), ..Setup::new(&[listed_endpoint("a", leaf.address, 0)]) };
     let mut aggregator = setup.start();
     let gateway = Gateway::connect(&aggregator.flight_address());
     let valid = ticket("q1", &[0]);
     let info = gateway.info(&valid).expect("flight info request failed");
     assert_eq!(info.endpoint[0].ticket.as_ref().expect("endpoint has no ticket").ticket, valid.as_bytes());
     for invalid in ["{", &ticket("q 1", &[0])] {
-        let result = gateway.pull(invalid.to_owned(), PATIENCE).result();
+        let result = gateway.start_query(invalid.to_owned(), WAIT_TIMEOUT).result();
         assert_eq!(result.err().expect("invalid ticket was accepted").code(), tonic::Code::InvalidArgument);
     }
     assert_eq!(aggregator.counters()["queries_malformed"], 2);
@@ -426,9 +426,10 @@
 fn health_checks_are_answered_over_both_protocols() {
     for protocol in [Protocol::Platform, Protocol::Flight] {
         let mut leaves = [AnyLeaf::new(protocol)];
-        let aggregator = Setup { health_checks: true, ..Setup::new(&[leaves[0].listed("a", 0)]) }.start();
+        let aggregator =
+            Setup { health_checks: true, ..Setup::new(&[leaves[0].listed_endpoint("a", 0)]) }.start();
         let mut client = Client::connect(aggregator.address);
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         // Only some of the replica choices trigger a health check.
         for i in 0.. {
             client.send(query(&format!("q{i}"), "9000m", &[0]));
--- a/tests/inventory_load.rs
+++ b/tests/inventory_load.rs
@@ -234,7 +234,7 @@
         "inventory:\n  discovery: true\n  files:\n    - path: {0}/n.yaml\n    - path: {0}/drains.csv\n      partial: true\n",
         dir.display()
     );
-    let known = fleet.listed();
+    let known = fleet.listed_endpoints();
     let setup = Setup { operator: Some(operator), discovery: discovery.address(), ..Setup::new(&known) };
     let mut aggregator = setup.start();
     let mut watch = discovery.accept();
@@ -245,7 +245,7 @@
     fleet.record_drain("s00");
     aggregator.wait_for_new_log("drained=1");
     // Discovery removes a server that is ready by the files: it stays removed.
-    let gone = Listed { lifecycle: "Gone", ..known[4].clone() };
+    let gone = ListedEndpoint { lifecycle: "Gone", ..known[4].clone() };
     watch.send_event(&list(3, false, &[gone]));
     fleet.record_drain("s04");
     sleep(Duration::from_millis(300));
--- a/tests/leaf_connections.rs
+++ b/tests/leaf_connections.rs
@@ -12,7 +12,7 @@
 #[test]
 fn cancellation_is_written_before_the_next_attempt_is_sent() {
     let (a, b) = (LeafServer::new(), LeafServer::new());
-    let aggregator = Setup { deadline_ms: 2400, ..with_two_holders(&a, &b) }.start();
+    let aggregator = Setup { deadline_ms: 2400, ..with_two_replicas(&a, &b) }.start();
     let mut client = Client::connect(aggregator.address);
     client.send(query("q1", "2400m", &[0]));
     let mut connections = [accept_first(&[&a, &b]), accept_first(&[&a, &b])];
@@ -52,7 +52,7 @@
     ];
     for (counter, respond) in cases {
         let (a, b) = (LeafServer::new(), LeafServer::new());
-        let aggregator = with_two_holders(&a, &b).start();
+        let aggregator = with_two_replicas(&a, &b).start();
         let mut client = Client::connect(aggregator.address);
         client.send(query("q1", "9000m", &[0]));
         let mut first = accept_first(&[&a, &b]);
@@ -75,7 +75,8 @@
 fn part_is_sent_elsewhere_after_a_refused_connection() {
     let leaf = LeafServer::new();
     let aggregator =
-        Setup::new(&[listed("a", unreachable_address(), 0), listed("b", leaf.address, 0)]).start();
+        Setup::new(&[listed_endpoint("a", unreachable_address(), 0), listed_endpoint("b", leaf.address, 0)])
+            .start();
     let serve = background(move || {
         let mut connection = leaf.accept();
         while let Some((_, rest)) = connection.next_frame() {
@@ -231,7 +232,7 @@
         ("-", "\u{7f}noise that names a length", 0),
     ] {
         let (a, b) = (LeafServer::new(), LeafServer::new());
-        let aggregator = with_two_holders(&a, &b).start();
+        let aggregator = with_two_replicas(&a, &b).start();
         let mut client = Client::connect(aggregator.address);
         client.send(query("q1", "9000m", &[0]));
         let mut connection = accept_first(&[&a, &b]);
--- a/tests/ledger.rs
+++ b/tests/ledger.rs
@@ -134,26 +134,26 @@
 fn crash_at_any_disk_operation_loses_no_committed_entry_and_exports_each_once() {
     let steps = {
         let disk = FaultyDisk::default();
-        disk.stop_at(usize::MAX);
+        disk.crash_at(usize::MAX);
         play_run(&disk, &mut BTreeSet::new(), &mut Importer::default()).expect("no fault");
         disk.steps()
     };
     assert!(steps > 60, "{steps} steps");
     let mut crashes = 0;
     for stop in 1..=steps {
-        for down in [Down::Kill, Down::Power(0), Down::Power(37), Down::Power(usize::MAX)] {
+        for down in [Crash::Kill, Crash::Power(0), Crash::Power(37), Crash::Power(usize::MAX)] {
             for second in [None, Some(stop % 7 + 1)] {
                 let (mut acknowledged, mut importer) = (BTreeSet::new(), Importer::default());
                 let mut disk = FaultyDisk::default();
                 for at in [Some(stop), second].into_iter().flatten() {
-                    disk.stop_at(at);
+                    disk.crash_at(at);
                     let ended = play_run(&disk, &mut acknowledged, &mut importer);
-                    if disk.stopped() {
+                    if disk.has_crashed() {
                         assert!(ended.is_err());
                         crashes += 1;
                         disk = disk.after(down);
                     }
-                    disk.stop_at(usize::MAX);
+                    disk.crash_at(usize::MAX);
                     let (store, _) = open(&disk, NOVEMBER).unwrap_or_else(|e| panic!("{stop} {down:?}: {e}"));
                     drop(store);
                     let all = queries(&disk);
@@ -190,7 +190,7 @@
     let length = disk.read(&name).expect("read").len();
     // Every tail: records are whole or not there.
     for cut in 0..length {
-        let torn = disk.after(Down::Kill);
+        let torn = disk.after(Crash::Kill);
         let mut handle = torn.clone();
         handle.truncate(&name, cut as u64).expect("cut");
         let (store, found) =
@@ -199,8 +199,8 @@
     }
     // A byte anywhere before the last commit: refused, with the file and a place at or before it.
     for at in (16..length - 120).step_by(13) {
-        let damaged_disk = disk.after(Down::Kill);
-        damaged_disk.rot(&name, at);
+        let damaged_disk = disk.after(Crash::Kill);
+        damaged_disk.flip_bit(&name, at);
         match Store::open(damaged_disk, calendar(), options.clone(), "n1", NOVEMBER) {
             Err(LedgerError::Damaged { file, damage }) => {
                 assert!(file == name && damage.offset <= at, "{damage}");
@@ -208,8 +208,8 @@
             other => panic!("byte {at}: {:?}", other.map(|(_, r)| r)),
         }
     }
-    let damaged_disk = disk.after(Down::Kill);
-    damaged_disk.rot(&name, 7);
+    let damaged_disk = disk.after(Crash::Kill);
+    damaged_disk.flip_bit(&name, 7);
     assert!(Store::open(damaged_disk, calendar(), options, "n1", NOVEMBER).is_err(), "another version");
 }
 
@@ -404,15 +404,15 @@
     };
     let steps = {
         let disk = disk_with_requests();
-        disk.stop_at(usize::MAX);
+        disk.crash_at(usize::MAX);
         assert_eq!(process(&disk).expect("no fault"), 3);
         disk.steps()
     };
     assert!(steps > 15, "{steps} steps");
     for stop in 1..=steps {
-        for down in [Down::Kill, Down::Power(0), Down::Power(50)] {
+        for down in [Crash::Kill, Crash::Power(0), Crash::Power(50)] {
             let disk = disk_with_requests();
-            disk.stop_at(stop);
+            disk.crash_at(stop);
             assert!(process(&disk).is_err());
             let disk = disk.after(down);
             process(&disk).unwrap_or_else(|e| panic!("{stop} {down:?}: {e}"));
@@ -478,7 +478,7 @@
         store.append(&[Record::Entry(entry(n, NOVEMBER))]).expect("written");
     }
     store.commit().expect("synced");
-    let mut handle = disk.after(Down::Kill);
+    let mut handle = disk.after(Crash::Kill);
     let segments: Vec<String> =
         disk.list().expect("names").into_iter().filter(|n| n.starts_with("seg-")).collect();
     assert!(segments.len() > 4, "{segments:?}");
@@ -507,7 +507,7 @@
         }
         store.commit().expect("synced");
         let all = read_all(&disk, &calendar(), |_, _, _| {}).expect("whole");
-        let (again, found) = open(&disk.after(Down::Power(0)), NOVEMBER).expect("opened");
+        let (again, found) = open(&disk.after(Crash::Power(0)), NOVEMBER).expect("opened");
         prop_assert!(found.records <= 20, "the snapshot was not used: {} records", found.records);
         prop_assert_eq!(again.book().totals(), all.totals());
         prop_assert_eq!(again.book().due(NOVEMBER + 100 * DAY, 0), all.due(NOVEMBER + 100 * DAY, 0));
--- a/tests/ledger_process.rs
+++ b/tests/ledger_process.rs
@@ -72,7 +72,7 @@
 
 fn ledger_setup(mode: &str) -> LedgerSetup {
     let fleet = LeafFleet::new(6);
-    let known = fleet.listed();
+    let known = fleet.listed_endpoints();
     let dir = scratch_dir("ledger");
     let operator = Some(format!(
         "ledger: {{dir: {}, mode: {mode}, prices: {{c: {{query: 500, part: 250}}}}}}\n",
@@ -94,7 +94,7 @@
         };
         let clients = ["acme", "acme", "stranger"].map(ask);
         for _ in &clients {
-            first_answers.recv_timeout(PATIENCE).expect("each client has a first answer");
+            first_answers.recv_timeout(WAIT_TIMEOUT).expect("each client has a first answer");
         }
         thread::sleep(Duration::from_millis(*after));
         aggregator.kill();
--- a/tests/operate.rs
+++ b/tests/operate.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 /// The setup of an aggregator with an admin interface.
-fn setup_with_admin(servers: &[Listed]) -> Setup {
+fn setup_with_admin(servers: &[ListedEndpoint]) -> Setup {
     Setup { has_admin_address: true, ..Setup::new(servers) }
 }
 
@@ -24,7 +24,7 @@
 #[test]
 fn the_admin_interface_answers_beside_60_idle_connections() {
     let server = AnsweringLeafServer::new();
-    let mut aggregator = setup_with_admin(&[listed("a", server.address, 0)]).start();
+    let mut aggregator = setup_with_admin(&[listed_endpoint("a", server.address, 0)]).start();
     let admin_address: SocketAddr =
         aggregator.wait_for_log("admin interface on ").parse().expect("an address");
     wait_until("ready", || aggregator.send_admin_command("GET /-/ready") == 200);
@@ -61,7 +61,7 @@
 fn a_disabled_leaf_server_gets_no_part_until_it_is_enabled() {
     let (a, b) = (AnsweringLeafServer::new(), AnsweringLeafServer::new());
     let discovery = Discovery::new();
-    let servers = [listed("a", a.address, 0), listed("b", b.address, 0)];
+    let servers = [listed_endpoint("a", a.address, 0), listed_endpoint("b", b.address, 0)];
     let mut aggregator = Setup { discovery: discovery.address(), ..setup_with_admin(&servers) }.start();
     let mut watch = discovery.accept();
     watch.send_event(&list(2, true, &servers));
@@ -83,7 +83,7 @@
     send_queries(&aggregator, 40, "q");
     assert_eq!(a.count(), parts_before, "disabled");
     // Discovery removes the leaf server and lists it again: the override applies to its name.
-    watch.send_event(&list(4, false, &[Listed { lifecycle: "Gone", ..servers[0].clone() }]));
+    watch.send_event(&list(4, false, &[ListedEndpoint { lifecycle: "Gone", ..servers[0].clone() }]));
     watch.send_event(&list(5, false, &servers[..1]));
     aggregator.wait_for_counter("lists_taken", 6);
     send_queries(&aggregator, 20, "r");
@@ -104,7 +104,7 @@
 #[test]
 fn a_drained_aggregator_closes_its_clients_and_resumes() {
     let server = AnsweringLeafServer::new();
-    let mut aggregator = setup_with_admin(&[listed("a", server.address, 0)]).start();
+    let mut aggregator = setup_with_admin(&[listed_endpoint("a", server.address, 0)]).start();
     let mut persistent = Client::connect(aggregator.address);
     assert_eq!(persistent.request(query("q1", "9000m", &[0])).status, 200);
     let mut idle = Client::connect(aggregator.address);
@@ -130,7 +130,11 @@
 fn hot_restarts_under_load_lose_no_query_and_keep_the_overrides() {
     let (a, b, c) = (AnsweringLeafServer::new(), AnsweringLeafServer::new(), AnsweringLeafServer::new());
     let reserved_port = shared_port();
-    let servers = [listed("a", a.address, 0), listed("b", b.address, 0), listed("c", c.address, 0)];
+    let servers = [
+        listed_endpoint("a", a.address, 0),
+        listed_endpoint("b", b.address, 0),
+        listed_endpoint("c", c.address, 0),
+    ];
     let setup = Setup::new(&servers).shared(&reserved_port);
     let mut old = setup.start();
     let running = Arc::new(AtomicBool::new(true));
@@ -178,7 +182,7 @@
 fn a_new_process_that_crashes_leaves_the_old_one_serving() {
     let server = AnsweringLeafServer::new();
     let reserved_port = shared_port();
-    let setup = Setup::new(&[listed("a", server.address, 0)]).shared(&reserved_port);
+    let setup = Setup::new(&[listed_endpoint("a", server.address, 0)]).shared(&reserved_port);
     let mut old = setup.start();
     old.wait_for_log("to=\"ready\"");
     let exit_status = Aggregator::start_expecting_failure(
@@ -207,7 +211,7 @@
 fn stored_overrides_that_are_unusable_are_logged_and_moved_aside() {
     let server = AnsweringLeafServer::new();
     let reserved_port = shared_port();
-    let setup = Setup::new(&[listed("a", server.address, 0)]).shared(&reserved_port);
+    let setup = Setup::new(&[listed_endpoint("a", server.address, 0)]).shared(&reserved_port);
     let tmp = setup.tmp_dir.clone().expect("a directory");
     let mut first = setup.start();
     assert_eq!(first.send_admin_command("POST /-/leaf-servers/a/disable"), 200);
@@ -241,7 +245,7 @@
 #[test]
 fn reloaded_settings_apply_to_new_queries_only() {
     let (a, b) = (LeafServer::new(), LeafServer::new());
-    let setup = setup_with_admin(&[listed("a", a.address, 0), listed("b", b.address, 0)]);
+    let setup = setup_with_admin(&[listed_endpoint("a", a.address, 0), listed_endpoint("b", b.address, 0)]);
     let mut aggregator = setup.start();
     let mut in_flight = Client::connect(aggregator.address);
     in_flight.send(query("q1", "9000m", &[0]));
@@ -279,7 +283,8 @@
 #[test]
 fn admin_calls_are_distinguished_by_method_and_path() {
     let server = LeafServer::new();
-    let servers = [listed("s-1", server.address, 0), listed("s/1", unreachable_address(), 0)];
+    let servers =
+        [listed_endpoint("s-1", server.address, 0), listed_endpoint("s/1", unreachable_address(), 0)];
     let mut aggregator = Setup { has_admin_address: true, ..Setup::new(&servers) }.start();
     wait_until("ready", || aggregator.send_admin_command("GET /-/ready") == 200);
     assert_eq!(aggregator.send_admin_command("POST /-/leaf-servers/s-1/disable"), 200);
--- a/tests/operational_faults.rs
+++ b/tests/operational_faults.rs
@@ -27,7 +27,7 @@
         let a = AnsweringLeafServer::new();
         let b = AnsweringLeafServer::new();
         let port = shared_port();
-        let leaf_servers = [listed("a", a.address, 0), listed("b", b.address, 0)];
+        let leaf_servers = [listed_endpoint("a", a.address, 0), listed_endpoint("b", b.address, 0)];
         let setup = Setup::new(&leaf_servers).shared(&port);
         TwoLeafServers { a, _b: b, _port: port, setup }
     }
@@ -116,7 +116,7 @@
 fn a_drain_during_a_hot_restart_holds_in_both_processes() {
     let leaf_server = AnsweringLeafServer::new();
     let port = shared_port();
-    let setup = Setup::new(&[listed("a", leaf_server.address, 0)]).shared(&port);
+    let setup = Setup::new(&[listed_endpoint("a", leaf_server.address, 0)]).shared(&port);
     let mut old = setup.start();
     wait_until_ready(&mut old);
     let mut new = setup.start();
@@ -259,7 +259,7 @@
     }
     let mut answered = 0;
     for mut stream in calls {
-        stream.set_read_timeout(Some(PATIENCE)).expect("set");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set");
         let mut text = String::new();
         let _ = stream.read_to_string(&mut text);
         answered += usize::from(text.starts_with("HTTP/1.1 200"));
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -266,7 +266,10 @@
     let mut entries = Vec::new();
     for (number, leaf) in leaves.iter().enumerate() {
         let lifecycle = if draining.contains(&number) { "Terminating" } else { "Ready" };
-        entries.push(Listed { lifecycle, ..listed(LEAF_NAMES[number], leaf.address, number as u32 % 3) });
+        entries.push(ListedEndpoint {
+            lifecycle,
+            ..listed_endpoint(LEAF_NAMES[number], leaf.address, number as u32 % 3)
+        });
     }
     list(generation, true, &entries)
 }
--- a/tests/stored_formats.rs
+++ b/tests/stored_formats.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::process::{PATIENCE, Setup, binary, scratch_dir};
+use common::process::{Setup, WAIT_TIMEOUT, binary, scratch_dir};
 use sailmux::hot_restart::{
     MergedOverrides, Override, OverrideSubject, Overrides, ProcessStatus, SharedDirectory, Sibling,
     StoredOverrides, snapshot,
@@ -726,7 +726,7 @@
             .stderr(Stdio::piped())
             .spawn()
             .expect("it starts");
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + WAIT_TIMEOUT;
         let id = loop {
             let names = fs::read_dir(&dir).expect("a folder").map(|e| e.expect("an entry").file_name());
             let ids = names.filter_map(|n| {
