--- a/tests/inventory_load.rs
+++ b/tests/inventory_load.rs
@@ -242,7 +242,7 @@
         "inventory:\n  discovery: true\n  files:\n    - path: {0}/n.yaml\n    - path: {0}/drains.csv\n      partial: true\n",
         dir.display()
     );
-    let listed_servers = fleet.listed();
+    let listed_servers = fleet.listed_endpoints();
     let setup =
         Setup { operator: Some(operator), discovery: discovery.address(), ..Setup::new(&listed_servers) };
     let mut aggregator = setup.start();
@@ -254,7 +254,7 @@
     fleet.record_drain("s00");
     aggregator.wait_for_new_log("drained=1");
     // Discovery removes a server that is ready in the files: it stays removed.
-    let removed = Listed { lifecycle: "Gone", ..listed_servers[4].clone() };
+    let removed = ListedEndpoint { lifecycle: "Gone", ..listed_servers[4].clone() };
     watch.send_event(&list(3, false, &[removed]));
     fleet.record_drain("s04");
     sleep(Duration::from_millis(300));
--- a/tests/ledger_process.rs
+++ b/tests/ledger_process.rs
@@ -74,7 +74,7 @@
 
 fn ledger_setup(mode: &str) -> LedgerSetup {
     let fleet = LeafFleet::new(6);
-    let listed = fleet.listed();
+    let listed = fleet.listed_endpoints();
     let dir = scratch_dir("ledger");
     let operator = Some(format!(
         "ledger: {{dir: {}, mode: {mode}, prices: {{c: {{query: 500, part: 250}}}}}}\n",
@@ -97,7 +97,7 @@
         };
         let clients = ["acme", "acme", "stranger"].map(start_client);
         for _ in &clients {
-            first_answers.recv_timeout(PATIENCE).expect("each client receives a first answer");
+            first_answers.recv_timeout(WAIT_TIMEOUT).expect("each client receives a first answer");
         }
         thread::sleep(Duration::from_millis(*delay_ms));
         aggregator.kill();
