--- a/examples/inventory_scale.rs
+++ b/examples/inventory_scale.rs
@@ -13,9 +13,9 @@
 fn bundle(name: &str, text: &str) -> Bundle {
     let file = BundleFile {
         name: name.into(),
-        key: name.to_owned(),
+        relative_path: name.to_owned(),
         role: Role::Inventory,
-        text: text.as_bytes().to_vec(),
+        content: text.as_bytes().to_vec(),
         checksum: None,
     };
     Bundle { files: vec![file] }
@@ -76,7 +76,7 @@
     timed("diff, one drained", || initial_list.changed_names(&drained_list));
     let config_path = std::env::temp_dir().join(format!("sailmux-scale-{}.json", std::process::id()));
     std::fs::write(&config_path, include_str!("../src/cli/demo/config.json"))?;
-    let config = Config::at(&config_path);
+    let config = Config::from_file(&config_path);
     std::fs::remove_file(&config_path)?;
     let mut state =
         State::new(config?.settings, Limits::from_max_descriptors(1024), 1, GuardSettings::default())?;
--- a/src/aggregator/event.rs
+++ b/src/aggregator/event.rs
@@ -5,7 +5,7 @@
 };
 use crate::balancer::LoadReport;
 use crate::clock::Millis;
-use crate::config::SiteSettings;
+use crate::config::PlatformSettings;
 use crate::endpoints::{EndpointList, Input};
 use crate::hot_restart::Overrides;
 use crate::ledger::LedgerEvent;
@@ -88,7 +88,7 @@
     /// The ledger writer's state has changed.
     Ledger(LedgerEvent),
     /// The configuration has been reloaded.
-    SettingsReloaded(Box<SiteSettings>, Limits),
+    SettingsReloaded(Box<PlatformSettings>, Limits),
     /// A reload failed because the configuration is invalid.
     ReloadRejected,
     /// An operator has sent a command to the admin address.
--- a/src/net/inventory_watch/mod.rs
+++ b/src/net/inventory_watch/mod.rs
@@ -10,7 +10,7 @@
 use crate::config::operator::{Inventory, InventoryFile};
 use crate::diagnostic::Diagnostics;
 use crate::endpoints::{self, FileCheck, FileList, FilePoller, PollDecision};
-use crate::inventory::{self, Bundle, Gathered, SeenFile};
+use crate::inventory::{self, Bundle, FileSignature, LoadedFiles};
 use change_notifier::ChangeNotifier;
 use std::collections::VecDeque;
 use std::fs;
@@ -24,7 +24,7 @@
 const MAX_RETAINED_LISTS: usize = 3;
 
 /// Metadata of an inventory's files as found by one poll; `None` if the inventory does not exist.
-type Signature = Option<Vec<SeenFile>>;
+type Signature = Option<Vec<FileSignature>>;
 
 /// The lists of all files as they were read at startup.
 pub(super) fn initial_lists(inventory: &Inventory) -> Vec<Arc<FileList>> {
@@ -92,7 +92,7 @@
     /// Index into [`InventoryWatcher::files`].
     index: usize,
     signature: Signature,
-    content: Result<Gathered, Diagnostics>,
+    content: Result<LoadedFiles, Diagnostics>,
 }
 
 /// Whether all files that were opened are stable.
@@ -156,7 +156,7 @@
             }
             let signature = inventory::signature(path);
             if watched.poller.must_open(now, &signature) {
-                let content = inventory::gather(path, options);
+                let content = inventory::load_files(path, options);
                 opened_files.push(OpenedFile { index, signature, content });
             }
         }
@@ -233,7 +233,7 @@
 }
 
 /// The result of opening a file, and its content if it is stable.
-fn check(content: Result<Gathered, Diagnostics>) -> (FileCheck, Option<Bundle>) {
+fn check(content: Result<LoadedFiles, Diagnostics>) -> (FileCheck, Option<Bundle>) {
     let mut gathered = match content {
         Ok(gathered) => gathered,
         Err(problems) => return (FileCheck::Unreadable(summarize(&problems)), None),
--- a/tests/aggregator.rs
+++ b/tests/aggregator.rs
@@ -18,9 +18,9 @@
 fn inventory_list(rows: &str) -> Arc<FileList> {
     let file = BundleFile {
         name: "n.csv".into(),
-        key: "n.csv".into(),
+        relative_path: "n.csv".into(),
         role: Role::Inventory,
-        text: format!("name,host,port,cell\n{rows}").into(),
+        content: format!("name,host,port,cell\n{rows}").into(),
         checksum: None,
     };
     Arc::new(read(&Bundle { files: vec![file] }, &Options::default()).expect("a valid inventory"))
@@ -34,7 +34,7 @@
 fn aggregator_with_config(servers: &str, config: &str) -> State {
     let path = scratch_dir("aggregator").join("config.json");
     std::fs::write(&path, config).expect("the configuration can be written");
-    let settings = Config::at(&path).expect("a valid configuration").settings;
+    let settings = Config::from_file(&path).expect("a valid configuration").settings;
     let limits = Limits::from_max_descriptors(1024);
     let mut state = State::new(settings, limits, 7, GuardSettings::default()).expect("valid settings");
     let files = vec![inventory_list(servers)];
--- a/tests/stored_formats.rs
+++ b/tests/stored_formats.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::process::{PATIENCE, Setup, binary, scratch_dir};
+use common::process::{Setup, WAIT_TIMEOUT, binary, scratch_dir};
 use sailmux::hot_restart::{
     MergedOverrides, Override, OverrideSubject, Overrides, ProcessStatus, SharedDirectory, Sibling,
     StoredOverrides, snapshot,
@@ -745,7 +745,7 @@
             .stderr(Stdio::piped())
             .spawn()
             .expect("command starts");
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         let id = loop {
             let names = fs::read_dir(&dir)
                 .expect("directory is readable")
