--- a/src/aggregator/lifecycle.rs
+++ b/src/aggregator/lifecycle.rs
@@ -22,14 +22,14 @@
 pub enum Lifecycle {
     /// There is no endpoint list yet, or discovery has not answered.
     Starting {
-        /// When startup began.
+        /// Time at which startup began.
         since: Millis,
     },
     /// Serving.
     Ready,
     /// Serving, and sending clients to other aggregators until an operator cancels the drain.
     Draining {
-        /// When the drain began.
+        /// Time at which the drain began.
         since: Millis,
     },
     /// Shutting down while another process of this aggregator takes over.
--- a/src/aggregator/records.rs
+++ b/src/aggregator/records.rs
@@ -82,9 +82,9 @@
     /// Its number among the attempts of its part.
     pub number: u32,
     pub replica: ReplicaId,
-    /// When the balancer requested it.
+    /// Time at which the balancer requested the attempt.
     pub started_at: Millis,
-    /// When it times out.
+    /// Time at which the attempt times out.
     pub timeout_at: Millis,
     /// Deadline for writing it; `None` if there is no such deadline.
     pub send_by: Option<Millis>,
--- a/src/balancer/action.rs
+++ b/src/balancer/action.rs
@@ -37,7 +37,7 @@
         query: QueryId,
         /// The Retry-After for the client; None if the settings disable it.
         retry_after: Option<Millis>,
-        /// Why the query is rejected.
+        /// The reason for the rejection.
         reason: RejectReason,
     },
     /// Fail a query that may have been executed, so that a retry may not be safe, or whose class is unknown. Final.
--- a/src/cli/inventory/check.rs
+++ b/src/cli/inventory/check.rs
@@ -16,7 +16,7 @@
         let counts = list.summary();
         let path = self.source.path.display();
         let truncated =
-            if list.truncated_mid_line { "; it ends within a line and would be held back" } else { "" };
+            if list.truncated_mid_line { "; the file ends within a line and would be held back" } else { "" };
         print(&format!(
             "{path}: valid, {} leaf servers, {} draining{truncated}\n",
             counts.endpoints, counts.draining
--- a/src/cli/inventory/plan.rs
+++ b/src/cli/inventory/plan.rs
@@ -19,7 +19,7 @@
     /// Number of cells that hold each shard
     #[arg(long, default_value_t = 1, value_name = "N")]
     width: u32,
-    /// Percentage of the leaf servers that may be lost at once; default: as in the operator file
+    /// Percentage of the leaf servers that may be removed at once; default: as in the operator file
     #[arg(long, value_name = "PERCENT", value_parser = clap::value_parser!(u8).range(0..=100))]
     most_lost: Option<u8>,
 }
--- a/src/config/load.rs
+++ b/src/config/load.rs
@@ -37,7 +37,7 @@
     pub admin_address: Option<SocketAddr>,
     /// Maximum number of file descriptors of the process; 1024 by default.
     pub max_descriptors: usize,
-    /// The last known endpoint list; empty if the file has none.
+    /// The initial endpoint list, the key `known` of the file; empty if the file has none.
     pub known_endpoints: EndpointList,
     /// The platform's settings.
     pub settings: PlatformSettings,
--- a/src/config/operator/inventory.rs
+++ b/src/config/operator/inventory.rs
@@ -131,7 +131,7 @@
 pub struct InventoryFile {
     /// Path of the file or directory.
     pub path: PathBuf,
-    /// How it is read.
+    /// Options for reading it, such as its format.
     pub options: Options,
     /// Endpoints at startup; empty until the file is read.
     pub list: Arc<FileList>,
--- a/src/config/operator/setting.rs
+++ b/src/config/operator/setting.rs
@@ -65,7 +65,7 @@
         return Some(record);
     }
     let Some(entries) = node.map() else {
-        context.report(node.line, format!("must be a mapping, not {}", node.kind_name()));
+        context.report(node.line, format!("must be a map, not {}", node.kind_name()));
         return None;
     };
     for entry in entries {
@@ -264,7 +264,7 @@
 impl<T: Setting> Setting for BTreeMap<String, T> {
     fn read(node: &Node, context: &mut FieldContext<'_>) -> Option<Self> {
         let Some(entries) = node.map() else {
-            context.report(node.line, format!("must be a mapping, not {}", node.kind_name()));
+            context.report(node.line, format!("must be a map, not {}", node.kind_name()));
             return None;
         };
         let mut values = BTreeMap::new();
--- a/src/diagnostic.rs
+++ b/src/diagnostic.rs
@@ -13,7 +13,7 @@
     pub line: Option<u32>,
     /// The field, such as `inventory.files[0].path` or `s3.cell`; empty if the problem concerns the complete file.
     pub field: String,
-    /// What is wrong, without file, line and field.
+    /// The problem, without file, line and field.
     pub message: String,
 }
 
--- a/src/endpoints/audit.rs
+++ b/src/endpoints/audit.rs
@@ -36,7 +36,7 @@
         source: SourceId,
         /// Digest of the file's content, which a confirmation must contain.
         digest: Arc<str>,
-        /// Why it is held back.
+        /// The reason why the guard holds the list back.
         reason: HoldReason,
         /// Counts of the endpoints that the list would change.
         difference: Difference,
--- a/src/endpoints/guard.rs
+++ b/src/endpoints/guard.rs
@@ -21,7 +21,7 @@
     }
 }
 
-/// Why a list is held back.
+/// The reason why a list is held back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HoldReason {
     /// The list is empty, or no endpoint would be left.
@@ -44,7 +44,7 @@
         match self {
             Self::Empty => write!(f, "no leaf server would be left"),
             Self::TooManyRemoved { removed, total } => {
-                write!(f, "{removed} of {total} nodes would be lost at once")
+                write!(f, "{removed} of {total} leaf servers would be removed at once")
             }
             Self::ShardWithoutReadyEndpoint(shard) => {
                 write!(f, "shard {shard} would be left without a leaf server")
--- a/src/endpoints/plan.rs
+++ b/src/endpoints/plan.rs
@@ -21,7 +21,7 @@
     pub changes: BTreeMap<Arc<str>, Change>,
     /// Counts of the changes, by kind.
     pub difference: Difference,
-    /// Why the list would be held back; `None` if it would be applied.
+    /// The reason why the list would be held back; `None` if it would be applied.
     pub hold_reason: Option<HoldReason>,
     /// Numbers of endpoints before and after the list is applied.
     pub counts: EndpointCounts,
--- a/src/gossip/table.rs
+++ b/src/gossip/table.rs
@@ -9,7 +9,7 @@
 pub struct Member {
     /// The latest update about the member.
     pub update: MemberUpdate,
-    /// When that update was applied.
+    /// Time at which that update was applied.
     pub since: Millis,
 }
 
--- a/src/hot_restart/shared_directory.rs
+++ b/src/hot_restart/shared_directory.rs
@@ -31,7 +31,7 @@
     MovedAside {
         /// The file's new path.
         path: PathBuf,
-        /// Why it could not be used.
+        /// The reason why the file could not be used.
         reason: snapshot::SnapshotError,
     },
 }
--- a/src/inventory/ansible/groups.rs
+++ b/src/inventory/ansible/groups.rs
@@ -18,7 +18,7 @@
     parents: BTreeSet<String>,
     /// Length of the longest path from [`ALL`]; 0 until [`Groups::link`] computes it.
     depth: usize,
-    /// Where the group first occurs.
+    /// Location of the first occurrence of the group.
     location: SourceLocation,
 }
 
--- a/src/json.rs
+++ b/src/json.rs
@@ -15,7 +15,7 @@
 pub struct FieldError {
     /// The field's path, such as `settings.limits.maxOpen`.
     pub field: String,
-    /// What is wrong with the value, without the field's path.
+    /// The problem with the value, without the field's path.
     pub message: String,
 }
 
--- a/src/ledger/accounts.rs
+++ b/src/ledger/accounts.rs
@@ -91,7 +91,7 @@
 }
 
 impl Usage {
-    /// Adds an entry; `late` tells whether the entry's own period had already closed.
+    /// Adds an entry; `late` is whether the entry's own period had already closed.
     pub(super) fn add_entry(&mut self, entry: &Entry, late: bool) {
         self.queries += 1;
         match entry.outcome {
--- a/src/ledger/error.rs
+++ b/src/ledger/error.rs
@@ -16,7 +16,7 @@
     Damaged {
         /// The file's name in the ledger's directory.
         file: String,
-        /// What is damaged, and where in the file.
+        /// The kind of damage and its position in the file.
         damage: Damage,
     },
     /// The period is already closed.
--- a/src/ledger/options.rs
+++ b/src/ledger/options.rs
@@ -23,7 +23,7 @@
     }
 }
 
-/// What [`Store::open`](super::Store::open) read and repaired.
+/// Result of [`Store::open`](super::Store::open): the records read and the repairs made.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Recovery {
     /// Number of records read after the newest snapshot.
--- a/src/ledger/record.rs
+++ b/src/ledger/record.rs
@@ -143,7 +143,7 @@
     pub parts: i64,
     /// Added to the billed work, in thousandths of a unit; negative to reduce it.
     pub work: i64,
-    /// Who made the correction; must not be blank.
+    /// Author of the correction; must not be blank.
     pub author: String,
     /// Why the correction was made; must not be blank.
     pub reason: String,
--- a/src/net/flight/leaf_call.rs
+++ b/src/net/flight/leaf_call.rs
@@ -38,7 +38,7 @@
     payload: String,
 }
 
-/// Why a call returned no rows.
+/// The reason why a call returned no rows.
 enum CallError {
     /// The part was not served; the outcome states why.
     NotServed(PartOutcome),
--- a/src/net/inventory_watch/change_notifier.rs
+++ b/src/net/inventory_watch/change_notifier.rs
@@ -16,7 +16,7 @@
 /// Maximum number of directories watched below each of `group_vars` and `host_vars`.
 const MAX_VARIABLE_DIRECTORIES: usize = 256;
 
-/// A watched directory. The inode tells a replaced directory from the former one at the same path.
+/// A watched directory. The inode distinguishes a replaced directory from the former one at the same path.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct WatchedDirectory {
     path: PathBuf,
--- a/src/net/leaf_connection/mod.rs
+++ b/src/net/leaf_connection/mod.rs
@@ -28,7 +28,7 @@
 /// Buffer space reserved for each read.
 const READ_BYTES: usize = 16 << 10;
 
-/// Why a connection ended.
+/// The cause of the end of a connection.
 enum ConnectionEnd {
     /// The aggregator closed it.
     Closed,
--- a/src/net/ledger_writer.rs
+++ b/src/net/ledger_writer.rs
@@ -72,7 +72,7 @@
             exports_finished = recovery.completed_exports,
             "ledger opened"
         );
-        let (entries, intake) = queue();
+        let (entries, receiver) = queue();
         let commit_interval =
             if settings.max_answer_wait.is_some() { Duration::ZERO } else { settings.commit_interval };
         let on_event = move |event: LedgerEvent| {
@@ -80,7 +80,7 @@
             forward_event(&events, event);
         };
         let writer = Writer::new(store, commit_interval, &settings.options, on_event);
-        let run = move || drop(writer.run(intake, unix_now));
+        let run = move || drop(writer.run(receiver, unix_now));
         let thread = thread::Builder::new().name("ledger".to_owned()).spawn(run)?;
         Ok(LedgerWriter {
             entries,
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -95,7 +95,7 @@
     let digest = snapshot::digest(&overrides);
     let _ = event_loop.handle(Event::OverridesLoaded(overrides, digest));
     let discovery =
-        DiscoveryStart { address: config.discovery, known: config.known_endpoints, seed: config.seed };
+        DiscoveryStart { address: config.discovery, initial_list: config.known_endpoints, seed: config.seed };
     start_endpoint_sources(&mut event_loop, &events, inventory, discovery)?;
     tokio::task::spawn_local(http::accept_clients(
         listener,
@@ -154,8 +154,8 @@
 /// Parameters that the discovery watch starts with.
 struct DiscoveryStart {
     address: Arc<str>,
-    /// The last known endpoint list, from the configuration; in force until discovery sends a newer one.
-    known: EndpointList,
+    /// The initial endpoint list, from the configuration; in force until discovery sends a newer one.
+    initial_list: EndpointList,
     seed: u64,
 }
 
@@ -168,9 +168,9 @@
     discovery: DiscoveryStart,
 ) -> io::Result<()> {
     let uses_discovery = inventory.as_ref().is_none_or(|inventory| inventory.discovery);
-    let generation = discovery.known.generation;
+    let generation = discovery.initial_list.generation;
     let input = endpoints::Input::Started {
-        initial_list: uses_discovery.then_some(discovery.known),
+        initial_list: uses_discovery.then_some(discovery.initial_list),
         files: inventory.as_ref().map(inventory_watch::initial_lists).unwrap_or_default(),
     };
     let wall_clock_offset = event_loop.clock.wall_clock_offset();
--- a/src/yaml.rs
+++ b/src/yaml.rs
@@ -28,12 +28,12 @@
     }
 }
 
-/// Why a document is rejected.
+/// The reason why a document is rejected, with its line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct YamlError {
     /// The line, counted from 1.
     pub line: u32,
-    /// What is wrong, without the line.
+    /// The problem, without the line.
     pub message: String,
 }
 
--- a/tests/balancer/endpoint_list.rs
+++ b/tests/balancer/endpoint_list.rs
@@ -16,7 +16,7 @@
     assert!(harness.is_rejected(query));
 }
 
-/// A list that has to be polled is requested even if a list was applied at the start, and again after a failure.
+/// A list that has to be polled is requested even if an initial list was applied, and again after a failure.
 #[test]
 fn a_polled_list_is_watched_once_and_again_after_a_failure() {
     let mut harness = Harness::new(Settings { discovery_is_polled: true, ..settings() }, 1);
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -117,7 +117,10 @@
     assert!(code == 0 && stdout.contains("leaf servers: 6 -> 5"), "{stdout}");
     let without_cell_2 = next_file(&INVENTORY_CSV.replace("a2,h,5,2,\nb2,h,6,2,\n", ""));
     let (code, stdout, _) = plan(&without_cell_2, &[]);
-    assert!(code == 1 && stdout.contains("held back: 2 of 6 nodes would be lost at once"), "{stdout}");
+    assert!(
+        code == 1 && stdout.contains("held back: 2 of 6 leaf servers would be removed at once"),
+        "{stdout}"
+    );
     let (code, stdout, _) = plan(&without_cell_2, &["--most-lost", "50"]);
     assert!(
         code == 1 && stdout.contains("held back: shard 2 would be left without a leaf server"),
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -75,7 +75,7 @@
 }
 
 /// Discovery rejects requests, closes connections, and sends a truncated response, noise and a field of the wrong type. The
-/// list known at the start stays in force, each request is counted, and the first valid response is applied.
+/// initial list stays in force, each request is counted, and the first valid response is applied.
 #[test]
 fn the_known_list_stays_in_force_until_discovery_sends_a_valid_one() {
     let (a, b) = (LeafServer::new(), LeafServer::new());
--- a/tests/inventory_load.rs
+++ b/tests/inventory_load.rs
@@ -206,7 +206,7 @@
     let shortened: String = complete.lines().take(5).map(|line| format!("{line}\n")).collect();
     run.writer.write(&shortened.replacen("0,ready", "0,draining", 1));
     let line = run.aggregator.wait_for_new_log("list held back");
-    assert!(line.contains("5 of 9 nodes would be lost at once") && line.contains("WARN"), "{line}");
+    assert!(line.contains("5 of 9 leaf servers would be removed at once") && line.contains("WARN"), "{line}");
     // Drains of the held-back list have taken effect; servers that it lacks still receive parts.
     sleep(Duration::from_millis(200));
     let before = run.fleet.parts();
--- a/tests/stored_formats.rs
+++ b/tests/stored_formats.rs
@@ -912,7 +912,7 @@
     let mut aggregator = Setup { operator: Some(operator), ..Setup::new(&[]) }.start();
     write_file("nodes.csv", &stored_bytes("inventory/nodes.csv"));
     let line = aggregator.wait_for_new_log("list held back");
-    assert!(line.contains("6 of 9 nodes would be lost at once"), "{line}");
+    assert!(line.contains("6 of 9 leaf servers would be removed at once"), "{line}");
     write_file("nodes.csv.confirm", &stored_bytes("inventory/nodes.csv.confirm"));
     let line = aggregator.wait_for_new_log("confirmed=true");
     assert!(line.contains("nodes=3") && line.contains("gone=6"), "{line}");
