--- a/src/cli/inventory/confirm.rs
+++ b/src/cli/inventory/confirm.rs
@@ -22,6 +22,6 @@
         fs::rename(&temporary_path, &path)?;
         let path = path.display();
         let count = list.records.len();
-        print(&format!("{path}: list {} of {count} nodes is confirmed\n", list.digest))
+        print(&format!("{path}: list {} of {count} leaf servers is confirmed\n", list.digest))
     }
 }
--- a/src/cli/ledger/correct.rs
+++ b/src/cli/ledger/correct.rs
@@ -30,7 +30,7 @@
     /// The queries were over the tenant's quota
     #[arg(long)]
     beyond: bool,
-    /// Who makes the correction
+    /// Author of the correction
     #[arg(long)]
     by: String,
     /// The reason for the correction
--- a/src/ledger/record.rs
+++ b/src/ledger/record.rs
@@ -104,7 +104,7 @@
     pub to: UnixMs,
     /// Number of lost entries; 0 if unknown.
     pub entries: u64,
-    /// Why the entries were lost, for operators.
+    /// Reason for the loss, for operators.
     pub reason: String,
 }
 
@@ -145,7 +145,7 @@
     pub work: i64,
     /// Author of the correction; must not be blank.
     pub author: String,
-    /// Why the correction was made; must not be blank.
+    /// Reason for the correction; must not be blank.
     pub reason: String,
 }
 
--- a/tests/stored_formats.rs
+++ b/tests/stored_formats.rs
@@ -891,7 +891,8 @@
     let path = dir.join("nodes.csv");
     let output = run(&["inventory", "confirm"], &path, &[]);
     assert!(output.status.success(), "{output:?}");
-    let expected = format!("{}.confirm: list 95f1a861b4777089 of 3 nodes is confirmed\n", path.display());
+    let expected =
+        format!("{}.confirm: list 95f1a861b4777089 of 3 leaf servers is confirmed\n", path.display());
     assert_eq!(stdout(&output), expected);
     let written = fs::read_to_string(dir.join("nodes.csv.confirm")).expect("written");
     assert_eq!(written, stored_text("inventory/nodes.csv.confirm"));
