--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -50,7 +50,7 @@
         let mut cells = None;
         if let Some(path) = &config {
             report.add(path, Config::check_file(path));
-            cells = Config::at(path).ok().map(|config| config.settings.layout().cells);
+            cells = Config::from_file(path).ok().map(|config| config.settings.layout().cells);
         }
         if let Some(path) = &operator {
             check_operator(path, cells, &mut report);
@@ -73,7 +73,7 @@
 }
 
 fn inventory_problems(file: &InventoryFile, cells: Option<u32>) -> Vec<Diagnostic> {
-    let list = inventory::gather(&file.path, &file.options)
+    let list = inventory::load_files(&file.path, &file.options)
         .and_then(|gathered| inventory::read(&gathered.bundle, &file.options));
     match list.and_then(|list| check_cells(&list, cells)) {
         Ok(()) => Vec::new(),
--- a/src/cli/inventory/source.rs
+++ b/src/cli/inventory/source.rs
@@ -65,13 +65,13 @@
         if self.cells.is_some() {
             return self.cells;
         }
-        let config = Config::at(&path_in_environment("RELAY_CONFIG")?).ok()?;
+        let config = Config::from_file(&path_in_environment("RELAY_CONFIG")?).ok()?;
         Some(config.settings.layout().cells)
     }
 
     /// The content of an inventory.
     pub fn bundle(path: &Path, options: &Options) -> Result<Bundle, Failure> {
-        Ok(inventory::gather(path, options).map_err(Failure::diagnostics)?.bundle)
+        Ok(inventory::load_files(path, options).map_err(Failure::diagnostics)?.bundle)
     }
 
     /// The endpoint list of an inventory.
--- a/src/net/discovery_watch/mod.rs
+++ b/src/net/discovery_watch/mod.rs
@@ -7,7 +7,7 @@
 use super::messages::{AggregatorStopped, EventSender};
 use crate::aggregator::Event;
 use crate::clock::{Clock, Millis};
-use crate::config::SiteSettings;
+use crate::config::PlatformSettings;
 use crate::endpoints::{DiscoveryTiming, EndpointList};
 use bytes::BytesMut;
 use response::{BodyReader, MalformedResponse};
@@ -50,13 +50,13 @@
 
 impl DiscoveryWatchHandle {
     /// Starts a watch of discovery at an address.
-    pub fn start(address: Arc<str>, context: DiscoveryWatchContext, settings: &SiteSettings) -> Self {
+    pub fn start(address: Arc<str>, context: DiscoveryWatchContext, settings: &PlatformSettings) -> Self {
         let task = context.spawn_watch(address.clone(), settings);
         DiscoveryWatchHandle { address, context, task }
     }
 
     /// Replaces the watch by one at another address; has no effect if the address is unchanged.
-    pub fn set_address(&mut self, address: Arc<str>, settings: &SiteSettings) {
+    pub fn set_address(&mut self, address: Arc<str>, settings: &PlatformSettings) {
         if address == self.address {
             return;
         }
@@ -74,7 +74,7 @@
 }
 
 impl DiscoveryWatchContext {
-    fn spawn_watch(&self, address: Arc<str>, settings: &SiteSettings) -> JoinHandle<()> {
+    fn spawn_watch(&self, address: Arc<str>, settings: &PlatformSettings) -> JoinHandle<()> {
         let balancer = &settings.balancer;
         let timing = if balancer.discovery_is_polled {
             DiscoveryTiming::shared_discovery(self.seed, balancer.aggregators)
--- a/src/net/ledger_writer.rs
+++ b/src/net/ledger_writer.rs
@@ -72,20 +72,21 @@
             exports_finished = recovery.completed_exports,
             "ledger opened"
         );
-        let (entries, intake) = queue();
-        let commit_interval = if settings.strict.is_some() { Duration::ZERO } else { settings.every };
+        let (entries, receiver) = queue();
+        let commit_interval =
+            if settings.max_answer_wait.is_some() { Duration::ZERO } else { settings.commit_interval };
         let on_event = move |event: LedgerEvent| {
             log_event(&event);
             forward_event(&events, event);
         };
         let writer = Writer::new(store, commit_interval, &settings.options, on_event);
-        let run = move || drop(writer.run(intake, unix_now));
+        let run = move || drop(writer.run(receiver, unix_now));
         let thread = thread::Builder::new().name("ledger".to_owned()).spawn(run)?;
         Ok(LedgerWriter {
             entries,
             thread,
             clock,
-            max_reply_wait: settings.strict.map(|wait| wait.as_secs_f64() * 1e3),
+            max_reply_wait: settings.max_answer_wait.map(|wait| wait.as_secs_f64() * 1e3),
             durable_entry: 0,
             entry_numbers: HashMap::new(),
             held_replies: VecDeque::new(),
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -58,8 +58,8 @@
         "{stderr}"
     );
     for (text, expected) in [
-        ("name,host,port,cell\n", "names no leaf server"),
-        ("name,host,port,cell\na,h,1,0\nb,h,1,0\n", "n.csv:3: b.address: h:1 is the address of a too"),
+        ("name,host,port,cell\n", "contains no leaf servers"),
+        ("name,host,port,cell\na,h,1,0\nb,h,1,0\n", "n.csv:3: b.address: h:1 is also the address of a"),
         ("name,host,port,cell\na,h,70000,0\n", "n.csv:2: a.port"),
         ("name,host,port,cell\na,h,1,-3\n", "n.csv:2: a.cell"),
     ] {
@@ -117,7 +117,10 @@
     assert!(code == 0 && stdout.contains("leaf servers: 6 -> 5"), "{stdout}");
     let without_cell_2 = next_file(&INVENTORY_CSV.replace("a2,h,5,2,\nb2,h,6,2,\n", ""));
     let (code, stdout, _) = plan(&without_cell_2, &[]);
-    assert!(code == 1 && stdout.contains("held back: 2 of 6 nodes would be lost at once"), "{stdout}");
+    assert!(
+        code == 1 && stdout.contains("held back: 2 of 6 leaf servers would be removed at once"),
+        "{stdout}"
+    );
     let (code, stdout, _) = plan(&without_cell_2, &["--most-lost", "50"]);
     assert!(
         code == 1 && stdout.contains("held back: shard 2 would be left without a leaf server"),
@@ -156,15 +159,15 @@
         run(&["check", "--config", &path("config.json"), "--operator", &path("bad.yaml")]);
     assert_eq!(code, 1);
     for expected in [
-        "config.json: field listen: is no address and port",
-        "config.json: field seed: is no hex number",
+        "config.json: field listen: is not an address and port",
+        "config.json: field seed: is not a hexadecimal number",
         "config.json: field settings.limits.maxAttempts: has the wrong type, must be a number",
-        "config.json: field settings.categories[0].effect: knows no effect",
-        "bad.yaml:2: flight.listen: is no address and port",
+        "config.json: field settings.categories[0].effect: must be retryable, dedup or fragile, not \"later\"",
+        "bad.yaml:2: flight.listen: is not an address and port",
         "bad.yaml:3: log.level: must be one of error, warn",
-        "bad.yaml:3: log.colour: is unknown; there are format, level",
+        "bad.yaml:3: log.colour: is unknown; known fields: format, level",
         "bad.yaml:5: inventory.poll_ms: must be a whole number from 50 to 400",
-        "bad.yaml:8: inventory.files[0].fields.adress: is no field; there are name, address",
+        "bad.yaml:8: inventory.files[0].fields.adress: is not a field; known fields: name, address",
         "bad.yaml:9: inventory.files[0].delimiter: must be one character",
     ] {
         assert!(stderr.contains(expected), "{expected}:\n{stderr}");
--- a/tests/ledger.rs
+++ b/tests/ledger.rs
@@ -134,26 +134,26 @@
 fn crash_at_any_disk_operation_loses_no_committed_entry_and_exports_each_once() {
     let operations = {
         let disk = FaultyDisk::default();
-        disk.stop_at(usize::MAX);
+        disk.crash_at(usize::MAX);
         run_ledger(&disk, &mut BTreeSet::new(), &mut Importer::default()).expect("no fault");
         disk.steps()
     };
     assert!(operations > 60, "{operations} disk operations");
     let mut crashes = 0;
     for crash_at in 1..=operations {
-        for down in [Down::Kill, Down::Power(0), Down::Power(37), Down::Power(usize::MAX)] {
+        for down in [Crash::Kill, Crash::Power(0), Crash::Power(37), Crash::Power(usize::MAX)] {
             for second_crash_at in [None, Some(crash_at % 7 + 1)] {
                 let (mut acknowledged, mut importer) = (BTreeSet::new(), Importer::default());
                 let mut disk = FaultyDisk::default();
                 for operation in [Some(crash_at), second_crash_at].into_iter().flatten() {
-                    disk.stop_at(operation);
+                    disk.crash_at(operation);
                     let result = run_ledger(&disk, &mut acknowledged, &mut importer);
-                    if disk.stopped() {
+                    if disk.has_crashed() {
                         assert!(result.is_err());
                         crashes += 1;
                         disk = disk.after(down);
                     }
-                    disk.stop_at(usize::MAX);
+                    disk.crash_at(usize::MAX);
                     let (store, _) = open(&disk, NOVEMBER_MS)
                         .unwrap_or_else(|error| panic!("{crash_at} {down:?}: {error}"));
                     drop(store);
@@ -193,7 +193,7 @@
     let length = disk.read(&name).expect("read").len();
     // A file truncated at any offset: each record is either complete or absent.
     for torn_length in 0..length {
-        let torn = disk.after(Down::Kill);
+        let torn = disk.after(Crash::Kill);
         let mut handle = torn.clone();
         handle.truncate(&name, torn_length as u64).expect("truncated");
         let (store, recovery) =
@@ -202,8 +202,8 @@
     }
     // A changed byte before the last commit is rejected with the file name and an offset at or before the byte.
     for changed_at in (16..length - 120).step_by(13) {
-        let damaged_disk = disk.after(Down::Kill);
-        damaged_disk.rot(&name, changed_at);
+        let damaged_disk = disk.after(Crash::Kill);
+        damaged_disk.flip_bit(&name, changed_at);
         match Store::open(damaged_disk, calendar(), options.clone(), "n1", NOVEMBER_MS) {
             Err(LedgerError::Damaged { file, damage }) => {
                 assert!(file == name && damage.offset <= changed_at, "{damage}");
@@ -211,8 +211,8 @@
             other => panic!("byte {changed_at}: {:?}", other.map(|(_, recovery)| recovery)),
         }
     }
-    let damaged_disk = disk.after(Down::Kill);
-    damaged_disk.rot(&name, 7);
+    let damaged_disk = disk.after(Crash::Kill);
+    damaged_disk.flip_bit(&name, 7);
     assert!(
         Store::open(damaged_disk, calendar(), options, "n1", NOVEMBER_MS).is_err(),
         "unknown format version is rejected"
@@ -417,15 +417,15 @@
     };
     let operations = {
         let disk = disk_with_requests();
-        disk.stop_at(usize::MAX);
+        disk.crash_at(usize::MAX);
         assert_eq!(process(&disk).expect("no fault"), 3);
         disk.steps()
     };
     assert!(operations > 15, "{operations} disk operations");
     for crash_at in 1..=operations {
-        for down in [Down::Kill, Down::Power(0), Down::Power(50)] {
+        for down in [Crash::Kill, Crash::Power(0), Crash::Power(50)] {
             let disk = disk_with_requests();
-            disk.stop_at(crash_at);
+            disk.crash_at(crash_at);
             assert!(process(&disk).is_err());
             let disk = disk.after(down);
             process(&disk).unwrap_or_else(|error| panic!("{crash_at} {down:?}: {error}"));
@@ -502,7 +502,7 @@
         store.append(&[Record::Entry(entry(n, NOVEMBER_MS))]).expect("written");
     }
     store.commit().expect("synced");
-    let mut handle = disk.after(Down::Kill);
+    let mut handle = disk.after(Crash::Kill);
     let segments: Vec<String> = disk
         .list()
         .expect("directory is listed")
@@ -536,7 +536,7 @@
         }
         store.commit().expect("synced");
         let all = read_all(&disk, &calendar(), |_, _, _| {}).expect("readable");
-        let (reopened, recovery) = open(&disk.after(Down::Power(0)), NOVEMBER_MS).expect("opened");
+        let (reopened, recovery) = open(&disk.after(Crash::Power(0)), NOVEMBER_MS).expect("opened");
         prop_assert!(recovery.records <= 20, "the snapshot was not used: {} records", recovery.records);
         prop_assert_eq!(reopened.book().totals(), all.totals());
         prop_assert_eq!(reopened.book().due_periods(NOVEMBER_MS + 100 * DAY_MS, 0), all.due_periods(NOVEMBER_MS + 100 * DAY_MS, 0));
--- a/tests/stored_formats.rs
+++ b/tests/stored_formats.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::process::{PATIENCE, Setup, binary, scratch_dir};
+use common::process::{Setup, WAIT_TIMEOUT, binary, scratch_dir};
 use sailmux::hot_restart::{
     MergedOverrides, Override, OverrideSubject, Overrides, ProcessStatus, SharedDirectory, Sibling,
     StoredOverrides, snapshot,
@@ -745,7 +745,7 @@
             .stderr(Stdio::piped())
             .spawn()
             .expect("command starts");
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         let id = loop {
             let names = fs::read_dir(&dir)
                 .expect("directory is readable")
@@ -891,7 +891,8 @@
     let path = dir.join("nodes.csv");
     let output = run(&["inventory", "confirm"], &path, &[]);
     assert!(output.status.success(), "{output:?}");
-    let expected = format!("{}.confirm: list 95f1a861b4777089 of 3 nodes is confirmed\n", path.display());
+    let expected =
+        format!("{}.confirm: list 95f1a861b4777089 of 3 leaf servers is confirmed\n", path.display());
     assert_eq!(stdout(&output), expected);
     let written = fs::read_to_string(dir.join("nodes.csv.confirm")).expect("written");
     assert_eq!(written, stored_text("inventory/nodes.csv.confirm"));
@@ -912,7 +913,7 @@
     let mut aggregator = Setup { operator: Some(operator), ..Setup::new(&[]) }.start();
     write_file("nodes.csv", &stored_bytes("inventory/nodes.csv"));
     let line = aggregator.wait_for_new_log("list held back");
-    assert!(line.contains("6 of 9 nodes would be lost at once"), "{line}");
+    assert!(line.contains("6 of 9 leaf servers would be removed at once"), "{line}");
     write_file("nodes.csv.confirm", &stored_bytes("inventory/nodes.csv.confirm"));
     let line = aggregator.wait_for_new_log("confirmed=true");
     assert!(line.contains("nodes=3") && line.contains("gone=6"), "{line}");
