--- a/src/aggregator/lifecycle.rs
+++ b/src/aggregator/lifecycle.rs
@@ -34,12 +34,12 @@
     },
     /// Shutting down while another process of this aggregator takes over.
     HotRestarting {
-        /// When the shutdown began, or the drain that preceded it.
+        /// Time at which the shutdown began, or the drain that preceded it.
         since: Millis,
     },
     /// Shutting down without a successor.
     ShuttingDown {
-        /// When the shutdown began, or the drain that preceded it.
+        /// Time at which the shutdown began, or the drain that preceded it.
         since: Millis,
     },
 }
--- a/src/gossip/detector.rs
+++ b/src/gossip/detector.rs
@@ -296,7 +296,7 @@
 
     fn on_ack(&mut self, sequence: u64, outputs: &mut Vec<Output>) {
         if self.probing.acknowledge(sequence) {
-            self.local_health.improve();
+            self.local_health.decrease_score();
         }
         let Some(relayed) = self.probing.take_relayed(sequence) else { return };
         let Some(requester) = self.peer(relayed.requester) else { return };
@@ -320,7 +320,7 @@
             }
             ApplyResult::Refuted => {
                 self.counters.refutations += 1;
-                self.local_health.degrade();
+                self.local_health.increase_score();
                 let local = self.table.local().clone();
                 outputs.push(Output::Changed(local.clone()));
                 self.updates.push(local);
--- a/src/gossip/local_health.rs
+++ b/src/gossip/local_health.rs
@@ -19,11 +19,13 @@
         self.score
     }
 
-    pub fn improve(&mut self) {
+    /// Lowers the score by one, to no less than 0: a lower score is healthier.
+    pub fn decrease_score(&mut self) {
         self.score = self.score.saturating_sub(1);
     }
 
-    pub fn degrade(&mut self) {
+    /// Raises the score by one, to no more than `max_score`: a higher score is less healthy.
+    pub fn increase_score(&mut self) {
         self.score = (self.score + 1).min(self.max_score);
     }
 
--- a/src/json.rs
+++ b/src/json.rs
@@ -1,4 +1,4 @@
-//! Reading JSON documents by field name, with errors that say which field is wrong.
+//! Reading JSON documents by field name; errors contain the path of the invalid field.
 //!
 //! [`Field`] walks a tree parsed by miniserde and remembers the path to each value; `config` reads the platform's
 //! settings and endpoint lists through it. [`ObjectScanner`] finds the end of an object in a streamed body, for the
--- a/src/net/leaf_connection/mod.rs
+++ b/src/net/leaf_connection/mod.rs
@@ -222,7 +222,7 @@
     }
 
     /// Converts an answer into an event. An unknown name is an error: the answer may belong to an attempt in flight,
-    /// which would otherwise wait for it in vain.
+    /// which would otherwise never receive it.
     fn answer_event(&mut self, answer: Answer<'_>) -> Result<Event, ProtocolError> {
         let attempt = self.attempts.remove(answer.attempt_name).ok_or(ProtocolError::UnknownAttempt)?;
         Ok(Event::AttemptAnswered {
--- a/tests/common/fleet/inventory_run.rs
+++ b/tests/common/fleet/inventory_run.rs
@@ -71,7 +71,7 @@
             wrong.len(),
             &wrong[..wrong.len().min(5)]
         );
-        let broken = self.fleet.broken_rules();
+        let broken = self.fleet.rule_violations();
         assert!(broken.is_empty(), "{} rule violations: {:#?}", broken.len(), &broken[..broken.len().min(5)]);
         (answered, self.fleet.parts())
     }
--- a/tests/common/fleet/leaf_fleet.rs
+++ b/tests/common/fleet/leaf_fleet.rs
@@ -22,7 +22,7 @@
     drained_at: BTreeMap<String, Instant>,
     cells: BTreeMap<String, u32>,
     in_flight: BTreeSet<String>,
-    broken_rules: Vec<String>,
+    rule_violations: Vec<String>,
 }
 
 /// Fake leaf servers by name, which share their observations.
@@ -105,8 +105,8 @@
     }
 
     /// A description of each violation of a rule.
-    pub fn broken_rules(&self) -> Vec<String> {
-        lock(&self.observations).broken_rules.clone()
+    pub fn rule_violations(&self) -> Vec<String> {
+        lock(&self.observations).rule_violations.clone()
     }
 
     /// Number of received parts.
@@ -121,15 +121,15 @@
         self.parts += 1;
         let since_drain = self.drained_at.get(server).map(Instant::elapsed);
         if let Some(late) = since_drain.filter(|elapsed| *elapsed > DRAIN_GRACE_PERIOD) {
-            self.broken_rules
+            self.rule_violations
                 .push(format!("{server}: part {part} arrived {late:?} after the drain was written"));
         }
         if self.cells[server] != shard % CELLS {
-            self.broken_rules
+            self.rule_violations
                 .push(format!("{server}: part {part} is for a shard that the server does not hold"));
         }
         if !self.in_flight.insert(part.to_owned()) {
-            self.broken_rules.push(format!("{server}: part {part} is already in flight"));
+            self.rule_violations.push(format!("{server}: part {part} is already in flight"));
         }
     }
 }
--- a/tests/http_and_flight.rs
+++ b/tests/http_and_flight.rs
@@ -166,7 +166,7 @@
 /// A client of either protocol with a query in flight.
 enum PendingQuery {
     Platform(Client),
-    /// The gateway is kept because its connection must outlive the pull.
+    /// The gateway is kept because its connection must outlive the request.
     Flight(Box<Gateway>, PendingAnswer),
 }
 
@@ -185,8 +185,9 @@
         }
         Protocol::Flight => {
             let gateway = Gateway::connect(&aggregator.flight_address());
-            let pull = gateway.start_query(ticket(name, shards), Duration::from_millis(deadline_ms));
-            PendingQuery::Flight(Box::new(gateway), pull)
+            let pending_answer =
+                gateway.start_query(ticket(name, shards), Duration::from_millis(deadline_ms));
+            PendingQuery::Flight(Box::new(gateway), pending_answer)
         }
     }
 }
@@ -195,14 +196,14 @@
     fn outcome(self) -> Outcome {
         match self {
             PendingQuery::Platform(mut client) => http_outcome(&client.response()),
-            PendingQuery::Flight(_gateway, pull) => flight_outcome(pull.result()),
+            PendingQuery::Flight(_gateway, pending_answer) => flight_outcome(pending_answer.result()),
         }
     }
 
     /// Cancels the query: an HTTP client closes its connection, a gateway cancels its call.
     fn cancel(self) {
-        if let PendingQuery::Flight(_gateway, pull) = self {
-            pull.cancel();
+        if let PendingQuery::Flight(_gateway, pending_answer) = self {
+            pending_answer.cancel();
         }
     }
 }
--- a/tests/inventory_load.rs
+++ b/tests/inventory_load.rs
@@ -267,7 +267,7 @@
     sleep(Duration::from_millis(1200));
     let (answered, violations) = load.stop();
     assert!(answered > 50 && violations.is_empty(), "{violations:?}");
-    assert!(fleet.broken_rules().is_empty(), "{:?}", fleet.broken_rules());
+    assert!(fleet.rule_violations().is_empty(), "{:?}", fleet.rule_violations());
     // Only s02 is left in cell 2 and only s01 in cell 1; both are now listed by discovery alone.
     fs::remove_file(dir.join("n.yaml")).expect("file is removed");
     assert!(aggregator.wait_for_new_log("the previous list stays in force").contains("n.yaml"));
--- a/tests/ledger.rs
+++ b/tests/ledger.rs
@@ -141,7 +141,7 @@
     assert!(operations > 60, "{operations} disk operations");
     let mut crashes = 0;
     for crash_at in 1..=operations {
-        for down in [Crash::Kill, Crash::Power(0), Crash::Power(37), Crash::Power(usize::MAX)] {
+        for crash in [Crash::Kill, Crash::Power(0), Crash::Power(37), Crash::Power(usize::MAX)] {
             for second_crash_at in [None, Some(crash_at % 7 + 1)] {
                 let (mut acknowledged, mut importer) = (BTreeSet::new(), Importer::default());
                 let mut disk = FaultyDisk::default();
@@ -151,29 +151,29 @@
                     if disk.has_crashed() {
                         assert!(result.is_err());
                         crashes += 1;
-                        disk = disk.after(down);
+                        disk = disk.after(crash);
                     }
                     disk.crash_at(usize::MAX);
                     let (store, _) = open(&disk, NOVEMBER_MS)
-                        .unwrap_or_else(|error| panic!("{crash_at} {down:?}: {error}"));
+                        .unwrap_or_else(|error| panic!("{crash_at} {crash:?}: {error}"));
                     drop(store);
                     let recorded = query_ids(&disk);
                     let distinct: BTreeSet<String> = recorded.iter().cloned().collect();
-                    assert_eq!(recorded.len(), distinct.len(), "{crash_at} {down:?}: duplicate entry");
+                    assert_eq!(recorded.len(), distinct.len(), "{crash_at} {crash:?}: duplicate entry");
                     let exported: BTreeSet<String> = importer.query_ids().into_iter().collect();
                     let lost: Vec<_> = acknowledged
                         .iter()
                         .filter(|id| !distinct.contains(*id) && !exported.contains(*id))
                         .collect();
-                    assert!(lost.is_empty(), "{crash_at} {down:?}: lost {lost:?}");
+                    assert!(lost.is_empty(), "{crash_at} {crash:?}: lost {lost:?}");
                 }
                 run_ledger(&disk, &mut acknowledged, &mut importer)
-                    .unwrap_or_else(|error| panic!("{crash_at} {down:?}: {error}"));
+                    .unwrap_or_else(|error| panic!("{crash_at} {crash:?}: {error}"));
                 let mut imported = importer.query_ids();
                 imported.sort();
                 let mut expected: Vec<String> = (0..24).map(|n| format!("q{n}")).collect();
                 expected.sort();
-                assert_eq!(imported, expected, "{crash_at} {down:?} {second_crash_at:?}: imported queries");
+                assert_eq!(imported, expected, "{crash_at} {crash:?} {second_crash_at:?}: imported queries");
             }
         }
     }
@@ -423,24 +423,27 @@
     };
     assert!(operations > 15, "{operations} disk operations");
     for crash_at in 1..=operations {
-        for down in [Crash::Kill, Crash::Power(0), Crash::Power(50)] {
+        for crash in [Crash::Kill, Crash::Power(0), Crash::Power(50)] {
             let disk = disk_with_requests();
             disk.crash_at(crash_at);
             assert!(process(&disk).is_err());
-            let disk = disk.after(down);
-            process(&disk).unwrap_or_else(|error| panic!("{crash_at} {down:?}: {error}"));
+            let disk = disk.after(crash);
+            process(&disk).unwrap_or_else(|error| panic!("{crash_at} {crash:?}: {error}"));
             let book = read_all(&disk, &calendar(), |_, _, _| {}).expect("readable");
-            assert_eq!(book.corrections().len(), 1, "{crash_at} {down:?}");
-            assert_eq!(book.exports().len(), 1, "{crash_at} {down:?}");
+            assert_eq!(book.corrections().len(), 1, "{crash_at} {crash:?}");
+            assert_eq!(book.exports().len(), 1, "{crash_at} {crash:?}");
             let names = disk.list().expect("directory is listed");
-            assert!(!names.iter().any(|name| name.starts_with("request-")), "{crash_at} {down:?}: {names:?}");
+            assert!(
+                !names.iter().any(|name| name.starts_with("request-")),
+                "{crash_at} {crash:?}: {names:?}"
+            );
             let reply = |i: usize| {
                 String::from_utf8(disk.read(&reply_file_name(&format!("r{i}"))).expect("file exists"))
                     .expect("text")
             };
             assert!(
                 reply(0).contains("billed in 2026-11") && reply(2).contains("refused"),
-                "{crash_at} {down:?}"
+                "{crash_at} {crash:?}"
             );
         }
     }
--- a/tests/ledger_process.rs
+++ b/tests/ledger_process.rs
@@ -137,7 +137,7 @@
         entries.len(),
         answered.len()
     );
-    assert!(ledger.fleet.broken_rules().is_empty(), "{:?}", ledger.fleet.broken_rules());
+    assert!(ledger.fleet.rule_violations().is_empty(), "{:?}", ledger.fleet.rule_violations());
     let is_of_known_tenant = |entry: &Entry| entry.tenant_is_known && entry.tenant == "acme";
     assert!(
         entries.iter().all(is_of_known_tenant),
